--- a/src/intake.rs
+++ b/src/admission.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::quota;
-use crate::registry::replica::Replica;
+use crate::state_store::replica::Replica;
 use crate::settings::Settings;
 use salttiller_records::model::{is_job_id, JobSpec, Kind, Priority};
 use salttiller_records::record::Stage;
--- a/src/fleet.rs
+++ b/src/cloud.rs
@@ -475,7 +475,7 @@
 
 /// All offers of the types, in order.
 pub fn offers(
-    flavors: &BTreeMap<String, crate::registry::replica::Versioned<Flavor>>,
+    flavors: &BTreeMap<String, crate::state_store::replica::Versioned<Flavor>>,
 ) -> Vec<Offer> {
     let mut out = Vec::new();
     for f in flavors.values() {
--- a/src/node.rs
+++ b/src/controller.rs
@@ -5,23 +5,23 @@
 use std::io;
 
 use crate::fault_injection::{is_left_out, Guard};
-use crate::fleet::{Fleet, FleetEvent};
-use crate::intake::{self, Limiter, Refusal};
+use crate::cloud::{Fleet, FleetEvent};
+use crate::admission::{self, Limiter, Refusal};
 use crate::leader::{self, Leader, Reports};
-use crate::mesh::{self, Message};
+use crate::peer_protocol::{self, Message};
 use crate::quota;
 use crate::reactor::{Call, CallError, CallId, ConnId, Limits, Net, NetEvent, Reactor};
 use crate::region::{self, Region, Verdict, View};
-use crate::registry::{
+use crate::state_store::{
     Authority, LeaseName, Outcome, Registry, RegistryEvent, Txn, Urgency, FRESH_FOR,
 };
 use crate::settings::Settings;
 use crate::status::conditions::QuestionRate;
 use crate::status::{self as signals, Aims};
-use crate::workers;
-use held::Held;
-use pending::PendingRequests;
-use reachability::{Redirects, Releases, UnreachedNews};
+use crate::worker_protocol;
+use data_loss_hold::Held;
+use pending_requests::PendingRequests;
+use owner_reachability::{Redirects, Releases, UnreachedNews};
 use salttiller_protocol::http::{Request, Response};
 use salttiller_records::key::Key;
 use salttiller_records::model::{is_job_id, JobSpec};
@@ -203,15 +203,15 @@
 }
 
 mod commits;
-mod held;
+mod data_loss_hold;
 mod leadership;
-mod messages;
-mod pending;
-mod reachability;
+mod peer_messages;
+mod pending_requests;
+mod owner_reachability;
 mod regions;
-mod reports;
+mod heartbeats;
 mod status;
-mod users;
+mod client_requests;
 
 impl Node<Reactor> {
     /// Opens the listeners and gets ready.
@@ -317,9 +317,9 @@
         match ev {
             NetEvent::Request(conn, req) => self.on_request(conn, req),
             NetEvent::Response(id, result) => self.on_response(id, result),
-            NetEvent::Frame(conn, bytes) => match mesh::decode(&bytes) {
+            NetEvent::Frame(conn, bytes) => match peer_protocol::decode(&bytes) {
                 Some(Message::AskStatus) => {
-                    let page = mesh::encode(&Message::Status(self.status()));
+                    let page = peer_protocol::encode(&Message::Status(self.status()));
                     self.reactor.reply(conn, &page);
                 }
                 Some(m) => self.on_message(m),
@@ -427,7 +427,7 @@
         until = until.min(self.mesh_next);
         if !self.to_tell.is_empty() {
             let jobs = std::mem::take(&mut self.to_tell);
-            let m = mesh::encode(&Message::Cancelled { jobs });
+            let m = peer_protocol::encode(&Message::Cancelled { jobs });
             for i in 0..self.settings.peers.len() {
                 self.reactor.send(i, &m);
             }
--- a/src/node/users.rs
+++ b/src/controller/client_requests.rs
@@ -70,7 +70,7 @@
     }
 
     pub(super) fn on_submit(&mut self, conn: ConnId, body: &[u8]) {
-        let (id, spec) = match intake::parse_submission(body, self.reactor.wall()) {
+        let (id, spec) = match admission::parse_submission(body, self.reactor.wall()) {
             Ok(x) => x,
             Err(_) => return self.reactor.respond(conn, Response::new(400, Vec::new())),
         };
@@ -90,7 +90,7 @@
         if !self.admit(conn) {
             return;
         }
-        match intake::check(&spec, &self.registry.replica, &self.settings) {
+        match admission::check(&spec, &self.registry.replica, &self.settings) {
             Ok(()) => {}
             Err(Refusal::NotYet(why)) => {
                 log::info!("intake: {id}: {why}");
@@ -196,7 +196,7 @@
 
     pub(super) fn state(&self, id: &str, stage: Stage) -> Vec<u8> {
         if stage != Stage::Open {
-            return intake::state_body(id, stage, None);
+            return admission::state_body(id, stage, None);
         }
         let mut running = 0;
         for (name, (r, _)) in &self.reports {
@@ -210,7 +210,7 @@
             };
         }
         let done = self.registry.replica.done_count(id);
-        intake::state_body(id, stage, Some((done, running)))
+        admission::state_body(id, stage, Some((done, running)))
     }
 
     pub(super) fn expire_waiting(&mut self) {
--- a/src/node/commits.rs
+++ b/src/controller/commits.rs
@@ -22,7 +22,7 @@
                         log::debug!("intake: {id}: accepted");
                         // Cancelled at once, if one that it needs is.
                         let stage = self.registry.replica.stage(&id).unwrap_or(Stage::Open);
-                        let body = intake::state_body(&id, stage, None);
+                        let body = admission::state_body(&id, stage, None);
                         self.reactor.respond(conn, Response::new(201, body));
                     }
                     Outcome::Conflict(_) => {
@@ -47,7 +47,7 @@
                     Outcome::Done(_) => {
                         log::debug!("intake: {id}: cancelled");
                         self.to_tell.push(id.clone());
-                        let body = intake::state_body(&id, Stage::Cancelled, None);
+                        let body = admission::state_body(&id, Stage::Cancelled, None);
                         self.reactor.respond(conn, Response::new(200, body));
                     }
                     Outcome::Conflict(_) if self.now < give_up => {
--- a/src/node/held.rs
+++ b/src/controller/data_loss_hold.rs
@@ -13,9 +13,9 @@
 use salttiller_recovery::{Finding, Reported};
 
 use super::*;
-use crate::registry::replica::Replica;
+use crate::state_store::replica::Replica;
 use crate::status::conditions::Condition;
-use crate::workers::{Command, OnMachine, Report};
+use crate::worker_protocol::{Command, OnMachine, Report};
 
 /// Users come back after so many seconds.
 const HELD_RETRY_S: u32 = 5;
@@ -342,7 +342,7 @@
         let Some(kept) = held.regions.get(&region).copied() else {
             let owner = replica.regions.get(&region).map(|r| r.value.owner.clone());
             let owner = owner.filter(|o| *o != home);
-            let body = workers::elsewhere(owner.as_deref());
+            let body = worker_protocol::elsewhere(owner.as_deref());
             return self.reactor.respond(conn, Response::new(421, body));
         };
         if report.token > kept.token && !is_left_out(Guard::SufficientToken) {
@@ -350,7 +350,7 @@
             held.regions.remove(&region);
         } else if authority && (all_hold || self.now >= kept.answers_from) {
             let commands = self.stops_of_cancelled(report);
-            let body = workers::answer(kept.token, &commands);
+            let body = worker_protocol::answer(kept.token, &commands);
             return self.reactor.respond(conn, Response::new(200, body));
         }
         self.refuse(conn, 503, 1);
@@ -364,7 +364,7 @@
             .filter(|t| !matches!(t.stage, OnMachine::Ended(_)));
         on_machine
             .filter(|t| self.is_known_cancelled(&t.job))
-            .take(workers::MAX_COMMANDS)
+            .take(worker_protocol::MAX_COMMANDS)
             .map(|t| Command::Stop(t.job.clone(), t.task, t.attempt, 0))
             .collect()
     }
@@ -397,7 +397,7 @@
         };
         match self.recorded_final_stage(job) {
             Some(stage) => {
-                let body = intake::state_body(job, stage, None);
+                let body = admission::state_body(job, stage, None);
                 self.reactor.respond(conn, Response::new(200, body));
             }
             None => self.refuse(conn, 503, retry_after),
--- a/src/node/reports.rs
+++ b/src/controller/heartbeats.rs
@@ -4,7 +4,7 @@
 
 impl<N: Net> Node<N> {
     pub(super) fn on_report(&mut self, conn: ConnId, body: &[u8]) {
-        let Some(r) = workers::parse_report(body) else {
+        let Some(r) = worker_protocol::parse_report(body) else {
             return self.reactor.respond(conn, Response::new(400, Vec::new()));
         };
         if !self.registry.loaded() {
@@ -17,7 +17,7 @@
             return self.refuse(conn, 503, 1);
         }
         let me = self.settings.name.clone();
-        let elsewhere = |to: Option<&str>| Response::new(421, workers::elsewhere(to));
+        let elsewhere = |to: Option<&str>| Response::new(421, worker_protocol::elsewhere(to));
         let Some(rec) = self.registry.replica.machines.get(&r.machine) else {
             // No record: the leader finds out what it is.
             let view = view!(self);
@@ -52,7 +52,7 @@
         let token = owned.token;
         let verdict = owned.on_report(&r, &view);
         let answer = match verdict {
-            Verdict::Commands(c) => Response::new(200, workers::answer(token, &c)),
+            Verdict::Commands(c) => Response::new(200, worker_protocol::answer(token, &c)),
             Verdict::Stale => {
                 log::debug!("node: {}: late or repeated report passed over", r.machine);
                 Response::refusal(503, 1)
--- a/src/node/leadership.rs
+++ b/src/controller/leadership.rs
@@ -118,7 +118,7 @@
             .get(from)
             .map(|r| r.value.owner.clone());
         if let Some(i) = owner.and_then(|o| self.peer_index(&o)) {
-            self.reactor.send(i, &mesh::encode(&m));
+            self.reactor.send(i, &peer_protocol::encode(&m));
         }
     }
 }
--- a/src/node/reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -171,7 +171,7 @@
                 token: owner.token,
                 machines: machines.len() as u32,
             };
-            messages.push((peer, mesh::encode(&message)));
+            messages.push((peer, peer_protocol::encode(&message)));
         }
         for (peer, bytes) in messages {
             self.reactor.send(peer, &bytes);
--- a/src/node/messages.rs
+++ b/src/controller/peer_messages.rs
@@ -6,7 +6,7 @@
     /// Tells the other controllers how we are: the leader all and often, since it
     /// plans by it, the others just that we are here, and all of it now and then.
     pub(super) fn send_state(&mut self) {
-        let regions: Vec<mesh::RegionReport> = if self.authority() {
+        let regions: Vec<peer_protocol::RegionReport> = if self.authority() {
             let view = view!(self);
             self.regions.values().map(|r| r.report(&view)).collect()
         } else {
@@ -29,10 +29,10 @@
         self.send_boots();
         self.mesh_count += 1;
         let all = self.mesh_count.is_multiple_of(ALL_TOLD);
-        let state = |regions: Vec<mesh::RegionReport>| {
-            mesh::encode(&Message::State {
+        let state = |regions: Vec<peer_protocol::RegionReport>| {
+            peer_protocol::encode(&Message::State {
                 from: self.settings.name.clone(),
-                run: self.run | mesh::UNDERSTANDS_EXTENSIONS,
+                run: self.run | peer_protocol::UNDERSTANDS_EXTENSIONS,
                 fresh: self.fresh(),
                 regions,
             })
@@ -68,7 +68,7 @@
         let peer = self.peer_with_extensions(&leader);
         for m in told {
             match peer {
-                Some(i) => self.reactor.send(i, &mesh::encode(&m)),
+                Some(i) => self.reactor.send(i, &peer_protocol::encode(&m)),
                 None if self.leader.is_some() => self.on_message(m),
                 None => {}
             }
@@ -102,7 +102,7 @@
                 };
                 let gap = p.heard.is_none_or(|h| now > h + 3 * SECOND);
                 p.heard = Some(now);
-                p.understands_extensions = run & mesh::UNDERSTANDS_EXTENSIONS != 0;
+                p.understands_extensions = run & peer_protocol::UNDERSTANDS_EXTENSIONS != 0;
                 p.fresh = fresh;
                 p.stale_since = (!fresh).then(|| p.stale_since.unwrap_or(now));
                 if !fresh || gap {
--- a/src/node/status.rs
+++ b/src/controller/status.rs
@@ -6,7 +6,7 @@
 impl<N: Net> Node<N> {
     /// What is wrong just now, the gravest first.
     pub(super) fn cause(&self) -> &'static str {
-        let unsettled = |(r, _): &(mesh::RegionReport, Micros)| !r.settled;
+        let unsettled = |(r, _): &(peer_protocol::RegionReport, Micros)| !r.settled;
         if self.held.is_some() {
             "state service lost records"
         } else if self.registry.failing() {
@@ -121,7 +121,7 @@
         self.missing_needs = count;
     }
 
-    pub(super) fn status(&mut self) -> mesh::Status {
+    pub(super) fn status(&mut self) -> peer_protocol::Status {
         let r = &self.registry.replica;
         let mut waiting: BTreeMap<String, u32> = BTreeMap::new();
         for (rep, _) in self.reports.values() {
@@ -145,7 +145,7 @@
         let regions = self.settings.regions().into_iter().map(|name| {
             let rep = self.reports.get(&name).map(|(r, _)| r);
             let rec = r.regions.get(&name).map(|r| &r.value);
-            mesh::StatusRegion {
+            peer_protocol::StatusRegion {
                 owner: rec.map(|r| r.owner.clone()),
                 token: rec.map_or(0, |r| r.token),
                 settled: rep.is_some_and(|r| r.settled),
@@ -158,7 +158,7 @@
                 region: name,
             }
         });
-        let mut page = mesh::Status {
+        let mut page = peer_protocol::Status {
             name: self.settings.name.clone(),
             run: self.run,
             leader: r.leader.as_ref().map(|l| l.value.holder.clone()),
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -9,17 +9,17 @@
 use std::rc::Rc;
 
 use crate::fault_injection::{is_left_out, Guard};
-use crate::fleet::{offers, Fleet, FleetEvent, Listed, Offer, Refusals};
-use crate::mesh::{Message, RegionReport};
+use crate::cloud::{offers, Fleet, FleetEvent, Listed, Offer, Refusals};
+use crate::peer_protocol::{Message, RegionReport};
 use crate::region::{narrow_type, waiting_spans, NarrowMemory, View};
-use crate::registry::replica::Versioned;
-use crate::registry::{Txn, Urgency};
+use crate::state_store::replica::Versioned;
+use crate::state_store::{Txn, Urgency};
 use salttiller_records::key::Key;
 use salttiller_records::model::{Flavor, JobSpec, Kind};
 use salttiller_records::record::{value, JobRecord, Joint, MachineBatchRecord, Part, MAX_BATCH};
 use salttiller_records::units::{to_secs, Micros, MILLI, SECOND};
 
-pub use boots::BootReports;
+pub use provisioning::BootReports;
 
 /// What the leader wants done.
 #[derive(Debug)]
@@ -215,12 +215,12 @@
 }
 
 mod binding;
-mod boots;
+mod provisioning;
 mod demand;
-mod joint_gangs;
-mod machines;
+mod multi_region_gangs;
+mod machine_assignment;
 mod rebinding;
-mod renting;
+mod scale_out;
 
 impl Leader {
     /// A term that begins with the leader's record at this revision.
--- a/src/leader/boots.rs
+++ b/src/leader/provisioning.rs
@@ -3,7 +3,7 @@
 //! rented again, of another kind if one fits; of the same only a few at a time.
 
 use super::*;
-use crate::mesh::BootLine;
+use crate::peer_protocol::BootLine;
 use crate::region::is_boot_trouble;
 
 /// How long an owner's word holds.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,18 +6,18 @@
 #![warn(missing_docs)]
 
 mod fault_injection;
-pub mod fleet;
-pub mod intake;
+pub mod cloud;
+pub mod admission;
 pub mod leader;
-pub mod mesh;
-pub mod node;
+pub mod peer_protocol;
+pub mod controller;
 pub mod quota;
 pub mod reactor;
 pub mod region;
-pub mod registry;
+pub mod state_store;
 pub mod settings;
 pub mod status;
-pub mod workers;
+pub mod worker_protocol;
 
 #[cfg(test)]
-mod sim;
+mod simulation;
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand};
-use salttiller::mesh::{self, Message, Status};
-use salttiller::node::Node;
+use salttiller::peer_protocol::{self, Message, Status};
+use salttiller::controller::Node;
 use salttiller::settings::Settings;
 use salttiller::status;
 
@@ -141,7 +141,7 @@
     let mut s = TcpStream::connect_timeout(&addr, wait).map_err(fail)?;
     s.set_read_timeout(Some(wait)).map_err(fail)?;
     s.set_write_timeout(Some(wait)).map_err(fail)?;
-    let ask = mesh::encode(&Message::AskStatus);
+    let ask = peer_protocol::encode(&Message::AskStatus);
     s.write_all(&(ask.len() as u32).to_le_bytes())
         .map_err(fail)?;
     s.write_all(&ask).map_err(fail)?;
@@ -153,7 +153,7 @@
     }
     let mut body = vec![0u8; n];
     s.read_exact(&mut body).map_err(fail)?;
-    match mesh::decode(&body) {
+    match peer_protocol::decode(&body) {
         Some(Message::Status(s)) => Ok(s),
         _ => Err(format!("{addr}: not a controller's answer")),
     }
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -2,7 +2,7 @@
 //! together: each region starts tasks only inside its own share, and the shares
 //! of a team, changed by compare-and-set, never sum to more than its limit.
 
-use crate::registry::replica::Replica;
+use crate::state_store::replica::Replica;
 use crate::settings::Settings;
 use salttiller_records::model::Kind;
 use salttiller_records::record::QuotaRecord;
--- a/src/region.rs
+++ b/src/region.rs
@@ -5,55 +5,55 @@
 //! reports alone, and a task that may be on a machine stays there until that
 //! machine says otherwise or is provably empty.
 
-mod boots;
-mod failures;
+mod provisioning;
+mod failure_attribution;
 mod gangs;
-mod hearing;
-mod hold;
+mod reachability;
+mod reservation;
 mod job;
-mod jobs;
-mod list;
+mod job_lifecycle;
+mod machine_index;
 mod machine;
-mod machine_records;
-mod machine_watch;
-mod machines;
-mod measured;
-mod narrow;
-mod order;
-mod placing;
+mod machine_activation;
+mod machine_lifecycle;
+mod machine_inventory;
+mod runtime_estimates;
+mod constrained_types;
+mod queue;
+mod placement;
 mod preemption;
-mod records;
-mod recovery;
-mod reports;
-mod share;
+mod commits;
+mod reconciliation;
+mod heartbeats;
+mod quota_share;
 mod task;
 
-pub use boots::is_boot_trouble;
+pub use provisioning::is_boot_trouble;
 pub use machine::Standing;
-pub use machine_watch::LEAST_AGE;
-pub use narrow::{narrow_type, NarrowMemory};
-pub use order::{latest_start, waiting_spans};
+pub use machine_lifecycle::LEAST_AGE;
+pub use constrained_types::{narrow_type, NarrowMemory};
+pub use queue::{latest_start, waiting_spans};
 pub use task::Place;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use crate::fault_injection::{is_left_out, Guard};
-use crate::mesh::{CountLine, RegionReport, RoomLine, WaitLine};
+use crate::peer_protocol::{CountLine, RegionReport, RoomLine, WaitLine};
 use crate::quota;
-use crate::registry::replica::Replica;
-use crate::registry::{Outcome, Txn, Urgency};
+use crate::state_store::replica::Replica;
+use crate::state_store::{Outcome, Txn, Urgency};
 use crate::settings::Settings;
-use crate::workers::{Command, End, OnMachine, Report, MAX_COMMANDS};
-use boots::BootHistory;
-use failures::{JobFailures, MachineFailures};
-use hearing::Ear;
-use hold::Hold;
+use crate::worker_protocol::{Command, End, OnMachine, Report, MAX_COMMANDS};
+use provisioning::BootHistory;
+use failure_attribution::{JobFailures, MachineFailures};
+use reachability::Ear;
+use reservation::Hold;
 use job::Job;
-use list::{fits, GroupKey, List, Listed, Room};
+use machine_index::{fits, GroupKey, List, Listed, Room};
 use machine::Machine;
-use measured::Measured;
-use order::OrderKey;
+use runtime_estimates::Measured;
+use queue::OrderKey;
 use salttiller_records::bitmap::{bitmap, read_bitmap, CHUNK};
 use salttiller_records::key::Key;
 use salttiller_records::model::{Flavor, JobId, JobSpec, Kind, RangeSet};
@@ -62,7 +62,7 @@
 };
 use salttiller_records::units::{stretch, to_secs, Micros, MILLI, SECOND};
 use salttiller_records::Amount;
-use share::Share;
+use quota_share::Share;
 use task::Held;
 
 /// Whose turn it is among a team's jobs when its limit is short, over all regions; the
@@ -323,9 +323,9 @@
         if let Some(at) = &was_out {
             let held = self.machines.get_mut(at).and_then(|m| {
                 let h = m.tasks.remove(&(id.clone(), n))?;
-                m.used = list::less(m.used, h.room());
+                m.used = machine_index::less(m.used, h.room());
                 if !h.narrow {
-                    m.wide = list::less(m.wide, h.room());
+                    m.wide = machine_index::less(m.wide, h.room());
                 }
                 let kept = self.list.kept(&m.group).is_some();
                 if (h.narrow || !kept) && !m.serves(kept) && h.place != Place::Assigned {
@@ -413,9 +413,9 @@
                     since: now,
                     ran_at: None,
                 };
-                m.used = list::sum(m.used, h.room());
+                m.used = machine_index::sum(m.used, h.room());
                 if !h.narrow {
-                    m.wide = list::sum(m.wide, h.room());
+                    m.wide = machine_index::sum(m.wide, h.room());
                 }
                 if brings {
                     m.images.insert(job.spec.image.clone());
--- a/src/region/failures/tests.rs
+++ b/src/region/failure_attribution/tests.rs
@@ -115,7 +115,7 @@
         .collect();
     for times in 0..5 {
         let commands = shop.report_failures("m-0", &odd, (now + times) * SECOND);
-        assert!(commands > 0 && commands <= crate::workers::MAX_COMMANDS);
+        assert!(commands > 0 && commands <= crate::worker_protocol::MAX_COMMANDS);
     }
     assert_eq!(closed(&shop), [""; 0]);
     assert!(!shop.r.jobs["req-1"].failures.is_suspect());
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -1,6 +1,6 @@
 //! Gangs: placed whole, parts of joint ones, places held for the one whose turn it is.
 
-use super::placing::AHEAD;
+use super::placement::AHEAD;
 use super::*;
 
 /// A gang has been with us for so long when places begin to be kept for it. Until
--- a/src/region/reports.rs
+++ b/src/region/heartbeats.rs
@@ -73,7 +73,7 @@
     pub(super) fn on_reported(
         &mut self,
         machine: &Rc<str>,
-        t: &crate::workers::ReportedTask,
+        t: &crate::worker_protocol::ReportedTask,
         view: &View<'_>,
         listed: &mut BTreeSet<(JobId, u32)>,
         commands: &mut Vec<Command>,
@@ -129,7 +129,7 @@
     pub(super) fn adopt(
         &mut self,
         machine: &str,
-        t: &crate::workers::ReportedTask,
+        t: &crate::worker_protocol::ReportedTask,
         rec: Option<&JobRecord>,
         view: &View<'_>,
     ) -> bool {
@@ -175,7 +175,7 @@
     pub(super) fn on_ended(
         &mut self,
         machine: &str,
-        t: &crate::workers::ReportedTask,
+        t: &crate::worker_protocol::ReportedTask,
         end: End,
         ours: bool,
         view: &View<'_>,
@@ -263,7 +263,7 @@
         self.lost(&t.job, t.task, "ended", view);
         if suspect {
             self.withdraw_unsent(&t.job, view);
-            let again = view.now + failures::TRY_AGAIN_AFTER + SECOND;
+            let again = view.now + failure_attribution::TRY_AGAIN_AFTER + SECOND;
             self.wake.insert((again, t.job.clone()));
         }
     }
--- a/src/region/job.rs
+++ b/src/region/job.rs
@@ -82,7 +82,7 @@
         let waiting = self.waiting.len();
         if !self.failures.is_suspect() || self.spec.kind == Kind::Gang {
             waiting
-        } else if self.out.is_empty() || now > self.last_assigned + failures::TRY_AGAIN_AFTER {
+        } else if self.out.is_empty() || now > self.last_assigned + failure_attribution::TRY_AGAIN_AFTER {
             waiting.min(1)
         } else {
             0
--- a/src/region/machine.rs
+++ b/src/region/machine.rs
@@ -51,7 +51,7 @@
 
 impl Machine {
     pub(super) fn free(&self) -> Room {
-        list::less(self.cap, self.used)
+        machine_index::less(self.cap, self.used)
     }
 
     /// Whether the level-two list may name it, now or once it is up.
--- a/src/region/machines.rs
+++ b/src/region/machine_inventory.rs
@@ -123,7 +123,7 @@
         let to = if m.open() && hears {
             let free = m.free();
             let wide = match self.list.kept(&m.group) {
-                Some(k) => list::least(free, list::less(list::less(m.cap, k), m.wide)),
+                Some(k) => machine_index::least(free, machine_index::less(machine_index::less(m.cap, k), m.wide)),
                 None => free,
             };
             Listed::Open {
--- a/src/region/placing.rs
+++ b/src/region/placement.rs
@@ -1,6 +1,6 @@
 //! The level-two list at work: which machine each task goes to.
 
-use super::hold::held_back;
+use super::reservation::held_back;
 use super::*;
 
 /// For how many waiting jobs shares are taken ahead of room.
--- a/src/region/preemption.rs
+++ b/src/region/preemption.rs
@@ -1,6 +1,6 @@
 //! Stopping work for work that goes before it.
 
-use super::hold::held_back;
+use super::reservation::held_back;
 use super::*;
 
 /// A job within its guarantee waits so long for room before others make it.
@@ -113,7 +113,7 @@
                     let mut stops = Vec::new();
                     for ((other, _), h) in &m.tasks {
                         if may_stop(other, self) && self.far_from_done(other, h, view) {
-                            room = list::sum(room, h.room());
+                            room = machine_index::sum(room, h.room());
                             cost += view.now.saturating_sub(h.ran_at.unwrap_or(view.now));
                             stops.push(other.clone());
                         }
--- a/src/region/boots.rs
+++ b/src/region/provisioning.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::*;
-use crate::mesh::BootLine;
+use crate::peer_protocol::BootLine;
 
 /// How long an arrival speaks for its kind.
 const ARRIVAL_VALID: Micros = 120 * SECOND;
--- a/src/region/order.rs
+++ b/src/region/queue.rs
@@ -1,6 +1,6 @@
 //! The order in which waiting jobs are served.
 
-use super::hold::SHARE_HOLD_LIMIT;
+use super::reservation::SHARE_HOLD_LIMIT;
 use super::*;
 
 /// Whether a job goes ahead of the order.
--- a/src/region/share.rs
+++ b/src/region/quota_share.rs
@@ -38,9 +38,9 @@
             return;
         }
         let since = *self.hoarded_since.get_or_insert(now);
-        if now > since + hold::SHARE_HOLD_LIMIT {
+        if now > since + reservation::SHARE_HOLD_LIMIT {
             self.hoarded_since = None;
-            self.rest_until = now + hold::SHARE_REST;
+            self.rest_until = now + reservation::SHARE_REST;
         }
     }
 
--- a/src/region/hold.rs
+++ b/src/region/reservation.rs
@@ -1,6 +1,6 @@
 //! Places kept for the gang whose turn it is.
 
-use super::list::Group;
+use super::machine_index::Group;
 use super::*;
 
 /// Places kept for the gang whose turn it is, so that they fill up under steady
--- a/src/region/tests.rs
+++ b/src/region/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of region.
 
 use super::*;
-use crate::workers::ReportedTask;
+use crate::worker_protocol::ReportedTask;
 use serde_json::json;
 
 struct Fixture {
--- a/src/sim.rs
+++ b/src/simulation.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 
 use crate::fault_injection::{leave_out, Guard};
-use crate::node::Node;
+use crate::controller::Node;
 use crate::reactor::{Call, CallError, CallId, ConnId, Net, NetEvent};
 use crate::settings::Settings;
 use salttiller_protocol::http::{query_value, Request, Response};
--- a/src/sim/workers.rs
+++ b/src/simulation/workers.rs
@@ -198,7 +198,7 @@
                     let deaf = self.now < self.controllers[at].cut_mesh;
                     let way = match (held, deaf) {
                         (true, _) => 4 * SECOND,
-                        (_, true) => crate::registry::FRESH_FOR + 100 * MILLI,
+                        (_, true) => crate::state_store::FRESH_FOR + 100 * MILLI,
                         _ => 100 * MILLI,
                     };
                     self.seen.starts_after_cancel += u32::from(self.now > t + way);
--- a/src/registry/pipelines/tests.rs
+++ b/src/state_store/pipelines/tests.rs
@@ -3,7 +3,7 @@
 use serde_json::{json, Value};
 
 use super::MAX_STEPS_PER_CHANGE;
-use crate::registry::replica::Replica;
+use crate::state_store::replica::Replica;
 use salttiller_records::model::Priority;
 use salttiller_records::record::{value, Stage};
 
--- a/src/status.rs
+++ b/src/status.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-use crate::mesh::{AimLine, Status};
-use crate::registry::pipelines::PipelineEnd;
+use crate::peer_protocol::{AimLine, Status};
+use crate::state_store::pipelines::PipelineEnd;
 use crate::settings::{Objective, Operator};
 use conditions::{Condition, ConditionWatch};
 use pipelines::{expected_end, PipelineWatch, Step};
--- a/src/status/tests.rs
+++ b/src/status/tests.rs
@@ -26,7 +26,7 @@
 }
 
 fn spec(class: &str, submitted: Micros) -> JobSpec {
-    let (_, mut s) = crate::intake::parse_submission(
+    let (_, mut s) = crate::admission::parse_submission(
         &rmp_serde::to_vec(
             &serde_json::json!({"nameId":"req-1","crop":class,"crew":"t","furrow":"batch",
             "rank":"standard","sheaves":1,"cores":1,"cards":0,"memoryGb":1,"seed":"i","sizeGb":1,
