--- a/crates/archive/src/recorder.rs
+++ b/crates/archive/src/recorder.rs
@@ -10,7 +10,7 @@
 
 use salttiller_protocol::state_service::{Changes, Page};
 use salttiller_records::history::{last_whole_revisions, Fingerprint};
-use salttiller_records::units::{Micros, MILLI, SECOND};
+use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 use salttiller_records::PREFIX;
 
 use crate::fault_injection::{is_left_out, Guard};
@@ -72,7 +72,7 @@
                 format!("/store?under={PREFIX}&page={PAGE_RECORDS}&from={key}")
             }
             Request::Watch { from, wait } => {
-                let wait = wait / MILLI;
+                let wait = wait / MILLISECOND;
                 format!("/follow?under={PREFIX}&from={from}&waitMs={wait}")
             }
         }
--- a/crates/archive/src/recorder/tests.rs
+++ b/crates/archive/src/recorder/tests.rs
@@ -16,8 +16,8 @@
 use salttiller_protocol::state_service::{Event, Pair};
 
 const PACE: Pace = Pace {
-    request_gap: 10 * MILLI,
-    watch_gap: 20 * MILLI,
+    request_gap: 10 * MILLISECOND,
+    watch_gap: 20 * MILLISECOND,
     image_every: 2 * SECOND,
 };
 
@@ -260,7 +260,7 @@
             }
         }
         let (due, request) = self.recorder.next(self.now);
-        self.now = self.now.max(due) + random.u64(0..100 * MILLI);
+        self.now = self.now.max(due) + random.u64(0..100 * MILLISECOND);
         let fails = self.interrupted || (has(Trouble::Failures) && random.u8(0..6) == 0);
         self.interrupted = false;
         let answer = if fails {
--- a/crates/records/src/key.rs
+++ b/crates/records/src/key.rs
@@ -17,7 +17,7 @@
     /// Machines rented together and the region they are assigned to.
     MachineBatch(String),
     /// Which machines of a region's batches were opened, by region and number.
-    Opened(String, u32),
+    Activation(String, u32),
     /// A job.
     Job(String),
     /// Finished tasks of a job, as one region found them.
@@ -25,9 +25,9 @@
     /// How a team's limit is shared out.
     Quota(String),
     /// A machine type.
-    Flavor(String),
+    MachineType(String),
     /// That records were lost, and what operators decided.
-    Hold,
+    DataLossHold,
 }
 
 impl Key {
@@ -39,12 +39,12 @@
             Key::Region(r) => format!("{PREFIX}region/{r}"),
             Key::Machine(m) => format!("{PREFIX}machine/{m}"),
             Key::MachineBatch(l) => format!("{PREFIX}lot/{l}"),
-            Key::Opened(r, n) => format!("{PREFIX}roll/{r}/{n}"),
+            Key::Activation(r, n) => format!("{PREFIX}roll/{r}/{n}"),
             Key::Job(j) => format!("{PREFIX}job/{j}"),
             Key::Progress(j, r, c) => format!("{PREFIX}progress/{j}/{r}/{c}"),
             Key::Quota(t) => format!("{PREFIX}quota/{t}"),
-            Key::Flavor(f) => format!("{PREFIX}flavor/{f}"),
-            Key::Hold => format!("{PREFIX}hold"),
+            Key::MachineType(f) => format!("{PREFIX}flavor/{f}"),
+            Key::DataLossHold => format!("{PREFIX}hold"),
         }
     }
 
@@ -55,17 +55,17 @@
         Some(match kind {
             "leader" => Key::Leader,
             "token" => Key::Token,
-            "hold" => Key::Hold,
+            "hold" => Key::DataLossHold,
             "region" => Key::Region(rest.into()),
             "machine" => Key::Machine(rest.into()),
             "lot" => Key::MachineBatch(rest.into()),
             "roll" => {
                 let (r, n) = rest.rsplit_once('/')?;
-                Key::Opened(r.into(), n.parse().ok()?)
+                Key::Activation(r.into(), n.parse().ok()?)
             }
             "job" => Key::Job(rest.into()),
             "quota" => Key::Quota(rest.into()),
-            "flavor" => Key::Flavor(rest.into()),
+            "flavor" => Key::MachineType(rest.into()),
             "progress" => {
                 let mut p = rest.splitn(3, '/');
                 Key::Progress(p.next()?.into(), p.next()?.into(), p.next()?.parse().ok()?)
--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod record;
 pub mod units;
 
-pub use amount::Amount;
+pub use amount::QuotaAmount;
 pub use key::{Key, PREFIX};
 
 #[cfg(test)]
--- a/crates/records/src/model.rs
+++ b/crates/records/src/model.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::amount::Amount;
+use crate::amount::QuotaAmount;
 use crate::units::Micros;
 
 /// A job's name, as its user chose it.
@@ -29,7 +29,7 @@
 
 /// How a job's tasks belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each runs to its end.
     #[serde(rename = "a")]
     Array,
@@ -75,9 +75,9 @@
     /// Team.
     #[serde(rename = "t")]
     pub team: String,
-    /// Kind.
+    /// JobKind.
     #[serde(rename = "k")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Priority.
     #[serde(rename = "r")]
     pub priority: Priority,
@@ -142,22 +142,22 @@
 
 impl JobSpec {
     /// Processors and cards of one task.
-    pub fn amount(&self) -> Amount {
-        Amount {
+    pub fn amount(&self) -> QuotaAmount {
+        QuotaAmount {
             cpus: self.cpus,
             gpus: self.gpus,
         }
     }
 
     /// Whether a task may be on a machine of this type, zone and kind at all.
-    pub fn allows(&self, flavor: &Flavor, zone: &str, spot: bool) -> bool {
-        self.fits_type(flavor)
+    pub fn allows(&self, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
+        self.fits_type(machine_type)
             && (!spot || self.spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
     }
 
     /// Whether an empty machine of this type could hold a task.
-    pub fn fits_type(&self, f: &Flavor) -> bool {
+    pub fn fits_type(&self, f: &MachineType) -> bool {
         self.types.as_ref().is_none_or(|ts| ts.contains(&f.name))
             && self.cpus <= f.cpus
             && self.gpus <= f.gpus
@@ -165,7 +165,7 @@
     }
 
     /// How many tasks an empty machine of this type holds.
-    pub fn per_machine(&self, f: &Flavor) -> u64 {
+    pub fn per_machine(&self, f: &MachineType) -> u64 {
         if !self.fits_type(f) {
             return 0;
         }
@@ -182,19 +182,19 @@
     }
 
     /// Whether type, zone and kind of a machine are allowed, whatever its size.
-    pub fn permits(&self, flavor: &str, zone: &str, spot: bool) -> bool {
+    pub fn permits(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (!spot || self.spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
             && self
                 .types
                 .as_ref()
-                .is_none_or(|ts| ts.iter().any(|t| t == flavor))
+                .is_none_or(|ts| ts.iter().any(|t| t == machine_type))
     }
 }
 
 /// A machine type as the cloud describes it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Flavor {
+pub struct MachineType {
     /// Name.
     pub name: String,
     /// Processors, millionths.
@@ -215,7 +215,7 @@
     pub zones: Vec<String>,
 }
 
-impl Flavor {
+impl MachineType {
     /// What a machine costs an hour, ordinary or spot.
     pub fn price_of(&self, spot: bool) -> u64 {
         if spot {
--- a/crates/records/src/record.rs
+++ b/crates/records/src/record.rs
@@ -26,7 +26,7 @@
     pub run: u64,
     /// The token with which it commands.
     pub token: u64,
-    /// Set while its owner holds: the incident, see [`HoldRecord`]. Versions before 0.6 know
+    /// Set while its owner holds: the incident, see [`DataLossHoldRecord`]. Versions before 0.6 know
     /// no such field.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub held: Option<u64>,
@@ -39,7 +39,8 @@
     /// Region, for life.
     pub region: String,
     /// Type.
-    pub flavor: String,
+    #[serde(rename = "flavor")]
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot or ordinary.
@@ -63,7 +64,7 @@
     pub region: String,
     /// Type.
     #[serde(rename = "f")]
-    pub flavor: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "z")]
     pub zone: String,
@@ -80,16 +81,16 @@
 /// the region's owner before it sends the first start to a machine: one that isn't
 /// in it has never been given a task by anyone.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct OpenedRecord(pub std::collections::BTreeMap<String, String>);
+pub struct ActivationRecord(pub std::collections::BTreeMap<String, String>);
 
 /// Most machines of a lot: what one rental returns at the most.
 pub const MAX_BATCH: usize = 50;
 /// Most lots of one roll record, so that it stays below 2 KB.
-pub const MAX_OPENED_BATCHES: usize = 40;
+pub const MAX_ACTIVATION_BATCHES: usize = 40;
 
 /// Where a job stands, for good or for now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stage {
+pub enum JobStage {
     /// Not over.
     #[serde(rename = "o")]
     Open,
@@ -103,7 +104,7 @@
 
 /// Tasks bound to a region.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part(
+pub struct TaskRange(
     /// First task.
     pub u32,
     /// One past the last.
@@ -115,9 +116,9 @@
 /// `job/ID`. Once over, what nobody needs any more is left out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Stage.
+    /// JobStage.
     #[serde(rename = "st")]
-    pub stage: Stage,
+    pub stage: JobStage,
     /// The submission; kept for cancelled jobs too, whose tasks may still
     /// count against the team's limit, dropped for done ones.
     #[serde(
@@ -129,11 +130,11 @@
     pub spec: Option<Rc<JobSpec>>,
     /// Which regions hold which tasks; empty: not bound yet.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
-    pub parts: Vec<Part>,
+    pub parts: Vec<TaskRange>,
     /// Of a gang over several regions: the attempt that all parts start under,
     /// and the zone that all keep to if they must be together.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
-    pub joint: Option<Joint>,
+    pub joint: Option<MultiRegionAttempt>,
     /// Of a done job: the time of day at which that was put on record. Jobs that need it
     /// count their times from there, under every leader alike.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
@@ -151,7 +152,7 @@
 
 /// What the parts of a gang over several regions have in common.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Joint(
+pub struct MultiRegionAttempt(
     /// Attempt.
     pub u64,
     /// Zone, if all tasks must be in one.
@@ -162,7 +163,7 @@
     /// The record once it is cancelled: bound to nobody, the submission kept.
     pub fn cancelled(&self) -> Self {
         JobRecord {
-            stage: Stage::Cancelled,
+            stage: JobStage::Cancelled,
             spec: self.spec.clone(),
             parts: Vec::new(),
             joint: None,
@@ -173,7 +174,7 @@
     /// The tasks bound to a region.
     pub fn tasks_of(&self, region: &str) -> RangeSet {
         let mut s = RangeSet::default();
-        for Part(a, b, r) in &self.parts {
+        for TaskRange(a, b, r) in &self.parts {
             if r == region {
                 s.add(*a, *b);
             }
@@ -183,7 +184,7 @@
 
     /// The submission of a job that is not over.
     pub fn open(&self) -> Option<&Rc<JobSpec>> {
-        if self.stage == Stage::Open {
+        if self.stage == JobStage::Open {
             self.spec.as_ref()
         } else {
             None
@@ -199,7 +200,7 @@
 /// `hold`: controllers found that the state service lost records, and hold until operators
 /// decide. Versions before 0.6 pass it over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HoldRecord {
+pub struct DataLossHoldRecord {
     /// Tells one loss from another: a random number.
     pub incident: u64,
     /// Host name of the controller that found it.
--- a/crates/records/src/tests.rs
+++ b/crates/records/src/tests.rs
@@ -16,12 +16,12 @@
         Key::Region("a".into()),
         Key::Machine("m-1".into()),
         Key::MachineBatch("t-0-4-1".into()),
-        Key::Opened("t-0".into(), 3),
+        Key::Activation("t-0".into(), 3),
         Key::Job("req-1".into()),
         Key::Progress("req-1".into(), "t-0".into(), 7),
         Key::Quota("x".into()),
-        Key::Flavor("y".into()),
-        Key::Hold,
+        Key::MachineType("y".into()),
+        Key::DataLossHold,
     ] {
         assert_eq!(Key::parse(&k.text()), Some(k));
     }
@@ -80,7 +80,7 @@
         "leader" => again::<LeaderRecord>(text),
         "region" => again::<RegionRecord>(text),
         "lot" => again::<MachineBatchRecord>(text),
-        "roll" => again::<OpenedRecord>(text),
+        "roll" => again::<ActivationRecord>(text),
         "quota" => again::<QuotaRecord>(text),
         _ => again::<JobRecord>(text),
     }
--- a/crates/records/src/units.rs
+++ b/crates/records/src/units.rs
@@ -10,16 +10,16 @@
 /// One second.
 pub const SECOND: Micros = 1_000_000;
 /// One millisecond.
-pub const MILLI: Micros = 1_000;
+pub const MILLISECOND: Micros = 1_000;
 
 /// Steady clocks may run apart by 0.05%; two of them by twice that. Spans that
 /// must surely have passed elsewhere are stretched by this much.
-pub fn stretch(span: Micros) -> Micros {
+pub fn add_drift(span: Micros) -> Micros {
     span + span / 500
 }
 
 /// The other direction: a span that must surely not have passed elsewhere.
-pub fn shrink(span: Micros) -> Micros {
+pub fn subtract_drift(span: Micros) -> Micros {
     span - span / 500
 }
 
--- a/crates/salttillerctl/src/recover.rs
+++ b/crates/salttillerctl/src/recover.rs
@@ -13,7 +13,7 @@
 use salttiller_protocol::client::Client;
 use salttiller_protocol::http::Response;
 use salttiller_protocol::state_service::{decode, encode, Pair};
-use salttiller_records::record::{value, AcceptedLoss, HoldRecord};
+use salttiller_records::record::{value, AcceptedLoss, DataLossHoldRecord};
 use salttiller_records::Key;
 
 use crate::exit::Failure;
@@ -63,7 +63,7 @@
     /// Whether controllers hold.
     held: bool,
     /// The record of the hold, if there ever was one.
-    record: Option<HoldRecord>,
+    record: Option<DataLossHoldRecord>,
 }
 
 /// Runs a command.
@@ -91,8 +91,8 @@
 }
 
 /// The record of a hold and its version; `None` if there is none.
-fn read_hold(state_service: SocketAddr) -> Result<Option<(HoldRecord, u64)>, Failure> {
-    let target = format!("/store/{}", Key::Hold.text());
+fn read_hold(state_service: SocketAddr) -> Result<Option<(DataLossHoldRecord, u64)>, Failure> {
+    let target = format!("/store/{}", Key::DataLossHold.text());
     let response = call(state_service, "GET", &target, &[])?;
     match response.status {
         404 => Ok(None),
@@ -118,7 +118,7 @@
         .map_err(|e| Failure::StateService(e.to_string()))
 }
 
-fn show(hold: &Option<(HoldRecord, u64)>, json: bool) -> Result<(), Failure> {
+fn show(hold: &Option<(DataLossHoldRecord, u64)>, json: bool) -> Result<(), Failure> {
     let record = hold.as_ref().map(|(record, _)| record);
     let held = record.is_some_and(|r| r.accepted.is_none());
     if json {
@@ -157,7 +157,7 @@
         return Ok(());
     }
     record.accepted = Some(decision);
-    let key = Key::Hold.text();
+    let key = Key::DataLossHold.text();
     let transaction = json!({
         "when": [{"k": key, "mark": version}],
         "apply": [{"put": key, "value": value(&record)}],
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::quota;
-use crate::state_store::replica::Replica;
 use crate::settings::Settings;
-use salttiller_records::model::{is_job_id, JobSpec, Kind, Priority};
-use salttiller_records::record::Stage;
-use salttiller_records::units::{self, Micros, MILLI, SECOND};
+use crate::state_store::replica::Replica;
+use salttiller_records::model::{is_job_id, JobKind, JobSpec, Priority};
+use salttiller_records::record::JobStage;
+use salttiller_records::units::{self, Micros, MILLISECOND, SECOND};
 
 mod wire {
     use super::{Deserialize, Serialize};
@@ -103,9 +103,9 @@
     let spec = || -> Option<JobSpec> {
         Some(JobSpec {
             kind: match w.furrow.as_str() {
-                "batch" => Kind::Array,
-                "gang" => Kind::Gang,
-                "standing" => Kind::Service,
+                "batch" => JobKind::Array,
+                "gang" => JobKind::Gang,
+                "standing" => JobKind::Service,
                 _ => return None,
             },
             priority: match w.rank.as_str() {
@@ -163,10 +163,10 @@
     if !quota::can_ever(spec.kind, spec.tasks, spec.amount(), team.limit) {
         return Err(Refusal::Never("more than the team's limit"));
     }
-    if replica.flavors.is_empty() {
+    if replica.machine_types.is_empty() {
         return Err(Refusal::NotYet("machine types unknown"));
     }
-    let types = || replica.flavors.values().map(|f| &f.value);
+    let types = || replica.machine_types.values().map(|f| &f.value);
     if !types().any(|f| spec.fits_type(f)) {
         return Err(Refusal::Never("a task fits no allowed machine type"));
     }
@@ -208,13 +208,13 @@
 }
 
 /// The body that says where a job stands.
-pub fn state_body(id: &str, stage: Stage, counts: Option<(u32, u32)>) -> Vec<u8> {
+pub fn state_body(id: &str, stage: JobStage, counts: Option<(u32, u32)>) -> Vec<u8> {
     let running = counts.is_some_and(|(_, r)| r > 0);
     let stage = match stage {
-        Stage::Open if running => "running",
-        Stage::Open => "queued",
-        Stage::Done => "done",
-        Stage::Cancelled => "cancelled",
+        JobStage::Open if running => "running",
+        JobStage::Open => "queued",
+        JobStage::Done => "done",
+        JobStage::Cancelled => "cancelled",
     };
     rmp_serde::to_vec_named(&wire::State {
         id,
@@ -280,7 +280,7 @@
         let floor = self.floor.map_or(high, |f| f.min(high));
         // Forget slowly, so that one lucky window doesn't set the bar for ever.
         self.floor = Some(floor + floor / 50 + 1);
-        if high > 3 * floor + 50 * MILLI {
+        if high > 3 * floor + 50 * MILLISECOND {
             self.limit = (self.limit * 0.8).max(LEAST);
         } else if self.peak as f64 * 1.2 >= self.limit {
             self.limit = (self.limit + 4.0).min(self.most);
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -149,7 +149,7 @@
         for _ in 0..secs * 10 {
             now += SECOND / 10;
             l.admits(busy);
-            l.measured(ms * MILLI, now);
+            l.measured(ms * MILLISECOND, now);
         }
     };
     feed(&mut l, 8, 10, 40);
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -8,8 +8,8 @@
 use crate::reactor::CallError;
 use crate::settings::Settings;
 use salttiller_protocol::http::Response;
-use salttiller_records::model::Flavor;
-use salttiller_records::units::{self, Micros, MILLI, SECOND};
+use salttiller_records::model::MachineType;
+use salttiller_records::units::{self, Micros, MILLISECOND, SECOND};
 
 mod wire {
     use super::Deserialize;
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Offer {
     /// Type.
-    pub flavor: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot.
@@ -91,9 +91,9 @@
 
 /// What the cloud answered.
 #[derive(Debug, PartialEq)]
-pub enum FleetEvent {
+pub enum CloudEvent {
     /// The machine types.
-    Flavors(Vec<Flavor>),
+    Flavors(Vec<MachineType>),
     /// These were rented for this offer, of so many asked.
     Rented(Offer, String, Vec<String>, u32),
     /// None to be had.
@@ -146,7 +146,7 @@
 /// Calls to the cloud, one at a time and paced under its rate. Renting and
 /// returning are repeated unchanged until the answer is definite: a repeated
 /// request name rents nothing more, and a machine once asked back never serves again.
-pub struct Fleet {
+pub struct CloudClient {
     queue: VecDeque<Ask>,
     flight: Option<(u64, Ask)>,
     next_op: u64,
@@ -159,10 +159,10 @@
     failures: u32,
 }
 
-impl Fleet {
+impl CloudClient {
     /// A fleet client within this controller's share of the cloud's rate.
     pub fn new(s: &Settings) -> Self {
-        Fleet {
+        CloudClient {
             queue: VecDeque::new(),
             flight: None,
             next_op: 1,
@@ -283,7 +283,7 @@
                 "POST",
                 "/machines".to_owned(),
                 body(
-                    json!({"tenancy": tenancy, "plot": offer.flavor, "field": offer.zone,
+                    json!({"tenancy": tenancy, "plot": offer.machine_type, "field": offer.zone,
                     "fallow": offer.spot, "count": count}),
                 ),
             ),
@@ -318,7 +318,7 @@
         op: u64,
         result: Result<Response, CallError>,
         now: Micros,
-    ) -> Vec<FleetEvent> {
+    ) -> Vec<CloudEvent> {
         let Some((_, ask)) = self.flight.take_if(|(o, _)| *o == op) else {
             return Vec::new();
         };
@@ -329,14 +329,14 @@
                     self.failures = 0;
                     self.queue
                         .retain(|a| !matches!(a, Ask::Rent { offer: o, .. } if *o == offer));
-                    return vec![FleetEvent::NoCapacity(offer)];
+                    return vec![CloudEvent::NoCapacity(offer)];
                 }
                 None
             }
             Ok(r) if r.status == 400 => {
                 log::error!("fleet: {ask:?}: refused as malformed");
                 match ask {
-                    Ask::Rent { offer, .. } => return vec![FleetEvent::NoCapacity(offer)],
+                    Ask::Rent { offer, .. } => return vec![CloudEvent::NoCapacity(offer)],
                     _ => return Vec::new(),
                 }
             }
@@ -352,16 +352,16 @@
         };
         self.failures = (self.failures + 1).min(6);
         log::info!("fleet: cloud: {why}, trying again");
-        self.next_at = now + ((300 * MILLI) << self.failures).min(5 * SECOND);
+        self.next_at = now + ((300 * MILLISECOND) << self.failures).min(5 * SECOND);
         // Refused for its rate or an outage, or unanswered: asked again as it was.
         match ask {
             Ask::List { .. } | Ask::Flavors => {}
             a => self.queue.push_front(a),
         }
-        vec![FleetEvent::Down]
+        vec![CloudEvent::Down]
     }
 
-    fn take(&mut self, ask: &Ask, body: &[u8]) -> Option<Vec<FleetEvent>> {
+    fn take(&mut self, ask: &Ask, body: &[u8]) -> Option<Vec<CloudEvent>> {
         fn read<T: for<'a> Deserialize<'a>>(body: &[u8]) -> Option<T> {
             rmp_serde::from_slice(body)
                 .map_err(|e| log::error!("fleet: answer can't be read: {e}"))
@@ -370,8 +370,8 @@
         Some(match ask {
             Ask::Flavors => {
                 let f: wire::Flavors = read(body)?;
-                vec![FleetEvent::Flavors(
-                    f.plots.into_iter().map(flavor).collect(),
+                vec![CloudEvent::Flavors(
+                    f.plots.into_iter().map(machine_type).collect(),
                 )]
             }
             Ask::Rent {
@@ -381,7 +381,7 @@
                 ..
             } => {
                 let r: wire::Rented = read(body)?;
-                vec![FleetEvent::Rented(
+                vec![CloudEvent::Rented(
                     offer.clone(),
                     region.clone(),
                     r.tillers,
@@ -392,7 +392,7 @@
                 for n in names {
                     self.releasing.remove(n);
                 }
-                vec![FleetEvent::Released(names.clone())]
+                vec![CloudEvent::Released(names.clone())]
             }
             Ask::List { got, .. } => {
                 let l: wire::List = read(body)?;
@@ -400,7 +400,7 @@
                 got.extend(l.tillers.into_iter().map(|m| Listed {
                     name: m.name,
                     offer: Offer {
-                        flavor: m.plot,
+                        machine_type: m.plot,
                         zone: m.field,
                         spot: m.fallow,
                     },
@@ -415,7 +415,7 @@
                     self.queue.push_front(Ask::List { from, got });
                     return Some(Vec::new());
                 }
-                vec![FleetEvent::Listed(got)]
+                vec![CloudEvent::Listed(got)]
             }
         })
     }
@@ -429,8 +429,8 @@
     rmp_serde::from_slice::<E>(body).is_ok_and(|e| e.error == "no capacity")
 }
 
-fn flavor(p: wire::Plot) -> Flavor {
-    Flavor {
+fn machine_type(p: wire::Plot) -> MachineType {
+    MachineType {
         name: p.label,
         cpus: units::room(p.cores),
         gpus: units::room(p.cards),
@@ -475,14 +475,14 @@
 
 /// All offers of the types, in order.
 pub fn offers(
-    flavors: &BTreeMap<String, crate::state_store::replica::Versioned<Flavor>>,
+    machine_types: &BTreeMap<String, crate::state_store::replica::Versioned<MachineType>>,
 ) -> Vec<Offer> {
     let mut out = Vec::new();
-    for f in flavors.values() {
+    for f in machine_types.values() {
         for z in &f.value.zones {
             for spot in [true, false] {
                 out.push(Offer {
-                    flavor: f.value.name.clone(),
+                    machine_type: f.value.name.clone(),
                     zone: z.clone(),
                     spot,
                 });
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn fleet() -> Fleet {
+fn cloud_client() -> CloudClient {
     let s = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
-    Fleet::new(&s)
+    CloudClient::new(&s)
 }
 
 fn reply(status: u16, v: serde_json::Value) -> Result<Response, CallError> {
@@ -15,9 +15,9 @@
 /// it can't rent twice; a refusal ends it.
 #[test]
 fn rentals_repeat_until_definite() {
-    let mut f = fleet();
+    let mut f = cloud_client();
     let offer = Offer {
-        flavor: "big".into(),
+        machine_type: "big".into(),
         zone: "a".into(),
         spot: false,
     };
@@ -35,10 +35,10 @@
         bodies.push(call.body);
         let got = f.on_response(call.op, result.clone(), now);
         if result.is_ok_and(|r| r.status == 200) {
-            let want = FleetEvent::Rented(offer.clone(), "t-0".into(), vec!["m-1".into()], 2);
+            let want = CloudEvent::Rented(offer.clone(), "t-0".into(), vec!["m-1".into()], 2);
             assert_eq!(got, [want]);
         } else {
-            assert_eq!(got, [FleetEvent::Down]);
+            assert_eq!(got, [CloudEvent::Down]);
         }
     }
     assert!(bodies.windows(2).all(|w| w[0] == w[1]));
@@ -46,22 +46,22 @@
     now += 10 * SECOND;
     let call = f.pump(now).0.unwrap();
     let got = f.on_response(call.op, reply(503, json!({"error": "no capacity"})), now);
-    assert_eq!(got, [FleetEvent::NoCapacity(offer)]);
+    assert_eq!(got, [CloudEvent::NoCapacity(offer)]);
     assert!(f.pump(now + 10 * SECOND).0.is_none());
 }
 
 #[test]
 fn a_return_is_asked_once_until_gone() {
-    let mut f = fleet();
+    let mut f = cloud_client();
     f.release(vec!["m-1".into()]);
     f.release(vec!["m-1".into()]);
     let call = f.pump(SECOND).0.unwrap();
     assert_eq!(
         f.on_response(call.op, Err(CallError::NotSent), SECOND),
-        [FleetEvent::Down]
+        [CloudEvent::Down]
     );
     let call = f.pump(9 * SECOND).0.unwrap();
     let got = f.on_response(call.op, reply(200, json!({})), 9 * SECOND);
-    assert_eq!(got, [FleetEvent::Released(vec!["m-1".into()])]);
+    assert_eq!(got, [CloudEvent::Released(vec!["m-1".into()])]);
     assert!(f.pump(20 * SECOND).0.is_none());
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -4,29 +4,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
-use crate::fault_injection::{is_left_out, Guard};
-use crate::cloud::{Fleet, FleetEvent};
 use crate::admission::{self, Limiter, Refusal};
+use crate::cloud::{CloudClient, CloudEvent};
+use crate::fault_injection::{is_disabled, Safeguard};
 use crate::leader::{self, Leader, Reports};
 use crate::peer_protocol::{self, Message};
 use crate::quota;
 use crate::reactor::{Call, CallError, CallId, ConnId, Limits, Net, NetEvent, Reactor};
-use crate::region::{self, Region, Verdict, View};
+use crate::region::{self, HeartbeatOutcome, Region, SchedulingContext};
+use crate::settings::Settings;
 use crate::state_store::{
-    Authority, LeaseName, Outcome, Registry, RegistryEvent, Txn, Urgency, FRESH_FOR,
+    Authority, CommitOutcome, CommitPriority, LeaseRole, StateStore, StateStoreEvent, Transaction,
+    FRESH_FOR,
 };
-use crate::settings::Settings;
 use crate::status::conditions::QuestionRate;
 use crate::status::{self as signals, Aims};
 use crate::worker_protocol;
-use data_loss_hold::Held;
-use pending_requests::PendingRequests;
+use data_loss_hold::DataLossHold;
 use owner_reachability::{Redirects, Releases, UnreachedNews};
+use pending_requests::PendingRequests;
 use salttiller_protocol::http::{Request, Response};
 use salttiller_records::key::Key;
 use salttiller_records::model::{is_job_id, JobSpec};
-use salttiller_records::record::{value, JobRecord, LeaderRecord, RegionRecord, Stage};
-use salttiller_records::units::{Micros, MILLI, SECOND};
+use salttiller_records::record::{value, JobRecord, JobStage, LeaderRecord, RegionRecord};
+use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 use salttiller_recovery::Detection;
 
 const STORE: usize = 0;
@@ -34,9 +35,9 @@
 
 /// What a user waits for.
 #[derive(Debug)]
-enum Ask {
+enum ClientRequest {
     /// Where a job stands; `submitted` if it is the repeat of a submission.
-    State { id: String, submitted: bool },
+    JobState { id: String, submitted: bool },
     /// Cancel it.
     Cancel { id: String },
     /// Take it, if all that it needs was accepted once.
@@ -45,16 +46,16 @@
 
 /// A request that waits for a read that begins after it came.
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     conn: ConnId,
-    ask: Ask,
+    ask: ClientRequest,
     came: Micros,
     give_up: Micros,
 }
 
 /// What a commit of the controller's own was for.
 #[derive(Debug)]
-enum Ticket {
+enum PendingCommit {
     Submit {
         conn: ConnId,
         id: String,
@@ -73,7 +74,7 @@
     },
     Lead,
     Leader(Vec<Key>),
-    HoldRecord,
+    DataLossHoldRecord,
     HoldRegion {
         region: String,
         token: u64,
@@ -82,19 +83,19 @@
 
 /// How the taking of a region stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Claim {
+enum Acquisition {
     /// The commit is under way.
     Committing,
     /// Nothing before the replica has reached this revision.
-    Looking(u64),
+    CatchingUp(u64),
 }
 
-impl Claim {
+impl Acquisition {
     /// Whether it must be waited for, now that the replica has reached `revision`.
     fn is_pending(self, revision: u64) -> bool {
         match self {
-            Claim::Committing => true,
-            Claim::Looking(awaited) => revision < awaited,
+            Acquisition::Committing => true,
+            Acquisition::CatchingUp(awaited) => revision < awaited,
         }
     }
 }
@@ -112,30 +113,30 @@
     understands_extensions: bool,
 }
 
-enum CallFor {
+enum OutstandingCall {
     Store(u64),
     Cloud(u64),
 }
 
 /// The controller.
-pub struct Node<N: Net> {
+pub struct Controller<N: Net> {
     settings: Settings,
     run: u64,
     reactor: N,
-    registry: Registry,
-    fleet: Fleet,
+    registry: StateStore,
+    cloud_client: CloudClient,
     regions: BTreeMap<String, Region>,
-    claims: BTreeMap<String, Claim>,
+    claims: BTreeMap<String, Acquisition>,
     absent: BTreeMap<String, Micros>,
     retake: BTreeSet<String>,
     leader: Option<Leader>,
-    lead_claim: Option<Claim>,
+    lead_claim: Option<Acquisition>,
     lead_at: Option<Micros>,
     limiter: Limiter,
     waiting: PendingRequests,
-    tickets: BTreeMap<u64, Ticket>,
+    tickets: BTreeMap<u64, PendingCommit>,
     users_busy: usize,
-    calls: BTreeMap<CallId, CallFor>,
+    calls: BTreeMap<CallId, OutstandingCall>,
     peers: BTreeMap<String, Peer>,
     reports: Reports,
     /// Teams whose limit other regions find used up.
@@ -163,7 +164,7 @@
     /// Looks for lost records, if operators want that.
     detection: Option<Detection>,
     /// Set while the state service is known to have lost records.
-    held: Option<Box<Held>>,
+    held: Option<Box<DataLossHold>>,
     /// Regions that were ours until the owner's lease was gone, and when that was noticed.
     lost_with_lease: Option<(Micros, BTreeSet<String>)>,
     /// Set after a decision on lost records: nothing starts before.
@@ -173,24 +174,24 @@
 
 /// How much later than ours the others' reads may have begun to fail for it to be one
 /// outage: what they committed in between they told us.
-const TOGETHER: Micros = 1500 * MILLI;
+const TOGETHER: Micros = 1500 * MILLISECOND;
 /// Most cancellations that are remembered until the replica shows them.
 const MAX_REPORTED_CANCELLED: usize = 10_000;
 /// How long a region must have had no owner before a stranger takes it.
 const HOME_FIRST: Micros = 3 * SECOND;
 /// How long a region's home must have been well before it gets its region back.
 const RETURN_AFTER: Micros = 10 * SECOND;
-const MESH_EVERY: Micros = 400 * MILLI;
+const MESH_EVERY: Micros = 400 * MILLISECOND;
 /// Every so many times all controllers are told all, not just the leader.
 const ALL_TOLD: u32 = 4;
 /// A user waits 2 s for a poll's answer.
-const POLL_PATIENCE: Micros = 1500 * MILLI;
+const POLL_PATIENCE: Micros = 1500 * MILLISECOND;
 /// A user waits 5 s for a submission's or a cancellation's answer.
-const ASK_PATIENCE: Micros = 3500 * MILLI;
+const ASK_PATIENCE: Micros = 3500 * MILLISECOND;
 
-macro_rules! view {
+macro_rules! context {
     ($s:ident) => {
-        View {
+        SchedulingContext {
             starts: $s.may_start(),
             reported_cancelled: &$s.reported_cancelled,
             replica: &$s.registry.replica,
@@ -202,18 +203,18 @@
     };
 }
 
+mod client_requests;
 mod commits;
 mod data_loss_hold;
+mod heartbeats;
 mod leadership;
+mod owner_reachability;
 mod peer_messages;
 mod pending_requests;
-mod owner_reachability;
 mod regions;
-mod heartbeats;
 mod status;
-mod client_requests;
 
-impl Node<Reactor> {
+impl Controller<Reactor> {
     /// Opens the listeners and gets ready.
     pub fn open(settings: Settings) -> io::Result<Self> {
         let peers: Vec<_> = settings.peers.iter().map(|p| p.addr).collect();
@@ -226,7 +227,7 @@
         };
         let dests = [(settings.store, 10), (settings.cloud, 2)];
         let reactor = Reactor::new(settings.front, settings.mesh, &dests, &peers, limits)?;
-        Ok(Node::new(settings, reactor))
+        Ok(Controller::new(settings, reactor))
     }
 
     /// Serves until the process is killed.
@@ -241,16 +242,16 @@
     }
 }
 
-impl<N: Net> Node<N> {
+impl<N: Net> Controller<N> {
     /// A controller that talks through `net`.
     pub fn new(settings: Settings, reactor: N) -> Self {
-        let registry = Registry::new(&settings);
-        let fleet = Fleet::new(&settings);
-        Node {
+        let registry = StateStore::new(&settings);
+        let cloud_client = CloudClient::new(&settings);
+        Controller {
             run: fastrand::u64(1..1 << 53),
             reactor,
             registry,
-            fleet,
+            cloud_client,
             regions: BTreeMap::new(),
             claims: BTreeMap::new(),
             absent: BTreeMap::new(),
@@ -301,10 +302,10 @@
             self.run,
             self.settings.zone,
             self.settings.peers.len(),
-            self.settings.owner_lease_life() / MILLI
+            self.settings.owner_lease_life() / MILLISECOND
         );
         self.now = self.reactor.clock();
-        self.registry.want_lease(LeaseName::Owner);
+        self.registry.want_lease(LeaseRole::Owner);
         if self.settings.operator.detect_lost_records {
             let detection = Detection::starting(self.now, self.settings.report);
             self.detection = Some(detection);
@@ -336,11 +337,11 @@
 
     /// Whether a record that names this controller is of this run of its process.
     fn is_this_run(&self, run: u64) -> bool {
-        run == self.run || is_left_out(Guard::RunNumber)
+        run == self.run || is_disabled(Safeguard::RunNumber)
     }
 
     fn authority(&self) -> bool {
-        if is_left_out(Guard::AuthorityDeadline) {
+        if is_disabled(Safeguard::AuthorityDeadline) {
             return true;
         }
         self.registry.authority(self.now) != Authority::Ended
@@ -351,7 +352,7 @@
     /// the state service when we did. That is the mesh's word and may be wrong, so it
     /// moves no bound that a rule hangs on; those are the longer deadline's.
     fn may_start(&self) -> bool {
-        if is_left_out(Guard::AuthorityDeadline) || is_left_out(Guard::StartDeadline) {
+        if is_disabled(Safeguard::AuthorityDeadline) || is_disabled(Safeguard::StartDeadline) {
             return self.authority();
         }
         if self.waits_after_decision() {
@@ -452,14 +453,14 @@
                 body: c.body,
                 timeout: c.timeout,
             });
-            self.calls.insert(id, CallFor::Store(c.op));
+            self.calls.insert(id, OutstandingCall::Store(c.op));
         }
         if !events.is_empty() {
             self.on_registry(events);
             until = self.now;
         }
-        self.fleet.lead(self.leader.is_some());
-        let (call, next) = self.fleet.pump(self.now);
+        self.cloud_client.lead(self.leader.is_some());
+        let (call, next) = self.cloud_client.pump(self.now);
         until = until.min(next);
         if let Some(c) = call {
             let id = self.reactor.call(Call {
@@ -469,14 +470,14 @@
                 body: c.body,
                 timeout: c.timeout,
             });
-            self.calls.insert(id, CallFor::Cloud(c.op));
+            self.calls.insert(id, OutstandingCall::Cloud(c.op));
         }
         until
     }
 
     fn on_response(&mut self, id: CallId, result: Result<Response, CallError>) {
         match self.calls.remove(&id) {
-            Some(CallFor::Store(op)) => {
+            Some(OutstandingCall::Store(op)) => {
                 if matches!(result, Err(CallError::NoAnswer)) {
                     // After a cut the other connections only hang, too.
                     self.reactor.reset_dest(STORE);
@@ -485,16 +486,16 @@
                 self.registry.on_response(op, result, self.now, &mut events);
                 self.on_registry(events);
             }
-            Some(CallFor::Cloud(op)) => {
-                for ev in self.fleet.on_response(op, result, self.now) {
-                    let view = view!(self);
-                    if let FleetEvent::Released(names) = &ev {
+            Some(OutstandingCall::Cloud(op)) => {
+                for ev in self.cloud_client.on_response(op, result, self.now) {
+                    let context = context!(self);
+                    if let CloudEvent::Released(names) = &ev {
                         for r in self.regions.values_mut() {
-                            r.on_released(names, true, &view);
+                            r.on_released(names, true, &context);
                         }
                     }
                     if let Some(l) = &mut self.leader {
-                        l.on_fleet(&ev, &view);
+                        l.on_cloud_event(&ev, &context);
                     }
                 }
             }
@@ -502,24 +503,24 @@
         }
     }
 
-    fn on_registry(&mut self, events: Vec<RegistryEvent>) {
+    fn on_registry(&mut self, events: Vec<StateStoreEvent>) {
         for ev in events {
             match ev {
-                RegistryEvent::Loaded => self.on_loaded(),
-                RegistryEvent::Changed(keys) => self.on_changed(keys),
-                RegistryEvent::Barrier(sent) => {
+                StateStoreEvent::Loaded => self.on_loaded(),
+                StateStoreEvent::Changed(keys) => self.on_changed(keys),
+                StateStoreEvent::Barrier(sent) => {
                     self.limiter.measured(self.now - sent, self.now);
                     self.on_barrier_for_detection(sent);
                     self.answer_waiting(sent);
                 }
-                RegistryEvent::BarrierFailed(sent) => {
+                StateStoreEvent::BarrierFailed(sent) => {
                     for w in self.waiting.take_until(sent) {
                         self.refuse(w.conn, 503, 1);
                     }
                     self.expire_waiting();
                 }
-                RegistryEvent::Committed(ticket, outcome) => self.on_committed(ticket, outcome),
-                RegistryEvent::OwnerLeaseLost => {
+                StateStoreEvent::Committed(ticket, outcome) => self.on_committed(ticket, outcome),
+                StateStoreEvent::OwnerLeaseLost => {
                     // Records of ours that the replica still shows are of the
                     // past: under another run's name they can only be taken
                     // anew, by compare-and-set, never just resumed.
@@ -533,8 +534,8 @@
                         );
                     }
                 }
-                RegistryEvent::LeaderLeaseLost => self.step_down("lease lost"),
-                RegistryEvent::RecordsLost(finding) => self.hold(finding),
+                StateStoreEvent::LeaderLeaseLost => self.step_down("lease lost"),
+                StateStoreEvent::RecordsLost(finding) => self.hold(finding),
             }
         }
         for t in self.registry.take_times() {
@@ -545,32 +546,35 @@
     fn on_loaded(&mut self) {
         self.registry.replica.take_touched();
         let known = &self.registry.replica.jobs;
-        self.reported_cancelled
-            .retain(|id| known.get(id).is_none_or(|r| r.value.stage == Stage::Open));
+        self.reported_cancelled.retain(|id| {
+            known
+                .get(id)
+                .is_none_or(|r| r.value.stage == JobStage::Open)
+        });
         self.registry.replica.take_respecified();
-        let view = view!(self);
+        let context = context!(self);
         for r in self.regions.values_mut() {
-            r.on_loaded(&view);
+            r.on_loaded(&context);
         }
     }
 
     fn on_changed(&mut self, keys: Vec<Key>) {
         let machines = self.registry.replica.take_touched();
         let respecified = self.registry.replica.take_respecified();
-        let view = view!(self);
+        let context = context!(self);
         for name in &machines {
             for r in self.regions.values_mut() {
-                r.on_machine(name, &view);
+                r.on_machine(name, &context);
             }
-            if !view.replica.machines.contains_key(name) {
+            if !context.replica.machines.contains_key(name) {
                 if let Some(l) = &mut self.leader {
-                    l.machine_gone(name, view.now);
+                    l.machine_gone(name, context.now);
                 }
             }
         }
         for id in &respecified {
             for r in self.regions.values_mut() {
-                r.on_job(id, &view, false);
+                r.on_job(id, &context, false);
             }
         }
         let mut shown = Vec::new();
@@ -578,10 +582,10 @@
             match &key {
                 Key::Job(id) => {
                     for r in self.regions.values_mut() {
-                        r.on_job(id, &view, false);
+                        r.on_job(id, &context, false);
                     }
-                    let over = view.replica.jobs.get(id);
-                    if over.is_some_and(|r| r.value.stage != Stage::Open) {
+                    let over = context.replica.jobs.get(id);
+                    if over.is_some_and(|r| r.value.stage != JobStage::Open) {
                         shown.push(id.clone());
                     }
                 }
@@ -590,18 +594,18 @@
                         r.on_quota(team);
                     }
                 }
-                Key::Flavor(_) => {
+                Key::MachineType(_) => {
                     for r in self.regions.values_mut() {
-                        r.on_flavors(&view);
+                        r.on_flavors(&context);
                     }
                 }
                 Key::Progress(id, ..) => {
                     for r in self.regions.values_mut() {
-                        r.on_progress(id, &view);
+                        r.on_progress(id, &context);
                     }
                 }
-                Key::Region(_) | Key::Leader | Key::Token | Key::Hold => {}
-                Key::Machine(_) | Key::MachineBatch(_) | Key::Opened(..) => {}
+                Key::Region(_) | Key::Leader | Key::Token | Key::DataLossHold => {}
+                Key::Machine(_) | Key::MachineBatch(_) | Key::Activation(..) => {}
             }
         }
         for id in shown {
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl<N: Net> Node<N> {
+impl<N: Net> Controller<N> {
     pub(super) fn refuse(&mut self, conn: ConnId, status: u16, after: u32) {
         self.reactor.respond(conn, Response::refusal(status, after));
     }
@@ -18,17 +18,17 @@
                 };
                 self.reactor.respond(conn, r);
             }
-            ("POST", ["v1", "report"]) => self.on_report(conn, &req.body),
+            ("POST", ["v1", "report"]) => self.on_heartbeat(conn, &req.body),
             ("POST", ["work"]) => self.on_submit(conn, &req.body),
             ("GET", ["work", id]) => {
                 self.question_rate.note();
                 let id = (*id).to_owned();
                 let submitted = false;
-                self.on_ask(conn, Ask::State { id, submitted });
+                self.on_ask(conn, ClientRequest::JobState { id, submitted });
             }
             ("POST", ["work", id, "abort"]) => self.on_ask(
                 conn,
-                Ask::Cancel {
+                ClientRequest::Cancel {
                     id: (*id).to_owned(),
                 },
             ),
@@ -81,7 +81,7 @@
         if self.registry.replica.jobs.contains_key(&id) {
             return self.on_ask(
                 conn,
-                Ask::State {
+                ClientRequest::JobState {
                     id,
                     submitted: true,
                 },
@@ -105,9 +105,9 @@
                 // It may have been accepted elsewhere a moment ago, before we
                 // heard: only the records can say.
                 log::info!("intake: {id}: {e}");
-                self.waiting.push(Waiting {
+                self.waiting.push(PendingRequest {
                     conn,
-                    ask: Ask::State {
+                    ask: ClientRequest::JobState {
                         id,
                         submitted: true,
                     },
@@ -121,9 +121,9 @@
         // A record once seen stays; that one is missing can only be said after a read.
         let jobs = &self.registry.replica.jobs;
         if !spec.needs.iter().all(|n| jobs.contains_key(n)) {
-            self.waiting.push(Waiting {
+            self.waiting.push(PendingRequest {
                 conn,
-                ask: Ask::Submit {
+                ask: ClientRequest::Submit {
                     id,
                     spec: Box::new(spec),
                 },
@@ -141,27 +141,30 @@
     pub(super) fn accept(&mut self, conn: ConnId, id: String, spec: JobSpec, came: Micros) {
         let key = Key::Job(id.clone());
         let rec = JobRecord {
-            stage: Stage::Open,
+            stage: JobStage::Open,
             spec: Some(std::rc::Rc::new(spec)),
             parts: Vec::new(),
             joint: None,
             ended: None,
         };
-        let txn = Txn {
+        let txn = Transaction {
             when: vec![(key.clone(), 0)],
             apply: vec![(key, Some(value(&rec)))],
             lease: None,
         };
         let t = self
             .registry
-            .commit(txn, Urgency::First, Some(came + ASK_PATIENCE));
+            .commit(txn, CommitPriority::Urgent, Some(came + ASK_PATIENCE));
         self.users_busy += 1;
-        self.tickets.insert(t, Ticket::Submit { conn, id, came });
+        self.tickets
+            .insert(t, PendingCommit::Submit { conn, id, came });
     }
 
-    pub(super) fn on_ask(&mut self, conn: ConnId, ask: Ask) {
+    pub(super) fn on_ask(&mut self, conn: ConnId, ask: ClientRequest) {
         let id = match &ask {
-            Ask::State { id, .. } | Ask::Cancel { id } | Ask::Submit { id, .. } => id,
+            ClientRequest::JobState { id, .. }
+            | ClientRequest::Cancel { id }
+            | ClientRequest::Submit { id, .. } => id,
         };
         if !is_job_id(id) {
             return self.reactor.respond(conn, Response::new(404, Vec::new()));
@@ -171,7 +174,7 @@
         }
         // What is final needs no asking round.
         if let Some(stage) = self.registry.replica.stage(id) {
-            if stage != Stage::Open {
+            if stage != JobStage::Open {
                 let body = self.state(id, stage);
                 return self.reactor.respond(conn, Response::new(200, body));
             }
@@ -180,12 +183,12 @@
             return;
         }
         let patience = match ask {
-            Ask::State {
+            ClientRequest::JobState {
                 submitted: false, ..
             } => POLL_PATIENCE,
             _ => ASK_PATIENCE,
         };
-        self.waiting.push(Waiting {
+        self.waiting.push(PendingRequest {
             conn,
             ask,
             came: self.now,
@@ -194,8 +197,8 @@
         self.registry.want_barrier();
     }
 
-    pub(super) fn state(&self, id: &str, stage: Stage) -> Vec<u8> {
-        if stage != Stage::Open {
+    pub(super) fn state(&self, id: &str, stage: JobStage) -> Vec<u8> {
+        if stage != JobStage::Open {
             return admission::state_body(id, stage, None);
         }
         let mut running = 0;
@@ -228,12 +231,14 @@
         }
         for w in ready {
             if self.held.is_some() {
-                let (Ask::State { id, .. } | Ask::Cancel { id } | Ask::Submit { id, .. }) = &w.ask;
+                let (ClientRequest::JobState { id, .. }
+                | ClientRequest::Cancel { id }
+                | ClientRequest::Submit { id, .. }) = &w.ask;
                 self.withholds(w.conn, id);
                 continue;
             }
             match w.ask {
-                Ask::State { id, submitted } => {
+                ClientRequest::JobState { id, submitted } => {
                     let r = match self.registry.replica.stage(&id) {
                         Some(stage) => Response::new(200, self.state(&id, stage)),
                         None if submitted => Response::new(422, Vec::new()),
@@ -241,8 +246,8 @@
                     };
                     self.reactor.respond(w.conn, r);
                 }
-                Ask::Cancel { id } => self.cancel(w.conn, id, w.give_up),
-                Ask::Submit { id, spec } => {
+                ClientRequest::Cancel { id } => self.cancel(w.conn, id, w.give_up),
+                ClientRequest::Submit { id, spec } => {
                     // All that came before the read was sent is in the replica: what is
                     // not there now was never accepted.
                     let jobs = &self.registry.replica.jobs;
@@ -262,19 +267,22 @@
             return self.reactor.respond(conn, Response::new(404, Vec::new()));
         };
         let stage = self.registry.replica.stage(&id).unwrap_or(r.value.stage);
-        if stage != Stage::Open {
+        if stage != JobStage::Open {
             let body = self.state(&id, stage);
             return self.reactor.respond(conn, Response::new(200, body));
         }
         let key = Key::Job(id.clone());
         let rec = r.value.cancelled();
-        let txn = Txn {
+        let txn = Transaction {
             when: vec![(key.clone(), r.version)],
             apply: vec![(key, Some(value(&rec)))],
             lease: None,
         };
-        let t = self.registry.commit(txn, Urgency::First, Some(give_up));
+        let t = self
+            .registry
+            .commit(txn, CommitPriority::Urgent, Some(give_up));
         self.users_busy += 1;
-        self.tickets.insert(t, Ticket::Cancel { conn, id, give_up });
+        self.tickets
+            .insert(t, PendingCommit::Cancel { conn, id, give_up });
     }
 }
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -8,14 +8,14 @@
 
 use std::collections::BTreeMap;
 
-use salttiller_records::record::HoldRecord;
-use salttiller_records::units::stretch;
+use salttiller_records::record::DataLossHoldRecord;
+use salttiller_records::units::add_drift;
 use salttiller_recovery::{Finding, Reported};
 
 use super::*;
 use crate::state_store::replica::Replica;
 use crate::status::conditions::Condition;
-use crate::worker_protocol::{Command, OnMachine, Report};
+use crate::worker_protocol::{Command, Heartbeat, ReportedState};
 
 /// Users come back after so many seconds.
 const HELD_RETRY_S: u32 = 5;
@@ -27,13 +27,13 @@
 /// A lease that was noticed to be gone so short a time before a loss went with it.
 const LEASE_WENT_WITH_RECORDS: Micros = SECOND;
 /// Between attempts at transactions, which are paid for when they fail, too.
-const ATTEMPT_GAP: Micros = 300 * MILLI;
+const ATTEMPT_GAP: Micros = 300 * MILLISECOND;
 /// What clocks and answers under way may add to a former owner's authority.
 const AUTHORITY_MARGIN: Micros = SECOND;
 
 /// A region that is kept in a hold.
 #[derive(Debug, Clone, Copy)]
-struct HeldRegion {
+struct RegionUnderHold {
     token: u64,
     /// From when on workers are answered.
     answers_from: Micros,
@@ -41,7 +41,7 @@
 
 /// A hold.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct DataLossHold {
     /// What was found.
     finding: Finding,
     /// When.
@@ -50,9 +50,9 @@
     remembered: Replica,
     /// Regions that were ours when it began.
     owned_before: BTreeSet<String>,
-    regions: BTreeMap<String, HeldRegion>,
-    claims: BTreeMap<String, Claim>,
-    record_claim: Option<Claim>,
+    regions: BTreeMap<String, RegionUnderHold>,
+    claims: BTreeMap<String, Acquisition>,
+    record_claim: Option<Acquisition>,
     /// The incident that this hold is part of; drawn here, or read.
     incident: u64,
     highest_token: u64,
@@ -60,7 +60,7 @@
     next_attempt: Micros,
 }
 
-impl<N: Net> Node<N> {
+impl<N: Net> Controller<N> {
     /// Begins to hold.
     pub(super) fn hold(&mut self, finding: Finding) {
         if self.detection.is_none() {
@@ -85,7 +85,7 @@
         self.claims.clear();
         self.retake.clear();
         let highest_token = remembered.token.as_ref().map_or(0, |t| t.value);
-        self.held = Some(Box::new(Held {
+        self.held = Some(Box::new(DataLossHold {
             finding,
             since: self.now,
             remembered,
@@ -171,11 +171,11 @@
     /// wait for that machine. Whoever renewed its lease in the hold does so until it reads
     /// the decision or loses its authority; a lease later the machine is surely empty.
     fn wait_for_unrecorded_machines(&mut self) {
-        if is_left_out(Guard::UnrecordedMachines) {
+        if is_disabled(Safeguard::UnrecordedMachines) {
             return;
         }
-        let authority = stretch(self.settings.owner_lease_life());
-        let lease = stretch(self.settings.lease);
+        let authority = add_drift(self.settings.owner_lease_life());
+        let lease = add_drift(self.settings.lease);
         self.starts_after = Some(self.now + authority + lease + AUTHORITY_MARGIN);
     }
 
@@ -218,25 +218,26 @@
         if is_pending || standing.is_some_and(|r| r.value.accepted.is_none()) {
             return;
         }
-        let record = HoldRecord {
+        let record = DataLossHoldRecord {
             incident: held.incident,
             by: self.settings.name.clone(),
             at: self.reactor.wall(),
             seen: held.finding.to_string(),
             accepted: None,
         };
-        let txn = Txn {
-            when: vec![(Key::Hold, replica.version(&Key::Hold))],
-            apply: vec![(Key::Hold, Some(value(&record)))],
+        let txn = Transaction {
+            when: vec![(Key::DataLossHold, replica.version(&Key::DataLossHold))],
+            apply: vec![(Key::DataLossHold, Some(value(&record)))],
             lease: None,
         };
-        held.record_claim = Some(Claim::Committing);
-        let ticket = self.registry.commit(txn, Urgency::First, None);
-        self.tickets.insert(ticket, Ticket::HoldRecord);
+        held.record_claim = Some(Acquisition::Committing);
+        let ticket = self.registry.commit(txn, CommitPriority::Urgent, None);
+        self.tickets
+            .insert(ticket, PendingCommit::DataLossHoldRecord);
     }
 
     /// The commit of the hold's record ended.
-    pub(super) fn on_hold_record_committed(&mut self, looking: Claim) {
+    pub(super) fn on_hold_record_committed(&mut self, looking: Acquisition) {
         if let Some(held) = &mut self.held {
             held.record_claim = Some(looking);
         }
@@ -269,23 +270,23 @@
         if !home && now < absent_since + HOME_FIRST {
             return;
         }
-        let Some(lease) = self.registry.lease_id(LeaseName::Owner) else {
+        let Some(lease) = self.registry.lease_id(LeaseRole::Owner) else {
             return;
         };
         let recorded = replica.token.as_ref().map_or(0, |t| t.value);
-        let token = if is_left_out(Guard::SufficientToken) {
+        let token = if is_disabled(Safeguard::SufficientToken) {
             recorded + 1
         } else {
             recorded.max(held.highest_token) + 1
         };
         log::info!("node: held: region {name}: taking, token {token}");
-        held.claims.insert(name.clone(), Claim::Committing);
+        held.claims.insert(name.clone(), Acquisition::Committing);
         let incident = held.incident;
         let txn = self.taking(&name, token, Some(incident), lease);
-        let ticket = self.registry.commit(txn, Urgency::First, None);
+        let ticket = self.registry.commit(txn, CommitPriority::Urgent, None);
         let region = name;
         self.tickets
-            .insert(ticket, Ticket::HoldRegion { region, token });
+            .insert(ticket, PendingCommit::HoldRegion { region, token });
     }
 
     /// The commit that takes a region ended.
@@ -293,18 +294,18 @@
         &mut self,
         region: String,
         token: u64,
-        outcome: &Outcome,
-        looking: Claim,
+        outcome: &CommitOutcome,
+        looking: Acquisition,
     ) {
-        let former_owner_ends = stretch(self.settings.owner_lease_life()) + AUTHORITY_MARGIN;
+        let former_owner_ends = add_drift(self.settings.owner_lease_life()) + AUTHORITY_MARGIN;
         let Some(held) = &mut self.held else { return };
         held.claims.insert(region.clone(), looking);
-        if !matches!(outcome, Outcome::Done(_)) {
+        if !matches!(outcome, CommitOutcome::Committed(_)) {
             held.next_attempt = self.now + ATTEMPT_GAP;
-            if matches!(outcome, Outcome::Refused) {
+            if matches!(outcome, CommitOutcome::Refused) {
                 // The lease went in a further loss, before its renewal would show that.
-                self.registry.drop_lease(LeaseName::Owner);
-                self.registry.want_lease(LeaseName::Owner);
+                self.registry.drop_lease(LeaseRole::Owner);
+                self.registry.want_lease(LeaseRole::Owner);
             }
             return;
         }
@@ -317,7 +318,7 @@
         } else {
             held.since + former_owner_ends
         };
-        let kept = HeldRegion {
+        let kept = RegionUnderHold {
             token,
             answers_from,
         };
@@ -325,7 +326,7 @@
     }
 
     /// Renews a worker's lease, if this controller keeps its region.
-    pub(super) fn on_report_while_held(&mut self, conn: ConnId, report: &Report) {
+    pub(super) fn on_report_while_held(&mut self, conn: ConnId, report: &Heartbeat) {
         let home = self.settings.name.clone();
         let authority = self.authority();
         let Some(incident) = self.held.as_ref().map(|h| h.incident) else {
@@ -345,7 +346,7 @@
             let body = worker_protocol::elsewhere(owner.as_deref());
             return self.reactor.respond(conn, Response::new(421, body));
         };
-        if report.token > kept.token && !is_left_out(Guard::SufficientToken) {
+        if report.token > kept.token && !is_disabled(Safeguard::SufficientToken) {
             // Taken anew under a token that this worker takes answers with.
             held.regions.remove(&region);
         } else if authority && (all_hold || self.now >= kept.answers_from) {
@@ -357,11 +358,11 @@
     }
 
     /// Stops that a rule demands: tasks of jobs that are known to be cancelled.
-    fn stops_of_cancelled(&self, report: &Report) -> Vec<Command> {
+    fn stops_of_cancelled(&self, report: &Heartbeat) -> Vec<Command> {
         let on_machine = report
             .tasks
             .iter()
-            .filter(|t| !matches!(t.stage, OnMachine::Ended(_)));
+            .filter(|t| !matches!(t.stage, ReportedState::Ended(_)));
         on_machine
             .filter(|t| self.is_known_cancelled(&t.job))
             .take(worker_protocol::MAX_COMMANDS)
@@ -371,15 +372,15 @@
 
     fn is_known_cancelled(&self, job: &str) -> bool {
         let remembered = self.held.as_ref().and_then(|h| h.remembered.stage(job));
-        [remembered, self.registry.replica.stage(job)].contains(&Some(Stage::Cancelled))
+        [remembered, self.registry.replica.stage(job)].contains(&Some(JobStage::Cancelled))
             || self.reported_cancelled.contains(job)
     }
 
     /// The final stage of a job on record. Users aren't told what is only remembered: should
     /// operators go on without it, they would be told something else later.
-    fn recorded_final_stage(&self, job: &str) -> Option<Stage> {
+    fn recorded_final_stage(&self, job: &str) -> Option<JobStage> {
         let stage = self.registry.replica.stage(job);
-        stage.filter(|stage| *stage != Stage::Open)
+        stage.filter(|stage| *stage != JobStage::Open)
     }
 
     /// Whether a user's request about a job is answered here and now, with its final stage or
@@ -389,7 +390,7 @@
         let Some(detection) = &self.detection else {
             return false;
         };
-        let is_proven = detection.is_proven(self.now) || is_left_out(Guard::ProvenStart);
+        let is_proven = detection.is_proven(self.now) || is_disabled(Safeguard::ProvenStart);
         let retry_after = match &self.held {
             None if is_proven => return false,
             None => UNPROVEN_RETRY_S,
@@ -407,8 +408,8 @@
 
     /// Whether a report speaks against the records as they are known here. A read that begins
     /// now tells; until then the report is not acted on.
-    pub(super) fn speaks_against_records(&mut self, report: &Report) -> bool {
-        if is_left_out(Guard::ReportEvidence) {
+    pub(super) fn speaks_against_records(&mut self, report: &Heartbeat) -> bool {
+        if is_disabled(Safeguard::ReportEvidence) {
             return false;
         }
         let leftovers = self.has_leftovers();
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-impl<N: Net> Node<N> {
-    pub(super) fn on_report(&mut self, conn: ConnId, body: &[u8]) {
-        let Some(r) = worker_protocol::parse_report(body) else {
+impl<N: Net> Controller<N> {
+    pub(super) fn on_heartbeat(&mut self, conn: ConnId, body: &[u8]) {
+        let Some(r) = worker_protocol::parse_heartbeat(body) else {
             return self.reactor.respond(conn, Response::new(400, Vec::new()));
         };
         if !self.registry.loaded() {
@@ -20,9 +20,9 @@
         let elsewhere = |to: Option<&str>| Response::new(421, worker_protocol::elsewhere(to));
         let Some(rec) = self.registry.replica.machines.get(&r.machine) else {
             // No record: the leader finds out what it is.
-            let view = view!(self);
+            let context = context!(self);
             if let Some(l) = &mut self.leader {
-                l.on_unknown_machine(&view);
+                l.on_unknown_machine(&context);
                 return self.reactor.respond(conn, elsewhere(None));
             }
             let to = self
@@ -45,19 +45,19 @@
         if !self.authority() {
             return self.refuse(conn, 503, 1);
         }
-        let view = view!(self);
+        let context = context!(self);
         let Some(owned) = self.regions.get_mut(&region) else {
             return;
         };
         let token = owned.token;
-        let verdict = owned.on_report(&r, &view);
+        let verdict = owned.on_heartbeat(&r, &context);
         let answer = match verdict {
-            Verdict::Commands(c) => Response::new(200, worker_protocol::answer(token, &c)),
-            Verdict::Stale => {
+            HeartbeatOutcome::Accepted(c) => Response::new(200, worker_protocol::answer(token, &c)),
+            HeartbeatOutcome::Stale => {
                 log::debug!("node: {}: late or repeated report passed over", r.machine);
                 Response::refusal(503, 1)
             }
-            Verdict::Outranked => {
+            HeartbeatOutcome::Superseded => {
                 log::info!(
                     "node: {}: has seen token {}, ours is {token}",
                     r.machine,
@@ -67,7 +67,7 @@
                 self.registry.want_barrier();
                 Response::refusal(503, 1)
             }
-            Verdict::UnknownMachine => elsewhere(None),
+            HeartbeatOutcome::UnknownMachine => elsewhere(None),
         };
         // The clock is read again as the bytes go out. A pause between here and
         // the wire does no harm: the worker counts its lease from when it sent
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-impl<N: Net> Node<N> {
+impl<N: Net> Controller<N> {
     pub(super) fn step_down(&mut self, why: &str) {
         if self.leader.take().is_some() {
             log::info!("node: leader: no more, {why}");
-            self.fleet.drop_rentals();
+            self.cloud_client.drop_rentals();
         }
     }
 
@@ -37,31 +37,31 @@
         if ours {
             if self.leader.is_none() && self.now < self.registry.leader_until() {
                 log::info!("node: leader: since revision {version}");
-                let view = view!(self);
-                self.leader = Some(Leader::new(version, &view));
+                let context = context!(self);
+                self.leader = Some(Leader::new(version, &context));
             }
             return;
         }
         let stale_self = rec.as_ref().is_some_and(|r| r.holder == self.settings.name);
         if (rec.is_some() && !stale_self) || !self.fresh() {
             self.lead_at = None;
-            if rec.is_some() && self.registry.lease_id(LeaseName::Leader).is_some() {
-                self.registry.drop_lease(LeaseName::Leader);
+            if rec.is_some() && self.registry.lease_id(LeaseRole::Leader).is_some() {
+                self.registry.drop_lease(LeaseRole::Leader);
             }
             return;
         }
         let now = self.now;
         let at = *self
             .lead_at
-            .get_or_insert_with(|| now + fastrand::u64(20 * MILLI..300 * MILLI));
+            .get_or_insert_with(|| now + fastrand::u64(20 * MILLISECOND..300 * MILLISECOND));
         if now < at {
             return;
         }
-        self.registry.want_lease(LeaseName::Leader);
-        let Some(lease) = self.registry.lease_id(LeaseName::Leader) else {
+        self.registry.want_lease(LeaseRole::Leader);
+        let Some(lease) = self.registry.lease_id(LeaseRole::Leader) else {
             return;
         };
-        let txn = Txn {
+        let txn = Transaction {
             when: vec![(Key::Leader, version)],
             apply: vec![(
                 Key::Leader,
@@ -72,9 +72,9 @@
             )],
             lease: Some((Key::Leader, lease)),
         };
-        let t = self.registry.commit(txn, Urgency::First, None);
-        self.lead_claim = Some(Claim::Committing);
-        self.tickets.insert(t, Ticket::Lead);
+        let t = self.registry.commit(txn, CommitPriority::Urgent, None);
+        self.lead_claim = Some(Acquisition::Committing);
+        self.tickets.insert(t, PendingCommit::Lead);
     }
 
     pub(super) fn run_leader(&mut self) -> Micros {
@@ -85,17 +85,17 @@
         let Some(mut l) = self.leader.take() else {
             return until;
         };
-        let view = view!(self);
-        until = until.min(l.tick(&view, &self.reports, &mut self.fleet));
-        let effects = l.take_effects();
+        let context = context!(self);
+        until = until.min(l.tick(&context, &self.reports, &mut self.cloud_client));
+        let actions = l.take_actions();
         self.leader = Some(l);
-        for e in effects {
+        for e in actions {
             match e {
-                leader::Effect::Commit(txn, urgency, keys) => {
+                leader::Action::Commit(txn, urgency, keys) => {
                     let t = self.registry.commit(txn, urgency, None);
-                    self.tickets.insert(t, Ticket::Leader(keys));
+                    self.tickets.insert(t, PendingCommit::Leader(keys));
                 }
-                leader::Effect::Tell(m) => self.tell_owner(m),
+                leader::Action::Tell(m) => self.tell_owner(m),
             }
         }
         until
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -123,7 +123,7 @@
     }
 }
 
-impl<N: Net> Node<N> {
+impl<N: Net> Controller<N> {
     /// Whether half of a region's machines turn to this controller.
     pub(super) fn is_asked_by_most(&self, region: &str) -> bool {
         let stock = self.registry.replica.stock.get(region);
@@ -202,11 +202,11 @@
         // outage perhaps: they come back by themselves.
         let able_since = *self.able_since.get_or_insert(now);
         self.unreached.retain(|_, news| now < news.at + NEWS_VALID);
-        let off = is_left_out(Guard::UnreachedRelease);
+        let off = is_disabled(Safeguard::UnreachedRelease);
         if off || self.unreached.is_empty() {
             return;
         }
-        let view = view!(self);
+        let context = context!(self);
         let release: Vec<(String, u64)> = self
             .unreached
             .iter()
@@ -215,7 +215,7 @@
                 let opened = r.opened_machines();
                 opened >= LEAST_MACHINES
                     && news.machines * 2 >= opened
-                    && r.hears_few(able_since, &view)
+                    && r.hears_few(able_since, &context)
             })
             .filter(|(r, _)| self.releases.may_release(&r.name, now))
             .map(|(r, _)| (r.name.clone(), r.version))
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-impl<N: Net> Node<N> {
+impl<N: Net> Controller<N> {
     /// Tells the other controllers how we are: the leader all and often, since it
     /// plans by it, the others just that we are here, and all of it now and then.
     pub(super) fn send_state(&mut self) {
         let regions: Vec<peer_protocol::RegionReport> = if self.authority() {
-            let view = view!(self);
-            self.regions.values().map(|r| r.report(&view)).collect()
+            let context = context!(self);
+            self.regions.values().map(|r| r.report(&context)).collect()
         } else {
             Vec::new()
         };
@@ -59,7 +59,7 @@
             .values_mut()
             .map(|r| Message::Boots {
                 region: r.name.clone(),
-                kinds: r.boot_lines(now),
+                kinds: r.provisioning_health(now),
             })
             .filter(|m| matches!(m, Message::Boots { kinds, .. } if !kinds.is_empty()))
             .collect();
@@ -133,9 +133,9 @@
                 if !self.authority() || !known {
                     return;
                 }
-                let view = view!(self);
+                let context = context!(self);
                 if let Some(r) = self.regions.get_mut(&from) {
-                    r.give(&job, &to, count, &view);
+                    r.give(&job, &to, count, &context);
                 }
             }
             Message::AskStatus | Message::Status(_) => {}
@@ -150,11 +150,12 @@
                 }
             }
             Message::Cancelled { .. }
-                if is_left_out(Guard::StartDeadline) || is_left_out(Guard::AuthorityDeadline) => {}
+                if is_disabled(Safeguard::StartDeadline)
+                    || is_disabled(Safeguard::AuthorityDeadline) => {}
             Message::Cancelled { jobs } => {
                 for id in jobs {
                     let rec = self.registry.replica.jobs.get(&id);
-                    let shown = rec.is_some_and(|r| r.value.stage != Stage::Open);
+                    let shown = rec.is_some_and(|r| r.value.stage != JobStage::Open);
                     if shown
                         || !is_job_id(&id)
                         || self.reported_cancelled.len() >= MAX_REPORTED_CANCELLED
@@ -162,22 +163,22 @@
                         continue;
                     }
                     self.reported_cancelled.insert(id.clone());
-                    let view = view!(self);
+                    let context = context!(self);
                     for r in self.regions.values_mut() {
-                        r.on_reported_cancelled(&id, &view);
+                        r.on_reported_cancelled(&id, &context);
                     }
                 }
             }
             Message::Close {
                 region,
-                flavor,
+                machine_type,
                 zone,
                 spot,
                 count,
             } => {
-                let view = view!(self);
+                let context = context!(self);
                 if let Some(r) = self.regions.get_mut(&region) {
-                    r.close((&flavor, &zone, spot), count, &view);
+                    r.close((&machine_type, &zone, spot), count, &context);
                 }
             }
             Message::Go {
@@ -185,9 +186,9 @@
                 attempt,
                 region,
             } => {
-                let view = view!(self);
+                let context = context!(self);
                 if let Some(r) = self.regions.get_mut(&region) {
-                    r.go(&job, attempt, &view);
+                    r.go(&job, attempt, &context);
                 }
             }
         }
--- a/src/controller/pending_requests.rs
+++ b/src/controller/pending_requests.rs
@@ -3,21 +3,21 @@
 
 use std::collections::VecDeque;
 
-use super::Waiting;
+use super::PendingRequest;
 use crate::reactor::ConnId;
 use salttiller_records::units::Micros;
 
 /// Requests in the order in which they came.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
-    requests: VecDeque<Waiting>,
+    requests: VecDeque<PendingRequest>,
     /// No request is given up before this.
     next_expiry: Option<Micros>,
 }
 
 impl PendingRequests {
     /// Adds a request that has just come.
-    pub fn push(&mut self, request: Waiting) {
+    pub fn push(&mut self, request: PendingRequest) {
         let expiry = self.next_expiry.unwrap_or(Micros::MAX);
         self.next_expiry = Some(expiry.min(request.give_up));
         self.requests.push_back(request);
@@ -34,7 +34,7 @@
     }
 
     /// Takes those that came no later than a read was sent.
-    pub fn take_until(&mut self, sent: Micros) -> VecDeque<Waiting> {
+    pub fn take_until(&mut self, sent: Micros) -> VecDeque<PendingRequest> {
         let count = self.requests.partition_point(|r| r.came <= sent);
         let rest = self.requests.split_off(count);
         let taken = std::mem::replace(&mut self.requests, rest);
--- a/src/controller/pending_requests/tests.rs
+++ b/src/controller/pending_requests/tests.rs
@@ -1,15 +1,15 @@
 //! Tests of pending requests.
 
-use super::super::Ask;
+use super::super::ClientRequest;
 use super::*;
 
-fn request(slot: usize, came: Micros, give_up: Micros) -> Waiting {
-    Waiting {
+fn request(slot: usize, came: Micros, give_up: Micros) -> PendingRequest {
+    PendingRequest {
         conn: ConnId {
             slot,
             generation: 1,
         },
-        ask: Ask::Cancel { id: String::new() },
+        ask: ClientRequest::Cancel { id: String::new() },
         came,
         give_up,
     }
--- a/src/controller/regions.rs
+++ b/src/controller/regions.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl<N: Net> Node<N> {
+impl<N: Net> Controller<N> {
     /// Takes regions that are ours to take, and notes those we have lost.
     pub(super) fn manage_regions(&mut self) {
         if !self.registry.loaded() {
@@ -40,8 +40,8 @@
                 if !self.regions.contains_key(&name) && self.registry.replica.revision >= version {
                     let token = rec.map_or(0, |r| r.token);
                     log::info!("node: region {name}: taken, token {token}");
-                    let view = view!(self);
-                    let region = Region::new(&name, token, version, &view);
+                    let context = context!(self);
+                    let region = Region::new(&name, token, version, &context);
                     self.regions.insert(name.clone(), region);
                     self.claims.remove(&name);
                 }
@@ -66,13 +66,13 @@
                     let now = self.now;
                     let since = *self.absent.entry(name.clone()).or_insert(now);
                     home || self.is_asked_by_most(&name)
-                        || now >= since + HOME_FIRST + fastrand::u64(0..500 * MILLI)
+                        || now >= since + HOME_FIRST + fastrand::u64(0..500 * MILLISECOND)
                 }
             };
             if !take || (rec.is_none() && self.releases.is_left(&name, self.now)) {
                 continue;
             }
-            let Some(lease) = self.registry.lease_id(LeaseName::Owner) else {
+            let Some(lease) = self.registry.lease_id(LeaseRole::Owner) else {
                 continue;
             };
             let token = self.registry.replica.token.as_ref().map_or(0, |t| t.value) + 1;
@@ -83,16 +83,22 @@
             }
             self.retake.remove(&name);
             self.regions.remove(&name);
-            let t = self.registry.commit(txn, Urgency::First, None);
-            self.claims.insert(name.clone(), Claim::Committing);
-            self.tickets.insert(t, Ticket::Take { region: name });
+            let t = self.registry.commit(txn, CommitPriority::Urgent, None);
+            self.claims.insert(name.clone(), Acquisition::Committing);
+            self.tickets.insert(t, PendingCommit::Take { region: name });
         }
         self.return_region();
     }
 
     /// The transaction that takes a region as its records stand, under a token drawn with it;
     /// `held` names the incident if it is taken in a hold.
-    pub(super) fn taking(&self, name: &str, token: u64, held: Option<u64>, lease: u64) -> Txn {
+    pub(super) fn taking(
+        &self,
+        name: &str,
+        token: u64,
+        held: Option<u64>,
+        lease: u64,
+    ) -> Transaction {
         let replica = &self.registry.replica;
         let key = Key::Region(name.to_owned());
         let owner = RegionRecord {
@@ -101,7 +107,7 @@
             token,
             held,
         };
-        Txn {
+        Transaction {
             when: vec![
                 (key.clone(), replica.version(&key)),
                 (Key::Token, replica.version(&Key::Token)),
@@ -148,15 +154,15 @@
 
     /// Deletes a region's record as it stands, so that its home may take it.
     pub(super) fn give_up(&mut self, name: String, version: u64) {
-        self.claims.insert(name.clone(), Claim::Committing);
+        self.claims.insert(name.clone(), Acquisition::Committing);
         let key = Key::Region(name.clone());
-        let txn = Txn {
+        let txn = Transaction {
             when: vec![(key.clone(), version)],
             apply: vec![(key, None)],
             lease: None,
         };
-        let t = self.registry.commit(txn, Urgency::First, None);
-        self.tickets.insert(t, Ticket::Hand { region: name });
+        let t = self.registry.commit(txn, CommitPriority::Urgent, None);
+        self.tickets.insert(t, PendingCommit::Hand { region: name });
     }
 
     pub(super) fn run_regions(&mut self) -> Micros {
@@ -164,21 +170,21 @@
         if !self.authority() {
             return until;
         }
-        let view = view!(self);
-        let mut effects = Vec::new();
+        let context = context!(self);
+        let mut actions = Vec::new();
         for (name, r) in self.regions.iter_mut() {
-            until = until.min(r.tick(&view));
-            effects.extend(r.take_effects().into_iter().map(|e| (name.clone(), e)));
+            until = until.min(r.tick(&context));
+            actions.extend(r.take_actions().into_iter().map(|e| (name.clone(), e)));
         }
-        for (name, e) in effects {
+        for (name, e) in actions {
             match e {
-                region::Effect::Commit(txn, urgency, purpose) => {
+                region::Action::Commit(txn, urgency, kind) => {
                     let t = self.registry.commit(txn, urgency, None);
                     if let Some(r) = self.regions.get_mut(&name) {
-                        r.sent(t, purpose);
+                        r.sent(t, kind);
                     }
                 }
-                region::Effect::Release(names) => self.fleet.release(names),
+                region::Action::Release(names) => self.cloud_client.release(names),
             }
         }
         until
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::status::conditions::Condition;
 
-impl<N: Net> Node<N> {
+impl<N: Net> Controller<N> {
     /// What is wrong just now, the gravest first.
     pub(super) fn cause(&self) -> &'static str {
         let unsettled = |(r, _): &(peer_protocol::RegionReport, Micros)| !r.settled;
@@ -14,7 +14,7 @@
         } else if self.reports.len() < self.settings.size() || self.reports.values().any(unsettled)
         {
             "takeover under way"
-        } else if self.fleet.down() {
+        } else if self.cloud_client.down() {
             "cloud down"
         } else if self.leader.as_ref().is_some_and(|l| l.refused(self.now)) {
             "no capacity"
@@ -57,8 +57,8 @@
             started: running.contains(id.as_str()) || replica.progress.contains_key(id),
             pipeline: replica.pipeline_end(id),
         });
-        let done = |id: &str| replica.stage(id) == Some(Stage::Done);
-        let is_open = |id: &str| replica.stage(id) == Some(Stage::Open);
+        let done = |id: &str| replica.stage(id) == Some(JobStage::Done);
+        let is_open = |id: &str| replica.stage(id) == Some(JobStage::Open);
         let wall = self.reactor.wall();
         let mut signals = self.aims.look(open, done, is_open, wall, self.cause());
         let conditions = self.conditions();
@@ -83,7 +83,7 @@
         if let Some(l) = &self.leader {
             found.extend(l.boots.in_trouble().into_iter().map(|(offer, boots)| {
                 Condition::BadBoots {
-                    flavor: offer.flavor,
+                    machine_type: offer.machine_type,
                     zone: offer.zone,
                     spot: offer.spot,
                     overdue: boots.overdue,
--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -3,7 +3,7 @@
 
 /// A guard that a test may leave out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Guard {
+pub enum Safeguard {
     /// A new owner accounts for every machine before it restarts tasks.
     Recovery,
     /// An owner's authority ends by its own clock.
@@ -49,23 +49,23 @@
 
 #[cfg(test)]
 thread_local! {
-    static LEFT_OUT: std::cell::Cell<Option<Guard>> = const { std::cell::Cell::new(None) };
+    static DISABLED: std::cell::Cell<Option<Safeguard>> = const { std::cell::Cell::new(None) };
 }
 
 /// Leaves out a guard on this thread from now on, or none.
 #[cfg(test)]
-pub fn leave_out(guard: Option<Guard>) {
-    LEFT_OUT.set(guard);
+pub fn disable(guard: Option<Safeguard>) {
+    DISABLED.set(guard);
 }
 
 /// Whether a test has left out this guard.
 #[cfg(test)]
-pub fn is_left_out(guard: Guard) -> bool {
-    LEFT_OUT.get() == Some(guard)
+pub fn is_disabled(guard: Safeguard) -> bool {
+    DISABLED.get() == Some(guard)
 }
 
 /// Whether a test has left out this guard: never outside tests.
 #[cfg(not(test))]
-pub const fn is_left_out(_guard: Guard) -> bool {
+pub const fn is_disabled(_guard: Safeguard) -> bool {
     false
 }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -8,24 +8,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use crate::fault_injection::{is_left_out, Guard};
-use crate::cloud::{offers, Fleet, FleetEvent, Listed, Offer, Refusals};
+use crate::cloud::{offers, CloudClient, CloudEvent, Listed, Offer, Refusals};
+use crate::fault_injection::{is_disabled, Safeguard};
 use crate::peer_protocol::{Message, RegionReport};
-use crate::region::{narrow_type, waiting_spans, NarrowMemory, View};
+use crate::region::{only_fitting_type, waiting_spans, ConstrainedTypes, SchedulingContext};
 use crate::state_store::replica::Versioned;
-use crate::state_store::{Txn, Urgency};
+use crate::state_store::{CommitPriority, Transaction};
 use salttiller_records::key::Key;
-use salttiller_records::model::{Flavor, JobSpec, Kind};
-use salttiller_records::record::{value, JobRecord, Joint, MachineBatchRecord, Part, MAX_BATCH};
-use salttiller_records::units::{to_secs, Micros, MILLI, SECOND};
+use salttiller_records::model::{JobKind, JobSpec, MachineType};
+use salttiller_records::record::{
+    value, JobRecord, MachineBatchRecord, MultiRegionAttempt, TaskRange, MAX_BATCH,
+};
+use salttiller_records::units::{to_secs, Micros, MILLISECOND, SECOND};
 
-pub use provisioning::BootReports;
+pub use provisioning::ProvisioningReports;
 
 /// What the leader wants done.
 #[derive(Debug)]
-pub enum Effect {
+pub enum Action {
     /// Commit this; the keys name what it is about.
-    Commit(Txn, Urgency, Vec<Key>),
+    Commit(Transaction, CommitPriority, Vec<Key>),
     /// Tell a region's owner.
     Tell(Message),
 }
@@ -34,7 +36,7 @@
 pub type Reports = BTreeMap<String, (RegionReport, Micros)>;
 
 /// Machines rented and not yet in their region's report.
-struct Coming {
+struct ProvisioningBatch {
     offer: Offer,
     region: String,
     count: usize,
@@ -51,15 +53,15 @@
     began: Micros,
     counter: u64,
     writing: BTreeSet<Key>,
-    coming: BTreeMap<String, Coming>,
+    coming: BTreeMap<String, ProvisioningBatch>,
     refusals: Refusals,
     /// Kinds that come up badly.
-    pub boots: BootReports,
-    narrow: NarrowMemory,
+    pub boots: ProvisioningReports,
+    narrow: ConstrainedTypes,
     moved: BTreeMap<String, Micros>,
     gone: BTreeMap<String, Micros>,
     odd: BTreeMap<String, Micros>,
-    rooms: Vec<Room>,
+    rooms: Vec<PlannedCapacity>,
     next_plan: Micros,
     next_list: Micros,
     last_list: Micros,
@@ -68,7 +70,7 @@
     /// Processors in use by work that fits many types, smoothed over time.
     usual: f64,
     /// The work that came in lately, and how much of what jobs' owners say is true.
-    inflow: Inflow,
+    inflow: ArrivalRate,
     truth: f64,
     /// Processors below which more are rented for such work that waits, and above
     /// which some are closed.
@@ -76,14 +78,14 @@
     keep: f64,
     /// What a job of such work takes, smoothed over jobs.
     job_size: f64,
-    out: Vec<Effect>,
+    out: Vec<Action>,
 }
 
-/// Room on machines that are alike, while planning.
+/// PlannedCapacity on machines that are alike, while planning.
 #[derive(Debug, Clone)]
-struct Room {
+struct PlannedCapacity {
     region: String,
-    flavor: String,
+    machine_type: String,
     zone: String,
     spot: bool,
     free: (u64, u64, u64),
@@ -96,7 +98,7 @@
     machines: f64,
 }
 
-impl Room {
+impl PlannedCapacity {
     /// How many tasks of a job one of the machines takes now.
     fn each(&self, s: &JobSpec, narrow: bool) -> u64 {
         self.takes_in(self.free, s, narrow)
@@ -113,7 +115,7 @@
     }
 
     fn takes_in(&self, mut free: (u64, u64, u64), s: &JobSpec, narrow: bool) -> u64 {
-        if !s.permits(&self.flavor, &self.zone, self.spot) {
+        if !s.permits(&self.machine_type, &self.zone, self.spot) {
             return 0;
         }
         if let (Some(k), false, false) = (self.kept, narrow, self.spot) {
@@ -144,7 +146,7 @@
     }
 }
 
-struct Wait {
+struct UnplacedJob {
     id: String,
     region: String,
     spec: Rc<JobSpec>,
@@ -158,7 +160,7 @@
     suspect: bool,
 }
 
-impl Wait {
+impl UnplacedJob {
     fn whole(&self) -> bool {
         keeps_together(&self.spec)
     }
@@ -166,16 +168,16 @@
 
 /// Whether a job's tasks stay in one region as long as one can hold them.
 fn keeps_together(s: &JobSpec) -> bool {
-    s.kind == Kind::Gang || s.one_zone || s.spread
+    s.kind == JobKind::Gang || s.one_zone || s.spread
 }
 
 /// Work that came in over the last while, in slices.
-struct Inflow {
+struct ArrivalRate {
     since: Micros,
     slices: std::collections::VecDeque<(Micros, f64)>,
 }
 
-impl Inflow {
+impl ArrivalRate {
     /// How far it looks back.
     const WINDOW: Micros = 90 * SECOND;
     /// What comes in right at the beginning has piled up before.
@@ -184,7 +186,7 @@
     const LEAST: Micros = 20 * SECOND;
 
     fn new(now: Micros) -> Self {
-        Inflow {
+        ArrivalRate {
             since: now + Self::PILE,
             slices: std::collections::VecDeque::new(),
         }
@@ -215,44 +217,44 @@
 }
 
 mod binding;
-mod provisioning;
 mod demand;
-mod multi_region_gangs;
 mod machine_assignment;
+mod multi_region_gangs;
+mod provisioning;
 mod rebinding;
 mod scale_out;
 
 impl Leader {
     /// A term that begins with the leader's record at this revision.
-    pub fn new(version: u64, view: &View<'_>) -> Self {
+    pub fn new(version: u64, context: &SchedulingContext<'_>) -> Self {
         let mut l = Leader {
             version,
-            began: view.now,
+            began: context.now,
             counter: 0,
             writing: BTreeSet::new(),
             coming: BTreeMap::new(),
             refusals: Refusals::default(),
-            boots: BootReports::default(),
-            narrow: NarrowMemory::default(),
+            boots: ProvisioningReports::default(),
+            narrow: ConstrainedTypes::default(),
             moved: BTreeMap::new(),
             gone: BTreeMap::new(),
             odd: BTreeMap::new(),
             rooms: Vec::new(),
             next_plan: 0,
-            next_list: view.now + 20 * SECOND,
+            next_list: context.now + 20 * SECOND,
             last_list: 0,
             next_flavors: 0,
-            next_close: view.now + 5 * SECOND,
+            next_close: context.now + 5 * SECOND,
             usual: 0.0,
-            inflow: Inflow::new(view.now),
+            inflow: ArrivalRate::new(context.now),
             truth: 1.0,
             target: 0.0,
             keep: 0.0,
             job_size: 0.0,
             out: Vec::new(),
         };
-        for (_, _, s) in view.replica.open_jobs() {
-            l.narrow.note(s, view.replica, view.now);
+        for (_, _, s) in context.replica.open_jobs() {
+            l.narrow.note(s, context.replica, context.now);
         }
         l
     }
@@ -262,19 +264,19 @@
     fn commit(
         &mut self,
         changes: Vec<(Key, u64, serde_json::Value)>,
-        urgency: Urgency,
-        view: &View<'_>,
+        urgency: CommitPriority,
+        context: &SchedulingContext<'_>,
     ) {
         let fresh: Vec<_> = changes
             .into_iter()
             .filter(|(k, ..)| !self.writing.contains(k))
             .collect();
-        for chunk in fresh.chunks(view.settings.txn_ops.min(8)) {
+        for chunk in fresh.chunks(context.settings.txn_ops.min(8)) {
             let mut when = vec![(Key::Leader, self.version)];
             when.extend(chunk.iter().map(|(k, m, _)| (k.clone(), *m)));
             let keys: Vec<Key> = chunk.iter().map(|(k, ..)| k.clone()).collect();
             self.writing.extend(keys.iter().cloned());
-            let txn = Txn {
+            let txn = Transaction {
                 when,
                 apply: chunk
                     .iter()
@@ -282,7 +284,7 @@
                     .collect(),
                 lease: None,
             };
-            self.out.push(Effect::Commit(txn, urgency, keys));
+            self.out.push(Action::Commit(txn, urgency, keys));
         }
     }
 
@@ -308,7 +310,7 @@
     }
 
     /// What is to be done since the last call.
-    pub fn take_effects(&mut self) -> Vec<Effect> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.out)
     }
 
@@ -318,39 +320,49 @@
     }
 
     /// Regular work. Returns when to look again.
-    pub fn tick(&mut self, view: &View<'_>, reports: &Reports, fleet: &mut Fleet) -> Micros {
-        self.bind(view);
-        if view.now >= self.next_flavors {
-            fleet.ask_flavors();
-            let known = !view.replica.flavors.is_empty();
-            self.next_flavors = view.now + if known { 60 * SECOND } else { SECOND };
+    pub fn tick(
+        &mut self,
+        context: &SchedulingContext<'_>,
+        reports: &Reports,
+        cloud_client: &mut CloudClient,
+    ) -> Micros {
+        self.bind(context);
+        if context.now >= self.next_flavors {
+            cloud_client.ask_flavors();
+            let known = !context.replica.machine_types.is_empty();
+            self.next_flavors = context.now + if known { 60 * SECOND } else { SECOND };
         }
-        if view.now >= self.next_list {
-            self.next_list = view.now + 30 * SECOND;
-            self.last_list = view.now;
-            fleet.ask_list();
+        if context.now >= self.next_list {
+            self.next_list = context.now + 30 * SECOND;
+            self.last_list = context.now;
+            cloud_client.ask_list();
         }
-        if view.now >= self.next_plan {
-            self.next_plan = view.now + 400 * MILLI;
-            self.plan(view, reports, fleet);
+        if context.now >= self.next_plan {
+            self.next_plan = context.now + 400 * MILLISECOND;
+            self.plan(context, reports, cloud_client);
         }
         self.next_plan.min(self.next_list)
     }
 
-    fn look_at_rooms(&mut self, view: &View<'_>, reports: &Reports, fleet: &Fleet) {
+    fn look_at_rooms(
+        &mut self,
+        context: &SchedulingContext<'_>,
+        reports: &Reports,
+        cloud_client: &CloudClient,
+    ) {
         let narrow = &self.narrow;
-        let room = |region: &str, flavor: &str, zone: &str, spot, free, live, n: f64| {
-            let f = &view.replica.flavors.get(flavor)?.value;
+        let room = |region: &str, machine_type: &str, zone: &str, spot, free, live, n: f64| {
+            let f = &context.replica.machine_types.get(machine_type)?.value;
             let cap = (f.cpus, f.gpus, f.mem);
-            Some(Room {
+            Some(PlannedCapacity {
                 region: region.to_owned(),
-                flavor: flavor.to_owned(),
+                machine_type: machine_type.to_owned(),
                 zone: zone.to_owned(),
                 spot,
                 free: if live { free } else { cap },
                 cap,
                 live,
-                kept: narrow.kept_for(flavor, view.now),
+                kept: narrow.kept_for(machine_type, context.now),
                 all: n,
                 machines: n,
             })
@@ -360,7 +372,13 @@
             for l in &r.rooms {
                 let n = l.machines as f64;
                 rooms.extend(room(
-                    &r.region, &l.flavor, &l.zone, l.spot, l.free, l.live, n,
+                    &r.region,
+                    &l.machine_type,
+                    &l.zone,
+                    l.spot,
+                    l.free,
+                    l.live,
+                    n,
                 ));
             }
         }
@@ -368,15 +386,15 @@
         self.coming.retain(|_, c| {
             let told = reports
                 .get(&c.region)
-                .is_some_and(|(_, at)| c.recorded.is_some_and(|r| *at > r + 500 * MILLI));
-            !told && view.now < c.since + 30 * SECOND
+                .is_some_and(|(_, at)| c.recorded.is_some_and(|r| *at > r + 500 * MILLISECOND));
+            !told && context.now < c.since + 30 * SECOND
         });
         for c in self.coming.values() {
             let o = &c.offer;
             let n = c.count as f64;
             rooms.extend(room(
                 &c.region,
-                &o.flavor,
+                &o.machine_type,
                 &o.zone,
                 o.spot,
                 (0, 0, 0),
@@ -384,11 +402,11 @@
                 n,
             ));
         }
-        for (o, region, n) in fleet.renting() {
+        for (o, region, n) in cloud_client.renting() {
             let n = n as f64;
             rooms.extend(room(
                 &region,
-                &o.flavor,
+                &o.machine_type,
                 &o.zone,
                 o.spot,
                 (0, 0, 0),
@@ -399,21 +417,26 @@
         self.rooms = rooms;
     }
 
-    fn plan(&mut self, view: &View<'_>, reports: &Reports, fleet: &mut Fleet) {
-        self.moved.retain(|_, at| view.now < *at + 2 * SECOND);
-        self.boots.expire(view.now);
-        self.look_at_rooms(view, reports, fleet);
-        self.lead_joint(view, reports);
+    fn plan(
+        &mut self,
+        context: &SchedulingContext<'_>,
+        reports: &Reports,
+        cloud_client: &mut CloudClient,
+    ) {
+        self.moved.retain(|_, at| context.now < *at + 2 * SECOND);
+        self.boots.expire(context.now);
+        self.look_at_rooms(context, reports, cloud_client);
+        self.lead_joint(context, reports);
         // What one region has found of a job holds for its tasks in all others.
         let lines = reports.values().flat_map(|(r, _)| &r.waits);
         let failing: BTreeSet<&str> = lines.filter(|w| w.stuck).map(|w| w.job.as_str()).collect();
-        let mut waits: Vec<Wait> = Vec::new();
+        let mut waits: Vec<UnplacedJob> = Vec::new();
         for (r, at) in reports.values() {
-            if view.now > at + 3 * SECOND {
+            if context.now > at + 3 * SECOND {
                 continue;
             }
             for w in &r.waits {
-                let Some(rec) = view.replica.jobs.get(&w.job) else {
+                let Some(rec) = context.replica.jobs.get(&w.job) else {
                     continue;
                 };
                 let Some(spec) = rec.value.open() else {
@@ -422,26 +445,26 @@
                 if rec.value.joint.is_some() {
                     continue;
                 }
-                self.narrow.note(spec, view.replica, view.now);
-                waits.push(Wait {
+                self.narrow.note(spec, context.replica, context.now);
+                waits.push(UnplacedJob {
                     id: w.job.clone(),
                     region: r.region.clone(),
                     spec: spec.clone(),
                     count: w.waiting as u64,
                     since: w.since_us,
-                    narrow: narrow_type(spec, view.replica),
+                    narrow: only_fitting_type(spec, context.replica),
                     short: r.short.iter().any(|(t, _)| *t == spec.team),
                     suspect: failing.contains(w.job.as_str()),
                 });
             }
         }
-        self.look_at_demand(view, &waits, reports);
-        self.close_surplus(view);
+        self.look_at_demand(context, &waits, reports);
+        self.close_surplus(context);
         let mut rooms = self.rooms.clone();
-        self.move_waiting(view, &mut waits, &mut rooms);
-        if view.now > self.began + SECOND {
+        self.move_waiting(context, &mut waits, &mut rooms);
+        if context.now > self.began + SECOND {
             waits.retain(|w| !w.suspect);
-            self.rent(view, &waits, &mut rooms, fleet);
+            self.rent(context, &waits, &mut rooms, cloud_client);
         }
         self.rooms = rooms;
     }
@@ -455,24 +478,24 @@
 
 /// How soon a job's waiting tasks should be under way: half of the time that
 /// its aims leave for waiting.
-fn horizon(s: &JobSpec, view: &View<'_>) -> Micros {
-    if let Some(h) = view.settings.operator.horizon {
+fn horizon(s: &JobSpec, context: &SchedulingContext<'_>) -> Micros {
+    if let Some(h) = context.settings.operator.horizon {
         return h;
     }
     let mut left = 120 * SECOND;
     // An aim that is out of reach, or past, is no reason to hurry.
     let mut aim = |span: Micros| {
-        if s.submitted + span > view.wall {
+        if s.submitted + span > context.wall {
             left = left.min(span);
         }
     };
-    for span in waiting_spans(s, view.settings) {
+    for span in waiting_spans(s, context.settings) {
         aim(span);
     }
     (left / 2).max(5 * SECOND)
 }
 
-fn differs(known: &Versioned<Flavor>, f: &Flavor) -> bool {
+fn differs(known: &Versioned<MachineType>, f: &MachineType) -> bool {
     let k = &known.value;
     let far = |a: u64, b: u64| a.abs_diff(b) * 10 > b.max(1);
     k.zones != f.zones
--- a/src/leader/binding.rs
+++ b/src/leader/binding.rs
@@ -6,35 +6,35 @@
     /// Puts on record that jobs were cancelled along with those that they need. Everybody
     /// derives it from the records, so nothing hangs on when this comes: it is for the
     /// versions before 0.3, should one ever be brought back, and for the index.
-    pub(super) fn write_cancelled_upstream(&mut self, view: &View<'_>) {
+    pub(super) fn write_cancelled_upstream(&mut self, context: &SchedulingContext<'_>) {
         const AT_ONCE: usize = 4;
-        let ids = view.replica.pipelines.cancelled_upstream().iter();
+        let ids = context.replica.pipelines.cancelled_upstream().iter();
         let ids = ids.filter(|id| !self.writing.contains(&Key::Job((*id).clone())));
         let changes: Vec<_> = ids
             .take(AT_ONCE)
             .filter_map(|id| {
-                let r = view.replica.jobs.get(id)?;
+                let r = context.replica.jobs.get(id)?;
                 Some((Key::Job(id.clone()), r.version, value(&r.value.cancelled())))
             })
             .collect();
         if !changes.is_empty() {
-            self.commit(changes, Urgency::Later, view);
+            self.commit(changes, CommitPriority::Background, context);
         }
     }
 
     /// Binds every job that is not bound yet.
-    pub fn bind(&mut self, view: &View<'_>) {
-        self.write_cancelled_upstream(view);
-        if view.replica.unbound.is_empty() {
+    pub fn bind(&mut self, context: &SchedulingContext<'_>) {
+        self.write_cancelled_upstream(context);
+        if context.replica.unbound.is_empty() {
             return;
         }
-        let mut unbound: Vec<_> = view
+        let mut unbound: Vec<_> = context
             .replica
             .unbound
             .iter()
             .filter(|id| !self.writing.contains(&Key::Job((*id).clone())))
             .filter_map(|id| {
-                let r = view.replica.jobs.get(id)?;
+                let r = context.replica.jobs.get(id)?;
                 Some((r.value.open()?.clone(), id, r))
             })
             .collect();
@@ -42,27 +42,27 @@
             return;
         }
         unbound.sort_by_key(|(s, id, _)| (s.submitted, (*id).clone()));
-        let mut level_one: BTreeMap<String, u32> = view
+        let mut level_one: BTreeMap<String, u32> = context
             .settings
             .regions()
             .into_iter()
             .map(|r| {
-                let n = view.replica.level_one.get(&r).copied().unwrap_or(0);
+                let n = context.replica.level_one.get(&r).copied().unwrap_or(0);
                 (r, n)
             })
             .collect();
         let mut changes = Vec::new();
         for (spec, id, rec) in unbound {
-            self.narrow.note(&spec, view.replica, view.now);
-            let narrow = narrow_type(&spec, view.replica);
+            self.narrow.note(&spec, context.replica, context.now);
+            let narrow = only_fitting_type(&spec, context.replica);
             if narrow.is_none() {
                 let size = spec.cpus as f64 * spec.tasks as f64;
-                let ago = view.wall.saturating_sub(spec.submitted);
+                let ago = context.wall.saturating_sub(spec.submitted);
                 self.inflow
-                    .add(size * spec.estimate as f64, view.now.saturating_sub(ago));
+                    .add(size * spec.estimate as f64, context.now.saturating_sub(ago));
                 self.job_size += (size - self.job_size) * 0.1;
             }
-            let bound = match self.joint(&spec, narrow.is_some(), view) {
+            let bound = match self.joint(&spec, narrow.is_some(), context) {
                 Some((parts, joint)) => {
                     log::info!("leader: {id}: too large for a region, over several: {parts:?}");
                     JobRecord {
@@ -72,12 +72,12 @@
                     }
                 }
                 None => {
-                    let region = self.choose_region(&spec, narrow.as_deref(), &level_one, view);
+                    let region = self.choose_region(&spec, narrow.as_deref(), &level_one, context);
                     let Some(region) = region else { continue };
                     *level_one.entry(region.clone()).or_default() += 1;
                     log::debug!("leader: {id}: bound to {region}");
                     JobRecord {
-                        parts: vec![Part(0, spec.tasks, region)],
+                        parts: vec![TaskRange(0, spec.tasks, region)],
                         joint: None,
                         ..rec.value.clone()
                     }
@@ -85,12 +85,17 @@
             };
             changes.push((Key::Job(id.clone()), rec.version, value(&bound)));
         }
-        self.commit(changes, Urgency::Next, view);
+        self.commit(changes, CommitPriority::Normal, context);
     }
 
     /// How many tasks of a job a region's machines take, in the zone where they
     /// take the most if they must be together.
-    pub(super) fn in_region(&self, s: &JobSpec, region: &str, of: impl Fn(&Room) -> u64) -> u64 {
+    pub(super) fn in_region(
+        &self,
+        s: &JobSpec,
+        region: &str,
+        of: impl Fn(&PlannedCapacity) -> u64,
+    ) -> u64 {
         let mut by_zone: BTreeMap<&str, u64> = BTreeMap::new();
         for r in self.rooms.iter().filter(|r| r.region == region) {
             *by_zone.entry(&r.zone).or_default() += of(r);
@@ -110,7 +115,7 @@
         s: &JobSpec,
         narrow: Option<&str>,
         level_one: &BTreeMap<String, u32>,
-        view: &View<'_>,
+        context: &SchedulingContext<'_>,
     ) -> Option<String> {
         let is_narrow = narrow.is_some();
         let need = if keeps_together(s) { s.tasks as u64 } else { 1 };
@@ -120,31 +125,36 @@
             if self.in_region(s, r, |x| if x.live { x.takes(s, is_narrow) } else { 0 }) >= need {
                 now.insert(r.clone());
             }
-            let stock = view.replica.stock.get(r).is_some_and(|kinds| {
+            let stock = context.replica.stock.get(r).is_some_and(|kinds| {
                 kinds.keys().any(|(f, z, spot)| {
-                    view.replica
-                        .flavors
+                    context
+                        .replica
+                        .machine_types
                         .get(f)
                         .is_some_and(|f| s.allows(&f.value, z, *spot))
                 })
             });
-            let holds = |x: &Room| x.at_most(s, is_narrow);
+            let holds = |x: &PlannedCapacity| x.at_most(s, is_narrow);
             if stock && (need == 1 || self.in_region(s, r, holds) >= need) {
                 able.insert(r.clone());
             }
         }
         if keeps_together(s) {
             // Where the cloud would bring what it needs.
-            for o in offers(&view.replica.flavors) {
-                let f = view.replica.flavors.get(&o.flavor).map(|f| &f.value);
+            for o in offers(&context.replica.machine_types) {
+                let f = context
+                    .replica
+                    .machine_types
+                    .get(&o.machine_type)
+                    .map(|f| &f.value);
                 if f.is_some_and(|f| s.allows(f, &o.zone, o.spot))
-                    && !self.refusals.closed(&o, view.now)
+                    && !self.refusals.closed(&o, context.now)
                 {
-                    able.insert(self.region_for(&o, view));
+                    able.insert(self.region_for(&o, context));
                 }
             }
         }
-        let owned = |r: &String| view.replica.regions.contains_key(r);
+        let owned = |r: &String| context.replica.regions.contains_key(r);
         let best = |filter: &dyn Fn(&String) -> bool| {
             level_one
                 .iter()
--- a/src/leader/machine_assignment.rs
+++ b/src/leader/machine_assignment.rs
@@ -7,14 +7,17 @@
     /// depend on is kept together by zone as far as the largest gang asks; all
     /// others go where there is least, near home first, so that a zone that is cut
     /// off still has an owner inside.
-    pub(super) fn region_for(&self, offer: &Offer, view: &View<'_>) -> String {
-        let regions = view.settings.regions();
-        let flavor = |name: &str| view.replica.flavors.get(name).map(|f| &f.value);
+    pub(super) fn region_for(&self, offer: &Offer, context: &SchedulingContext<'_>) -> String {
+        let regions = context.settings.regions();
+        let machine_type = |name: &str| context.replica.machine_types.get(name).map(|f| &f.value);
         let scarce = !offer.spot
-            && (self.narrow.kept_for(&offer.flavor, view.now).is_some()
-                || flavor(&offer.flavor).is_some_and(|f| {
-                    view.replica.flavors.len() > 1
-                        && view.replica.flavors.values().all(|o| {
+            && (self
+                .narrow
+                .kept_for(&offer.machine_type, context.now)
+                .is_some()
+                || machine_type(&offer.machine_type).is_some_and(|f| {
+                    context.replica.machine_types.len() > 1
+                        && context.replica.machine_types.values().all(|o| {
                             o.value.name == f.name
                                 || (o.value.cpus < f.cpus
                                     || o.value.mem < f.mem
@@ -29,41 +32,48 @@
                 return;
             };
             all += n;
-            if let Some(f) = flavor(kind.0) {
-                let kept = self.narrow.kept_for(kind.0, view.now).filter(|_| !kind.2);
+            if let Some(f) = machine_type(kind.0) {
+                let kept = self
+                    .narrow
+                    .kept_for(kind.0, context.now)
+                    .filter(|_| !kind.2);
                 let cpus = f.cpus.saturating_sub(kept.map_or(0, |k| k.0));
                 *l += cpus as f64 * n as f64;
             }
-            if kind.0 == offer.flavor && kind.1 == offer.zone && kind.2 == offer.spot {
+            if kind.0 == offer.machine_type && kind.1 == offer.zone && kind.2 == offer.spot {
                 *same.entry(r).or_default() += n;
             }
         };
-        for (region, kinds) in &view.replica.stock {
+        for (region, kinds) in &context.replica.stock {
             for ((f, z, spot), n) in kinds {
                 add(region, (f, z, *spot), *n);
             }
         }
         for c in self.coming.values().filter(|c| c.recorded.is_none()) {
             let o = &c.offer;
-            add(&c.region, (&o.flavor, &o.zone, o.spot), c.count as u32);
+            add(
+                &c.region,
+                (&o.machine_type, &o.zone, o.spot),
+                c.count as u32,
+            );
         }
         if scarce {
-            let most = (4 * self.narrow.largest(&offer.flavor))
+            let most = (4 * self.narrow.largest(&offer.machine_type))
                 .max(all / regions.len() as u32)
                 .max(8);
             let together = same
                 .iter()
-                .filter(|(r, n)| **n < most && view.replica.regions.contains_key(**r))
+                .filter(|(r, n)| **n < most && context.replica.regions.contains_key(**r))
                 .max_by_key(|(_, n)| **n);
             if let Some((r, _)) = together {
                 return (*r).to_owned();
             }
         }
         let zone_of = |r: &str| {
-            if r == view.settings.name {
-                return view.settings.zone.as_str();
+            if r == context.settings.name {
+                return context.settings.zone.as_str();
             }
-            let peer = view.settings.peers.iter().find(|p| p.name == r);
+            let peer = context.settings.peers.iter().find(|p| p.name == r);
             peer.map_or("", |p| p.zone.as_str())
         };
         let least = |near: bool| {
@@ -73,11 +83,11 @@
                 .map(|(r, l)| ((*r).to_owned(), *l))
         };
         let mean = load.values().sum::<f64>() / load.len().max(1) as f64;
-        let lot = flavor(&offer.flavor).map_or(0.0, |f| f.cpus as f64) * 10.0;
+        let lot = machine_type(&offer.machine_type).map_or(0.0, |f| f.cpus as f64) * 10.0;
         match (least(true), least(false)) {
             (Some((r, l)), _) if scarce || l <= mean * 1.25 + lot => r,
             (_, Some((r, _))) => r,
-            _ => view.settings.name.clone(),
+            _ => context.settings.name.clone(),
         }
     }
 
@@ -87,130 +97,133 @@
         offer: &Offer,
         names: &[String],
         region: &str,
-        view: &View<'_>,
+        context: &SchedulingContext<'_>,
     ) {
         let mut changes = Vec::new();
         for (i, chunk) in names.chunks(MAX_BATCH).enumerate() {
             self.counter += 1;
-            let id = format!("{}-{}-{}", view.settings.name, self.version, self.counter);
+            let id = format!(
+                "{}-{}-{}",
+                context.settings.name, self.version, self.counter
+            );
             log::info!(
                 "leader: lot {id}: {} {} in {}{} dealt to {region}, from {}",
                 chunk.len(),
-                offer.flavor,
+                offer.machine_type,
                 offer.zone,
                 if offer.spot { ", spot" } else { "" },
                 chunk[0]
             );
             let rec = MachineBatchRecord {
                 region: region.to_owned(),
-                flavor: offer.flavor.clone(),
+                machine_type: offer.machine_type.clone(),
                 zone: offer.zone.clone(),
                 spot: offer.spot,
                 machines: chunk.to_vec(),
             };
             self.coming.insert(
                 id.clone(),
-                Coming {
+                ProvisioningBatch {
                     offer: offer.clone(),
                     region: region.to_owned(),
                     count: chunk.len(),
                     names: chunk.to_vec(),
-                    since: view.now + i as Micros,
+                    since: context.now + i as Micros,
                     recorded: None,
                 },
             );
             changes.push((Key::MachineBatch(id), 0, value(&rec)));
         }
-        self.commit(changes, Urgency::Next, view);
+        self.commit(changes, CommitPriority::Normal, context);
     }
 
     /// A machine that has no record reports. That alone brings nothing into being:
     /// it may be a late copy from a machine that is long gone. The cloud's list
     /// says, and is asked for soon.
-    pub fn on_unknown_machine(&mut self, view: &View<'_>) {
-        let wait = if view.replica.machines.is_empty() {
+    pub fn on_unknown_machine(&mut self, context: &SchedulingContext<'_>) {
+        let wait = if context.replica.machines.is_empty() {
             1
         } else {
             4
         };
         self.next_list = self
             .next_list
-            .min((self.last_list + wait * SECOND).max(view.now));
+            .min((self.last_list + wait * SECOND).max(context.now));
     }
 
     /// Takes what the cloud answered.
-    pub fn on_fleet(&mut self, ev: &FleetEvent, view: &View<'_>) {
+    pub fn on_cloud_event(&mut self, ev: &CloudEvent, context: &SchedulingContext<'_>) {
         match ev {
-            FleetEvent::Flavors(list) => {
+            CloudEvent::Flavors(list) => {
                 let changes = list
                     .iter()
                     .filter_map(|f| {
-                        let known = view.replica.flavors.get(&f.name);
+                        let known = context.replica.machine_types.get(&f.name);
                         known.is_none_or(|k| differs(k, f)).then(|| {
                             let version = known.map_or(0, |k| k.version);
-                            (Key::Flavor(f.name.clone()), version, value(f))
+                            (Key::MachineType(f.name.clone()), version, value(f))
                         })
                     })
                     .collect();
-                self.commit(changes, Urgency::Next, view);
+                self.commit(changes, CommitPriority::Normal, context);
             }
-            FleetEvent::Rented(offer, region, names, asked) => {
+            CloudEvent::Rented(offer, region, names, asked) => {
                 log::info!(
                     "leader: rented {} of {asked} {} in {}{} for {region}",
                     names.len(),
-                    offer.flavor,
+                    offer.machine_type,
                     offer.zone,
                     if offer.spot { ", spot" } else { "" }
                 );
                 if (names.len() as u32) < *asked {
-                    self.refusals.refused(offer, view.now);
+                    self.refusals.refused(offer, context.now);
                 } else {
                     self.refusals.filled(offer);
                 }
-                self.assign_machines(offer, names, region, view);
+                self.assign_machines(offer, names, region, context);
             }
-            FleetEvent::NoCapacity(offer) => {
+            CloudEvent::NoCapacity(offer) => {
                 log::info!(
                     "leader: no capacity for {} in {}{}",
-                    offer.flavor,
+                    offer.machine_type,
                     offer.zone,
                     if offer.spot { ", spot" } else { "" }
                 );
-                self.refusals.refused(offer, view.now);
+                self.refusals.refused(offer, context.now);
             }
-            FleetEvent::Listed(list) => self.on_list(list, view),
-            FleetEvent::Down | FleetEvent::Released(_) => {}
+            CloudEvent::Listed(list) => self.on_list(list, context),
+            CloudEvent::Down | CloudEvent::Released(_) => {}
         }
     }
 
     /// Machines that nobody knows: there before us, or rented by a request that was
     /// carried out late. They are dealt like any other and used, or returned when
     /// idle.
-    pub(super) fn on_list(&mut self, list: &[Listed], view: &View<'_>) {
+    pub(super) fn on_list(&mut self, list: &[Listed], context: &SchedulingContext<'_>) {
         // Records that can't be read may name them.
-        if !view.replica.unreadable.is_empty() {
+        if !context.replica.unreadable.is_empty() {
             return;
         }
-        let keep = (4 * view.settings.list_lag).max(120 * SECOND);
-        self.gone.retain(|_, at| view.now < *at + keep);
-        let cold = view.replica.machines.is_empty() && view.replica.opened.is_empty();
+        let keep = (4 * context.settings.list_lag).max(120 * SECOND);
+        self.gone.retain(|_, at| context.now < *at + keep);
+        let cold = context.replica.machines.is_empty() && context.replica.opened.is_empty();
         let pending: BTreeSet<&String> = self.coming.values().flat_map(|c| &c.names).collect();
         let mut odd = BTreeMap::new();
         let mut todo: BTreeMap<Offer, Vec<String>> = BTreeMap::new();
         for m in list {
             if m.failed
-                || view.replica.machines.contains_key(&m.name)
+                || context.replica.machines.contains_key(&m.name)
                 || pending.contains(&m.name)
                 || self.gone.contains_key(&m.name)
             {
                 continue;
             }
-            let since = self.odd.get(&m.name).copied().unwrap_or(view.now);
+            let since = self.odd.get(&m.name).copied().unwrap_or(context.now);
             odd.insert(m.name.clone(), since);
             // The list is late: only what stays odd is odd. When there never was a
             // record of any machine, there is none that could be gone.
-            let sure =
-                view.now > since + 2 * view.settings.list_lag && m.age > 2 * view.settings.list_lag;
+            let sure = context.now > since + 2 * context.settings.list_lag
+                && m.age > 2 * context.settings.list_lag;
             if sure || cold {
                 todo.entry(m.offer.clone())
                     .or_default()
@@ -222,12 +235,12 @@
             // Some at a time, so that those of a type that nothing depends on are
             // spread over the regions.
             for some in names.chunks(8) {
-                let region = self.region_for(&offer, view);
-                self.assign_machines(&offer, some, &region, view);
+                let region = self.region_for(&offer, context);
+                self.assign_machines(&offer, some, &region, context);
             }
         }
         if !self.odd.is_empty() {
-            self.next_list = self.next_list.min(view.now + view.settings.list_lag);
+            self.next_list = self.next_list.min(context.now + context.settings.list_lag);
         }
     }
 }
--- a/src/leader/multi_region_gangs.rs
+++ b/src/leader/multi_region_gangs.rs
@@ -9,20 +9,25 @@
         &mut self,
         s: &JobSpec,
         narrow: bool,
-        view: &View<'_>,
-    ) -> Option<(Vec<Part>, Joint)> {
-        if s.kind != Kind::Gang || s.tasks < 2 || view.now < self.began + 2 * SECOND {
+        context: &SchedulingContext<'_>,
+    ) -> Option<(Vec<TaskRange>, MultiRegionAttempt)> {
+        if s.kind != JobKind::Gang || s.tasks < 2 || context.now < self.began + 2 * SECOND {
             return None;
         }
-        let regions = view.settings.regions();
+        let regions = context.settings.regions();
         let n = s.tasks as u64;
-        let most = |r: &Room| r.at_most(s, narrow);
+        let most = |r: &PlannedCapacity| r.at_most(s, narrow);
         if regions.iter().any(|r| self.in_region(s, r, most) >= n) {
             return None;
         }
-        let for_rent = offers(&view.replica.flavors).into_iter().any(|o| {
-            let f = view.replica.flavors.get(&o.flavor).map(|f| &f.value);
-            f.is_some_and(|f| s.allows(f, &o.zone, o.spot)) && !self.refusals.closed(&o, view.now)
+        let for_rent = offers(&context.replica.machine_types).into_iter().any(|o| {
+            let f = context
+                .replica
+                .machine_types
+                .get(&o.machine_type)
+                .map(|f| &f.value);
+            f.is_some_and(|f| s.allows(f, &o.zone, o.spot))
+                && !self.refusals.closed(&o, context.now)
         });
         if for_rent {
             return None;
@@ -30,7 +35,7 @@
         let mut by_zone: BTreeMap<&str, BTreeMap<&str, u64>> = BTreeMap::new();
         for r in &self.rooms {
             let m = most(r);
-            if m > 0 && view.replica.regions.contains_key(&r.region) {
+            if m > 0 && context.replica.regions.contains_key(&r.region) {
                 let zone = by_zone.entry(&r.zone).or_default();
                 *zone.entry(&r.region).or_default() += m;
             }
@@ -64,7 +69,7 @@
         for (m, r) in share {
             let take = (m.min(n - at as u64)) as u32;
             if take > 0 {
-                parts.push(Part(at, at + take, r.to_owned()));
+                parts.push(TaskRange(at, at + take, r.to_owned()));
                 at += take;
             }
         }
@@ -73,7 +78,7 @@
             // all of them: it waits for a region that can hold it.
             return None;
         }
-        Some((parts, Joint(self.next_attempt(), zone)))
+        Some((parts, MultiRegionAttempt(self.next_attempt(), zone)))
     }
 
     /// An attempt that no owner and no other term ever uses.
@@ -86,19 +91,19 @@
     /// attempt when one failed, bound anew when a part was given back. All of it
     /// follows from the records and the regions' last reports, so that a new leader
     /// goes on where the last one ended.
-    pub(super) fn lead_joint(&mut self, view: &View<'_>, reports: &Reports) {
+    pub(super) fn lead_joint(&mut self, context: &SchedulingContext<'_>, reports: &Reports) {
         let mut changes = Vec::new();
-        for id in &view.replica.joint {
-            let Some(rec) = view.replica.jobs.get(id) else {
+        for id in &context.replica.joint {
+            let Some(rec) = context.replica.jobs.get(id) else {
                 continue;
             };
-            let Some(Joint(attempt, zone)) = &rec.value.joint else {
+            let Some(MultiRegionAttempt(attempt, zone)) = &rec.value.joint else {
                 continue;
             };
             let parts = &rec.value.parts;
             let given_up = parts.iter().any(|p| p.2.is_empty());
             let (mut ready, mut idle, mut stuck) = (true, true, false);
-            for Part(a, b, region) in parts {
+            for TaskRange(a, b, region) in parts {
                 let Some((r, _)) = reports.get(region) else {
                     (ready, idle) = (false, false);
                     continue;
@@ -110,7 +115,7 @@
                 idle &= has_room || waits;
                 stuck |= wait.is_some_and(|w| w.stuck);
                 if waits && (given_up || wait.is_some_and(|w| w.since_us > PART_PATIENCE)) {
-                    self.out.push(Effect::Tell(Message::Move {
+                    self.out.push(Action::Tell(Message::Move {
                         job: id.clone(),
                         from: region.clone(),
                         to: String::new(),
@@ -122,8 +127,8 @@
                 continue;
             }
             if ready {
-                for Part(_, _, region) in parts {
-                    self.out.push(Effect::Tell(Message::Go {
+                for TaskRange(_, _, region) in parts {
+                    self.out.push(Action::Tell(Message::Go {
                         job: id.clone(),
                         attempt: *attempt,
                         region: region.clone(),
@@ -136,7 +141,7 @@
         let changes = changes
             .into_iter()
             .map(|(id, rec, zone)| {
-                let joint = Some(Joint(self.next_attempt(), zone));
+                let joint = Some(MultiRegionAttempt(self.next_attempt(), zone));
                 log::info!("leader: {id}: tried in vain, another attempt");
                 let new = JobRecord {
                     joint,
@@ -145,6 +150,6 @@
                 (Key::Job(id), rec.version, value(&new))
             })
             .collect();
-        self.commit(changes, Urgency::Next, view);
+        self.commit(changes, CommitPriority::Normal, context);
     }
 }
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -3,8 +3,8 @@
 //! rented again, of another kind if one fits; of the same only a few at a time.
 
 use super::*;
-use crate::peer_protocol::BootLine;
-use crate::region::is_boot_trouble;
+use crate::peer_protocol::ProvisioningHealth;
+use crate::region::is_provisioning_trouble;
 
 /// How long an owner's word holds.
 const VALID: Micros = 6 * SECOND;
@@ -17,7 +17,7 @@
 
 /// What is known of one kind over all regions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct KindBoots {
+pub struct PoolProvisioning {
     /// Machines that should have come up.
     pub overdue: u32,
     /// Machines that came up lately.
@@ -26,22 +26,22 @@
     pub since: Micros,
 }
 
-impl KindBoots {
+impl PoolProvisioning {
     fn in_trouble(self) -> bool {
-        is_boot_trouble(self.overdue, self.arrived)
+        is_provisioning_trouble(self.overdue, self.arrived)
     }
 }
 
 /// The regions' last words on boots.
 #[derive(Debug, Default)]
-pub struct BootReports {
-    by_region: BTreeMap<String, (Micros, Vec<BootLine>)>,
+pub struct ProvisioningReports {
+    by_region: BTreeMap<String, (Micros, Vec<ProvisioningHealth>)>,
     probed: BTreeMap<Offer, Micros>,
 }
 
-impl BootReports {
+impl ProvisioningReports {
     /// An owner tells how machines of its region come up.
-    pub fn note(&mut self, region: String, lines: Vec<BootLine>, now: Micros) {
+    pub fn note(&mut self, region: String, lines: Vec<ProvisioningHealth>, now: Micros) {
         self.by_region.insert(region, (now, lines));
     }
 
@@ -51,11 +51,12 @@
     }
 
     /// What is known of a kind.
-    pub fn kind(&self, offer: &Offer) -> KindBoots {
-        let mut all = KindBoots::default();
+    pub fn kind(&self, offer: &Offer) -> PoolProvisioning {
+        let mut all = PoolProvisioning::default();
         let lines = self.by_region.values().flat_map(|(_, lines)| lines);
         for l in lines {
-            if l.flavor == offer.flavor && l.zone == offer.zone && l.spot == offer.spot {
+            if l.machine_type == offer.machine_type && l.zone == offer.zone && l.spot == offer.spot
+            {
                 all.overdue += l.overdue;
                 all.arrived += l.arrived;
                 all.since = all.since.max(l.since_us);
@@ -65,11 +66,11 @@
     }
 
     /// The kinds that come up badly.
-    pub fn in_trouble(&self) -> Vec<(Offer, KindBoots)> {
+    pub fn in_trouble(&self) -> Vec<(Offer, PoolProvisioning)> {
         let lines = self.by_region.values().flat_map(|(_, lines)| lines);
         let kinds: BTreeSet<Offer> = lines
             .map(|l| Offer {
-                flavor: l.flavor.clone(),
+                machine_type: l.machine_type.clone(),
                 zone: l.zone.clone(),
                 spot: l.spot,
             })
@@ -83,7 +84,7 @@
 
     /// By how much dearer a kind counts than it costs.
     pub(super) fn penalty(&self, offer: &Offer) -> f64 {
-        if self.kind(offer).in_trouble() && !is_left_out(Guard::BootTrouble) {
+        if self.kind(offer).in_trouble() && !is_disabled(Safeguard::BootTrouble) {
             PENALTY
         } else {
             1.0
@@ -94,7 +95,7 @@
     /// overdue may yet come, so no more than what they leave, and a probe now and then.
     pub(super) fn limit(&mut self, offer: &Offer, count: u32, now: Micros) -> u32 {
         let boots = self.kind(offer);
-        if !boots.in_trouble() || is_left_out(Guard::BootTrouble) {
+        if !boots.in_trouble() || is_disabled(Safeguard::BootTrouble) {
             return count;
         }
         let rest = count.saturating_sub(boots.overdue);
--- a/src/leader/provisioning/tests.rs
+++ b/src/leader/provisioning/tests.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-fn offer(flavor: &str) -> Offer {
+fn offer(machine_type: &str) -> Offer {
     Offer {
-        flavor: flavor.into(),
+        machine_type: machine_type.into(),
         zone: "a".into(),
         spot: false,
     }
 }
 
-fn line(flavor: &str, overdue: u32, arrived: u32) -> BootLine {
-    BootLine {
-        flavor: flavor.into(),
+fn line(machine_type: &str, overdue: u32, arrived: u32) -> ProvisioningHealth {
+    ProvisioningHealth {
+        machine_type: machine_type.into(),
         zone: "a".into(),
         spot: false,
         overdue,
@@ -35,7 +35,7 @@
         ((12, 0), (0, 0), 1, 1, 0),
         ((30, 4), (0, 0), 12, 2, 0),
     ] {
-        let mut boots = BootReports::default();
+        let mut boots = ProvisioningReports::default();
         boots.note("t-0".into(), vec![line("big", first.0, first.1)], SECOND);
         boots.note("t-1".into(), vec![line("big", second.0, second.1)], SECOND);
         let what = format!("{first:?} {second:?} {asked}");
--- a/src/leader/rebinding.rs
+++ b/src/leader/rebinding.rs
@@ -5,27 +5,32 @@
 impl Leader {
     /// Rebinds tasks that have found no room for a short while to the region
     /// with the most free room.
-    pub(super) fn move_waiting(&mut self, view: &View<'_>, waits: &mut [Wait], rooms: &mut [Room]) {
+    pub(super) fn move_waiting(
+        &mut self,
+        context: &SchedulingContext<'_>,
+        waits: &mut [UnplacedJob],
+        rooms: &mut [PlannedCapacity],
+    ) {
         // Guards against room that is spoken for by tasks which their team's limit keeps
         // from it, while others wait where there is none: those come last.
         waits.sort_by_key(|w| w.short);
         let split = waits.partition_point(|w| !w.short);
         // Each is a change of a record.
-        let mut most = (view.settings.store_writes_least * 0.4 * 0.2).ceil() as u32;
+        let mut most = (context.settings.store_writes_least * 0.4 * 0.2).ceil() as u32;
         let (free, short) = waits.split_at_mut(split);
         for part in [free, short] {
-            self.move_part(view, part, rooms, &mut most);
+            self.move_part(context, part, rooms, &mut most);
         }
     }
 
     pub(super) fn move_part(
         &mut self,
-        view: &View<'_>,
-        waits: &mut [Wait],
-        rooms: &mut [Room],
+        context: &SchedulingContext<'_>,
+        waits: &mut [UnplacedJob],
+        rooms: &mut [PlannedCapacity],
         most: &mut u32,
     ) {
-        // Room at home comes first and is spoken for.
+        // PlannedCapacity at home comes first and is spoken for.
         for w in waits.iter_mut() {
             let (narrow, mut left) = (w.narrow.is_some(), w.count);
             // Guards against a job for which there seems to be room at home and that
@@ -44,10 +49,11 @@
         for w in waits.iter_mut() {
             let narrow = w.narrow.is_some();
             let whole = w.whole();
-            let patient = w.since < 700 * MILLI || self.moved.contains_key(&w.id);
+            let patient = w.since < 700 * MILLISECOND || self.moved.contains_key(&w.id);
             // Guards against a job that fails wherever it runs being spread over all
             // regions, each of which would have to find that out anew.
-            let holds = |r: &Room| r.region == w.region && r.at_most(&w.spec, narrow) > 0;
+            let holds =
+                |r: &PlannedCapacity| r.region == w.region && r.at_most(&w.spec, narrow) > 0;
             if w.suspect && rooms.iter().any(holds) {
                 continue;
             }
@@ -71,7 +77,7 @@
             };
             let to = per_region
                 .iter()
-                .filter(|(r, (z, _))| room(z) >= need && view.replica.regions.contains_key(**r))
+                .filter(|(r, (z, _))| room(z) >= need && context.replica.regions.contains_key(**r))
                 .max_by(|a, b| a.1 .1.total_cmp(&b.1 .1));
             let Some((to, (zones, _))) = to else {
                 continue;
@@ -88,8 +94,8 @@
             }
             w.count -= count;
             *most -= 1;
-            self.moved.insert(w.id.clone(), view.now);
-            self.out.push(Effect::Tell(Message::Move {
+            self.moved.insert(w.id.clone(), context.now);
+            self.out.push(Action::Tell(Message::Move {
                 job: w.id.clone(),
                 from: w.region.clone(),
                 to,
--- a/src/leader/scale_out.rs
+++ b/src/leader/scale_out.rs
@@ -8,25 +8,25 @@
     /// through within the horizon rents nothing.
     pub(super) fn rent(
         &mut self,
-        view: &View<'_>,
-        waits: &[Wait],
-        rooms: &mut [Room],
-        fleet: &mut Fleet,
+        context: &SchedulingContext<'_>,
+        waits: &[UnplacedJob],
+        rooms: &mut [PlannedCapacity],
+        cloud_client: &mut CloudClient,
     ) {
         const AT_ONCE: usize = 8;
-        if fleet.down() {
+        if cloud_client.down() {
             return;
         }
-        let mut asks = AT_ONCE.saturating_sub(fleet.renting().len());
+        let mut asks = AT_ONCE.saturating_sub(cloud_client.renting().len());
         // Jobs that keep together get what each lacks.
         for w in waits.iter().filter(|w| w.whole() && w.count > 0) {
             if asks == 0 {
                 return;
             }
-            asks -= usize::from(self.rent_whole(view, w, rooms, fleet));
+            asks -= usize::from(self.rent_whole(context, w, rooms, cloud_client));
         }
         // Other work, by the one type it fits or for all types together.
-        let mut groups: BTreeMap<Option<&str>, Vec<&Wait>> = BTreeMap::new();
+        let mut groups: BTreeMap<Option<&str>, Vec<&UnplacedJob>> = BTreeMap::new();
         let mut uncovered: BTreeMap<Option<&str>, u64> = BTreeMap::new();
         for w in waits.iter().filter(|w| !w.whole() && w.count > 0) {
             groups.entry(w.narrow.as_deref()).or_default().push(w);
@@ -47,7 +47,7 @@
             // Capacity at hand or on its way, and what there should be.
             let mut have: f64 = rooms
                 .iter()
-                .filter(|r| narrow.is_none_or(|f| r.flavor == f && (spot || !r.spot)))
+                .filter(|r| narrow.is_none_or(|f| r.machine_type == f && (spot || !r.spot)))
                 .map(|r| r.processors(narrow.is_some()))
                 .sum();
             let target = match narrow {
@@ -56,36 +56,41 @@
                     .iter()
                     .map(|w| {
                         w.count as f64 * w.spec.cpus as f64 * w.spec.estimate.max(SECOND) as f64
-                            / horizon(&w.spec, view) as f64
+                            / horizon(&w.spec, context) as f64
                     })
                     .sum(),
             };
             // With nothing that would ever hold the first, one is needed whatever
             // the sums say.
-            let shut = |w: &Wait| {
-                let holds = |r: &Room| r.at_most(&w.spec, w.narrow.is_some()) > 0;
+            let shut = |w: &UnplacedJob| {
+                let holds = |r: &PlannedCapacity| r.at_most(&w.spec, w.narrow.is_some()) > 0;
                 !rooms.iter().any(holds)
             };
             let mut must = list.iter().find(|w| shut(w)).copied();
             while asks > 0 && tasks > 0 && (have < target || must.is_some()) {
                 let w = must.take().unwrap_or(first);
-                let Some((offer, per)) = self.best_offer(&w.spec, narrow.is_some(), None, view)
+                let Some((offer, per)) = self.best_offer(&w.spec, narrow.is_some(), None, context)
                 else {
                     break;
                 };
-                let Some(f) = view.replica.flavors.get(&offer.flavor).map(|f| &f.value) else {
+                let Some(f) = context
+                    .replica
+                    .machine_types
+                    .get(&offer.machine_type)
+                    .map(|f| &f.value)
+                else {
                     break;
                 };
                 let by_work = ((target - have) / f.cpus.max(1) as f64).ceil().max(1.0) as u64;
                 let by_tasks = tasks.div_ceil(per.max(1));
                 let count = by_work.min(by_tasks).clamp(1, MAX_BATCH as u64);
-                let count = u64::from(self.boots.limit(&offer, count as u32, view.now));
+                let count = u64::from(self.boots.limit(&offer, count as u32, context.now));
                 if count == 0 {
                     break;
                 }
                 log::info!(
                     "leader: renting {count} {} in {}{}: {tasks} tasks wait, {:.0} processors, {:.0} wanted",
-                    offer.flavor,
+                    offer.machine_type,
                     offer.zone,
                     if offer.spot { ", spot" } else { "" },
                     have / 1e6,
@@ -94,8 +99,8 @@
                 have += (f.cpus * count) as f64;
                 tasks = tasks.saturating_sub(per * count);
                 asks -= 1;
-                let region = self.region_for(&offer, view);
-                self.ask(offer, region, count as u32, view, fleet);
+                let region = self.region_for(&offer, context);
+                self.ask(offer, region, count as u32, context, cloud_client);
             }
         }
     }
@@ -106,22 +111,26 @@
     /// scarce type cut into pieces holds no large gang.
     pub(super) fn rent_whole(
         &mut self,
-        view: &View<'_>,
-        w: &Wait,
-        rooms: &mut [Room],
-        fleet: &mut Fleet,
+        context: &SchedulingContext<'_>,
+        w: &UnplacedJob,
+        rooms: &mut [PlannedCapacity],
+        cloud_client: &mut CloudClient,
     ) -> bool {
         let (s, narrow) = (&w.spec, w.narrow.is_some());
         let need = s.tasks as u64;
         // A zone, or all of them if it may be anywhere.
         let mut places: BTreeSet<Option<String>> = BTreeSet::new();
         if s.one_zone {
-            let zones = view.replica.flavors.values().flat_map(|f| &f.value.zones);
+            let zones = context
+                .replica
+                .machine_types
+                .values()
+                .flat_map(|f| &f.value.zones);
             places.extend(zones.cloned().map(Some));
         } else {
             places.insert(None);
         }
-        let inside = |r: &Room, region: &str, zone: &Option<String>| {
+        let inside = |r: &PlannedCapacity, region: &str, zone: &Option<String>| {
             r.region == region && zone.as_ref().is_none_or(|z| *z == r.zone)
         };
         let has = |zone: &Option<String>| -> u64 {
@@ -132,9 +141,9 @@
                 .sum()
         };
         let offer =
-            |l: &Self, zone: &Option<String>| l.best_offer(s, narrow, zone.as_deref(), view);
+            |l: &Self, zone: &Option<String>| l.best_offer(s, narrow, zone.as_deref(), context);
         let here = |l: &Self, zone: &Option<String>| {
-            offer(l, zone).filter(|(o, _)| l.region_for(o, view) == w.region)
+            offer(l, zone).filter(|(o, _)| l.region_for(o, context) == w.region)
         };
         let best = places
             .iter()
@@ -158,7 +167,7 @@
         if let Some((o, per)) = here(self, zone) {
             let lacking = need - have;
             let count = lacking.div_ceil(per.max(1)).clamp(1, MAX_BATCH as u64) as u32;
-            let count = self.boots.limit(&o, count, view.now);
+            let count = self.boots.limit(&o, count, context.now);
             if count == 0 {
                 return false;
             }
@@ -166,18 +175,18 @@
                 "leader: {}: {lacking} of its {need} tasks lack machines",
                 w.id
             );
-            self.ask(o, w.region.clone(), count, view, fleet);
+            self.ask(o, w.region.clone(), count, context, cloud_client);
             return true;
         }
         if w.since < 2 * SECOND || self.moved.contains_key(&w.id) || w.count != need {
             return false;
         }
         let holds = |r: &str| self.in_region(s, r, |x| x.at_most(s, narrow)) >= need;
-        let owned = |r: &String| view.replica.regions.contains_key(r);
+        let owned = |r: &String| context.replica.regions.contains_key(r);
         let elsewhere = places
             .iter()
             .filter_map(|z| offer(self, z))
-            .map(|(o, _)| self.region_for(&o, view))
+            .map(|(o, _)| self.region_for(&o, context))
             .find(|r| *r != w.region && owned(r));
         let to = match elsewhere {
             Some(r) => r,
@@ -185,13 +194,13 @@
             None if holds(&w.region) => return false,
             // Another does; or nobody, and it is bound anew, over several.
             None => {
-                let mut all = view.settings.regions().into_iter();
+                let mut all = context.settings.regions().into_iter();
                 all.find(|r| owned(r) && holds(r)).unwrap_or_default()
             }
         };
         log::info!("leader: {}: can't be had in {}, to {to:?}", w.id, w.region);
-        self.moved.insert(w.id.clone(), view.now + 10 * SECOND);
-        self.out.push(Effect::Tell(Message::Move {
+        self.moved.insert(w.id.clone(), context.now + 10 * SECOND);
+        self.out.push(Action::Tell(Message::Move {
             job: w.id.clone(),
             from: w.region.clone(),
             to,
@@ -207,12 +216,15 @@
         offer: Offer,
         region: String,
         count: u32,
-        view: &View<'_>,
-        fleet: &mut Fleet,
+        context: &SchedulingContext<'_>,
+        cloud_client: &mut CloudClient,
     ) {
         self.counter += 1;
-        let tenancy = format!("{}-{}-{}", view.settings.name, self.version, self.counter);
-        fleet.rent(offer, region, count, tenancy);
+        let tenancy = format!(
+            "{}-{}-{}",
+            context.settings.name, self.version, self.counter
+        );
+        cloud_client.rent(offer, region, count, tenancy);
     }
 
     /// The cheapest offer for a job, by price of the processors it would use,
@@ -222,20 +234,25 @@
         s: &JobSpec,
         narrow: bool,
         zone: Option<&str>,
-        view: &View<'_>,
+        context: &SchedulingContext<'_>,
     ) -> Option<(Offer, u64)> {
         let mut best: Option<(f64, Offer, u64)> = None;
-        for o in offers(&view.replica.flavors) {
-            let Some(f) = view.replica.flavors.get(&o.flavor).map(|f| &f.value) else {
+        for o in offers(&context.replica.machine_types) {
+            let Some(f) = context
+                .replica
+                .machine_types
+                .get(&o.machine_type)
+                .map(|f| &f.value)
+            else {
                 continue;
             };
             if !s.allows(f, &o.zone, o.spot)
-                || self.refusals.closed(&o, view.now)
+                || self.refusals.closed(&o, context.now)
                 || zone.is_some_and(|z| z != o.zone)
             {
                 continue;
             }
-            if !narrow && !o.spot && self.narrow.kept_for(&o.flavor, view.now).is_some() {
+            if !narrow && !o.spot && self.narrow.kept_for(&o.machine_type, context.now).is_some() {
                 continue;
             }
             let per = s.per_machine(f);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,17 +5,17 @@
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
-mod fault_injection;
-pub mod cloud;
 pub mod admission;
+pub mod cloud;
+pub mod controller;
+mod fault_injection;
 pub mod leader;
 pub mod peer_protocol;
-pub mod controller;
 pub mod quota;
 pub mod reactor;
 pub mod region;
-pub mod state_store;
 pub mod settings;
+pub mod state_store;
 pub mod status;
 pub mod worker_protocol;
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand};
+use salttiller::controller::Controller;
 use salttiller::peer_protocol::{self, Message, Status};
-use salttiller::controller::Node;
 use salttiller::settings::Settings;
 use salttiller::status;
 
@@ -92,7 +92,7 @@
         Ok(s) => s,
         Err(code) => return code,
     };
-    if let Err(e) = Node::open(settings).and_then(|mut n| n.serve()) {
+    if let Err(e) = Controller::open(settings).and_then(|mut n| n.serve()) {
         eprintln!("salttiller: {e}");
     }
     ExitCode::FAILURE
--- a/src/peer_protocol.rs
+++ b/src/peer_protocol.rs
@@ -10,9 +10,9 @@
 /// millionths. One line for many: a line a machine would be the greater part of
 /// what controllers send and read when there are thousands.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub struct RoomLine {
+pub struct PoolCapacity {
     /// Type.
-    pub flavor: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot or ordinary.
@@ -27,7 +27,7 @@
 
 /// A job with tasks that wait in a region.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub struct WaitLine {
+pub struct PendingJob {
     /// Job.
     pub job: String,
     /// Tasks that wait and could be started or moved.
@@ -41,7 +41,7 @@
 
 /// Counts of a job for display.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub struct CountLine {
+pub struct RunningTasks {
     /// Job.
     pub job: String,
     /// Tasks on machines.
@@ -58,11 +58,11 @@
     /// Whether all machines are accounted for.
     pub settled: bool,
     /// Room on machines.
-    pub rooms: Vec<RoomLine>,
+    pub rooms: Vec<PoolCapacity>,
     /// Waiting work, the most urgent first.
-    pub waits: Vec<WaitLine>,
+    pub waits: Vec<PendingJob>,
     /// Running tasks by job.
-    pub counts: Vec<CountLine>,
+    pub counts: Vec<RunningTasks>,
     /// Teams whose limit other regions' shares leave too little of, and the turn (priority,
     /// then age) of the first job that lacks some.
     pub short: Vec<(String, u64)>,
@@ -77,9 +77,9 @@
 
 /// How machines of one kind come up in a region.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub struct BootLine {
+pub struct ProvisioningHealth {
     /// Type.
-    pub flavor: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot or ordinary.
@@ -113,7 +113,7 @@
 
 /// An aim on the status page.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, serde::Serialize)]
-pub struct AimLine {
+pub struct ObjectiveStatus {
     /// What is aimed at.
     pub aim: String,
     /// Jobs in the window that met it.
@@ -144,7 +144,7 @@
     /// Waiting tasks by class.
     pub waiting: Vec<(String, u32)>,
     /// Aims.
-    pub aims: Vec<AimLine>,
+    pub aims: Vec<ObjectiveStatus>,
     /// Last signals.
     pub signals: Vec<String>,
 }
@@ -179,7 +179,7 @@
         /// Region.
         region: String,
         /// Type.
-        flavor: String,
+        machine_type: String,
         /// Zone.
         zone: String,
         /// Spot or ordinary.
@@ -222,7 +222,7 @@
         /// Region.
         region: String,
         /// The kinds of which machines are overdue.
-        kinds: Vec<BootLine>,
+        kinds: Vec<ProvisioningHealth>,
     },
 }
 
--- a/src/peer_protocol/tests.rs
+++ b/src/peer_protocol/tests.rs
@@ -12,21 +12,21 @@
             region: "t-0".into(),
             token: 9,
             settled: true,
-            rooms: vec![RoomLine {
-                flavor: "g8".into(),
+            rooms: vec![PoolCapacity {
+                machine_type: "g8".into(),
                 zone: "a".into(),
                 spot: false,
                 live: true,
                 free: (1, 2, 3),
                 machines: 4,
             }],
-            waits: vec![WaitLine {
+            waits: vec![PendingJob {
                 job: "req-1".into(),
                 waiting: 5,
                 since_us: 6,
                 stuck: false,
             }],
-            counts: vec![CountLine {
+            counts: vec![RunningTasks {
                 job: "req-1".into(),
                 running: 2,
             }],
@@ -73,7 +73,7 @@
          0000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
         ),
         (
-            Message::Close { region: "t-0".into(), flavor: "g8".into(), zone: "a".into(), spot: true, count: 2 },
+            Message::Close { region: "t-0".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, count: 2 },
             "02000000742d30ffffffffff6738ffffffffffff61ffffffffffffff01000000020000000000000000000000\
          0000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
         ),
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -2,16 +2,19 @@
 //! together: each region starts tasks only inside its own share, and the shares
 //! of a team, changed by compare-and-set, never sum to more than its limit.
 
-use crate::state_store::replica::Replica;
 use crate::settings::Settings;
-use salttiller_records::model::Kind;
+use crate::state_store::replica::Replica;
+use salttiller_records::model::JobKind;
 use salttiller_records::record::QuotaRecord;
-use salttiller_records::Amount;
+use salttiller_records::QuotaAmount;
 
 /// A region's share on record.
-pub fn share(rec: Option<&QuotaRecord>, region: &str) -> Amount {
+pub fn share(rec: Option<&QuotaRecord>, region: &str) -> QuotaAmount {
     rec.and_then(|q| q.0.get(region))
-        .map_or(Amount::default(), |(c, g)| Amount { cpus: *c, gpus: *g })
+        .map_or(QuotaAmount::default(), |(c, g)| QuotaAmount {
+            cpus: *c,
+            gpus: *g,
+        })
 }
 
 /// The record with the region's share set as near to `target` as the limit
@@ -19,21 +22,21 @@
 pub fn propose(
     rec: Option<&QuotaRecord>,
     region: &str,
-    limit: Amount,
-    target: Amount,
-) -> Option<(QuotaRecord, Amount)> {
+    limit: QuotaAmount,
+    target: QuotaAmount,
+) -> Option<(QuotaRecord, QuotaAmount)> {
     let mut q = rec.cloned().unwrap_or_default();
     let others =
         q.0.iter()
             .filter(|(r, _)| *r != region)
-            .fold(Amount::default(), |a, (_, (c, g))| {
-                a.plus(Amount { cpus: *c, gpus: *g })
+            .fold(QuotaAmount::default(), |a, (_, (c, g))| {
+                a.plus(QuotaAmount { cpus: *c, gpus: *g })
             });
     let new = target.min(limit.minus(others));
     if new == share(rec, region) {
         return None;
     }
-    if new == Amount::default() {
+    if new == QuotaAmount::default() {
         q.0.remove(region);
     } else {
         q.0.insert(region.to_owned(), (new.cpus, new.gpus));
@@ -50,7 +53,7 @@
     team: &str,
 ) -> Option<(u64, String)> {
     let guarantee = settings.team(team)?.guarantee;
-    let mut sum = Amount::default();
+    let mut sum = QuotaAmount::default();
     let mut last = None;
     for (key, need) in replica.teams.get(team)? {
         sum = sum.plus(*need);
@@ -63,10 +66,10 @@
 }
 
 /// Whether a job of this size can ever run inside the team's limit, if it has one.
-pub fn can_ever(kind: Kind, tasks: u32, each: Amount, limit: Option<Amount>) -> bool {
+pub fn can_ever(kind: JobKind, tasks: u32, each: QuotaAmount, limit: Option<QuotaAmount>) -> bool {
     let n = match kind {
-        Kind::Array => 1,
-        Kind::Gang | Kind::Service => tasks as u64,
+        JobKind::Array => 1,
+        JobKind::Gang | JobKind::Service => tasks as u64,
     };
     limit.is_none_or(|limit| each.times(n).within(limit))
 }
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -3,20 +3,20 @@
 use super::*;
 use proptest::prelude::*;
 
-fn a(cpus: u64, gpus: u64) -> Amount {
-    Amount { cpus, gpus }
+fn a(cpus: u64, gpus: u64) -> QuotaAmount {
+    QuotaAmount { cpus, gpus }
 }
 
 #[test]
 fn limits() {
     for (kind, tasks, each, fits) in [
-        (Kind::Array, 1000, a(5, 0), true),
-        (Kind::Array, 1, a(11, 0), false),
-        (Kind::Gang, 2, a(5, 0), true),
-        (Kind::Gang, 3, a(5, 0), false),
-        (Kind::Service, 3, a(5, 0), false),
-        (Kind::Array, 1, a(1, 1), false),
-        (Kind::Gang, u32::MAX, a(u64::MAX, 0), false),
+        (JobKind::Array, 1000, a(5, 0), true),
+        (JobKind::Array, 1, a(11, 0), false),
+        (JobKind::Gang, 2, a(5, 0), true),
+        (JobKind::Gang, 3, a(5, 0), false),
+        (JobKind::Service, 3, a(5, 0), false),
+        (JobKind::Array, 1, a(1, 1), false),
+        (JobKind::Gang, u32::MAX, a(u64::MAX, 0), false),
     ] {
         assert_eq!(
             can_ever(kind, tasks, each, Some(a(10, 0))),
--- a/src/region.rs
+++ b/src/region.rs
@@ -1,69 +1,70 @@
 //! The second level: the owner of a region places its tasks on its machines.
 //!
-//! Every task of a job bound here is in one [`Place`]; `Region::transition` is the
+//! Every task of a job bound here is in one [`TaskState`]; `Region::transition` is the
 //! only function that changes it. What is known of machines comes from their
 //! reports alone, and a task that may be on a machine stays there until that
 //! machine says otherwise or is provably empty.
 
-mod provisioning;
+mod commits;
+mod constrained_types;
 mod failure_attribution;
 mod gangs;
-mod reachability;
-mod reservation;
+mod heartbeats;
 mod job;
 mod job_lifecycle;
-mod machine_index;
 mod machine;
 mod machine_activation;
-mod machine_lifecycle;
+mod machine_index;
 mod machine_inventory;
-mod runtime_estimates;
-mod constrained_types;
-mod queue;
+mod machine_lifecycle;
 mod placement;
 mod preemption;
-mod commits;
-mod reconciliation;
-mod heartbeats;
+mod provisioning;
+mod queue;
 mod quota_share;
+mod reachability;
+mod reconciliation;
+mod reservation;
+mod runtime_estimates;
 mod task;
 
-pub use provisioning::is_boot_trouble;
-pub use machine::Standing;
+pub use constrained_types::{only_fitting_type, ConstrainedTypes};
+pub use machine::MachineState;
 pub use machine_lifecycle::LEAST_AGE;
-pub use constrained_types::{narrow_type, NarrowMemory};
+pub use provisioning::is_provisioning_trouble;
 pub use queue::{latest_start, waiting_spans};
-pub use task::Place;
+pub use task::TaskState;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use crate::fault_injection::{is_left_out, Guard};
-use crate::peer_protocol::{CountLine, RegionReport, RoomLine, WaitLine};
+use crate::fault_injection::{is_disabled, Safeguard};
+use crate::peer_protocol::{PendingJob, PoolCapacity, RegionReport, RunningTasks};
 use crate::quota;
-use crate::state_store::replica::Replica;
-use crate::state_store::{Outcome, Txn, Urgency};
 use crate::settings::Settings;
-use crate::worker_protocol::{Command, End, OnMachine, Report, MAX_COMMANDS};
-use provisioning::BootHistory;
+use crate::state_store::replica::Replica;
+use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
+use crate::worker_protocol::{Command, ExitReason, Heartbeat, ReportedState, MAX_COMMANDS};
 use failure_attribution::{JobFailures, MachineFailures};
-use reachability::Ear;
-use reservation::Hold;
 use job::Job;
-use machine_index::{fits, GroupKey, List, Listed, Room};
 use machine::Machine;
-use runtime_estimates::Measured;
+use machine_index::{fits, GroupKey, IndexEntry, MachineIndex, Room};
+use provisioning::ProvisioningHistory;
 use queue::OrderKey;
+use quota_share::QuotaShare;
+use reachability::Reachability;
+use reservation::GangReservation;
+use runtime_estimates::RuntimeEstimates;
 use salttiller_records::bitmap::{bitmap, read_bitmap, CHUNK};
 use salttiller_records::key::Key;
-use salttiller_records::model::{Flavor, JobId, JobSpec, Kind, RangeSet};
+use salttiller_records::model::{JobId, JobKind, JobSpec, MachineType, RangeSet};
 use salttiller_records::record::{
-    value, JobRecord, Joint, MachineRecord, OpenedRecord, Part, Stage, MAX_OPENED_BATCHES,
+    value, ActivationRecord, JobRecord, JobStage, MachineRecord, MultiRegionAttempt, TaskRange,
+    MAX_ACTIVATION_BATCHES,
 };
-use salttiller_records::units::{stretch, to_secs, Micros, MILLI, SECOND};
-use salttiller_records::Amount;
-use quota_share::Share;
-use task::Held;
+use salttiller_records::units::{add_drift, to_secs, Micros, MILLISECOND, SECOND};
+use salttiller_records::QuotaAmount;
+use task::Assignment;
 
 /// Whose turn it is among a team's jobs when its limit is short, over all regions; the
 /// least goes first: by priority, then by age.
@@ -74,45 +75,45 @@
 
 /// What a commit was for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Purpose {
+pub enum CommitKind {
     /// Finished tasks of a job.
     Progress(JobId, RangeSet),
     /// A job's end.
-    Finish(JobId),
+    JobDone(JobId),
     /// A team's share.
-    Share(String),
+    QuotaShare(String),
     /// Tasks given to another region.
-    Move(JobId),
+    Rebind(JobId),
     /// Machines about to get their first tasks.
-    Open(Vec<Rc<str>>),
+    ActivateMachines(Vec<Rc<str>>),
     /// Machines that are gone.
-    Forget(Vec<Rc<str>>),
+    RemoveMachines(Vec<Rc<str>>),
 }
 
 /// What the region wants done.
 #[derive(Debug)]
-pub enum Effect {
+pub enum Action {
     /// Commit this.
-    Commit(Txn, Urgency, Purpose),
+    Commit(Transaction, CommitPriority, CommitKind),
     /// Return these machines to the cloud.
     Release(Vec<String>),
 }
 
 /// What to answer a report with.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum HeartbeatOutcome {
     /// 200 with these commands.
-    Commands(Vec<Command>),
+    Accepted(Vec<Command>),
     /// Late or repeated: changes nothing, gets no 200.
     Stale,
     /// The machine has seen a higher token than ours.
-    Outranked,
+    Superseded,
     /// Not one of ours.
     UnknownMachine,
 }
 
 /// All that a step of the region may look at besides its own state.
-pub struct View<'a> {
+pub struct SchedulingContext<'a> {
     /// Records.
     pub replica: &'a Replica,
     /// Settings.
@@ -130,11 +131,11 @@
     pub reported_cancelled: &'a BTreeSet<String>,
 }
 
-impl View<'_> {
+impl SchedulingContext<'_> {
     /// Whether nothing of a job is to run any more, or it is on no record.
     fn over(&self, id: &str) -> bool {
         let stage = self.replica.stage(id);
-        stage != Some(Stage::Open) || self.reported_cancelled.contains(id)
+        stage != Some(JobStage::Open) || self.reported_cancelled.contains(id)
     }
 }
 
@@ -150,7 +151,7 @@
     settled: bool,
     taken_at: Micros,
     machines: BTreeMap<Rc<str>, Machine>,
-    list: List,
+    list: MachineIndex,
     /// Opened machines of a former owner that are not accounted for.
     awaited: BTreeSet<Rc<str>>,
     /// Machines by when they were last heard, opened ones only.
@@ -177,19 +178,19 @@
     unwritten: BTreeSet<JobId>,
     /// Tasks meant for a machine that has not reported since, oldest first.
     unsent: BTreeSet<(Micros, JobId, u32)>,
-    measured: Measured,
+    measured: RuntimeEstimates,
     /// How machines of each kind come up.
-    boots: BTreeMap<GroupKey, BootHistory>,
-    hold: Option<Hold>,
-    shares: BTreeMap<Rc<str>, Share>,
+    boots: BTreeMap<GroupKey, ProvisioningHistory>,
+    hold: Option<GangReservation>,
+    shares: BTreeMap<Rc<str>, QuotaShare>,
     seq: u64,
-    tickets: BTreeMap<u64, Purpose>,
-    conflicts: Vec<(u64, Purpose)>,
+    tickets: BTreeMap<u64, CommitKind>,
+    conflicts: Vec<(u64, CommitKind)>,
     /// The last job of each team that fits into its guarantee.
     guaranteed: BTreeMap<String, (u64, String)>,
     stale_teams: BTreeSet<String>,
-    narrow: NarrowMemory,
-    out: Vec<Effect>,
+    narrow: ConstrainedTypes,
+    out: Vec<Action>,
     dirty_jobs: BTreeSet<JobId>,
     dirty_machines: BTreeSet<Rc<str>>,
     dirty_teams: BTreeSet<String>,
@@ -205,15 +206,15 @@
     /// Takes up a region whose record was just committed as ours. The replica
     /// must be complete up to that commit, so that every machine and every job
     /// a former owner may have touched is in it.
-    pub fn new(name: &str, token: u64, version: u64, view: &View<'_>) -> Self {
+    pub fn new(name: &str, token: u64, version: u64, context: &SchedulingContext<'_>) -> Self {
         let mut r = Region {
             name: name.to_owned(),
             token,
             version,
             settled: false,
-            taken_at: view.now,
+            taken_at: context.now,
             machines: BTreeMap::new(),
-            list: List::default(),
+            list: MachineIndex::default(),
             awaited: BTreeSet::new(),
             heard: BTreeSet::new(),
             due: BTreeSet::new(),
@@ -230,7 +231,7 @@
             wake: BTreeSet::new(),
             unwritten: BTreeSet::new(),
             unsent: BTreeSet::new(),
-            measured: Measured::default(),
+            measured: RuntimeEstimates::default(),
             boots: BTreeMap::new(),
             hold: None,
             shares: BTreeMap::new(),
@@ -238,8 +239,8 @@
             tickets: BTreeMap::new(),
             conflicts: Vec::new(),
             guaranteed: BTreeMap::new(),
-            stale_teams: view.replica.teams.keys().cloned().collect(),
-            narrow: NarrowMemory::default(),
+            stale_teams: context.replica.teams.keys().cloned().collect(),
+            narrow: ConstrainedTypes::default(),
             out: Vec::new(),
             dirty_jobs: BTreeSet::new(),
             dirty_machines: BTreeSet::new(),
@@ -250,27 +251,27 @@
             next_preempt: 0,
             next_turn: 0,
         };
-        for (machine, rec) in &view.replica.machines {
+        for (machine, rec) in &context.replica.machines {
             if rec.value.region == name {
-                r.on_machine(machine, view);
+                r.on_machine(machine, context);
             }
         }
         let opened = r.machines.iter().filter(|(_, m)| m.rec.opened);
         r.awaited = opened.map(|(n, _)| n.clone()).collect();
-        for id in &view.replica.open {
-            r.on_job(id, view, true);
+        for id in &context.replica.open {
+            r.on_job(id, context, true);
         }
-        for (team, q) in &view.replica.quotas {
+        for (team, q) in &context.replica.quotas {
             let s = r.shares.entry(Rc::from(team.as_str())).or_default();
             s.inherited = quota::share(Some(&q.value), name);
         }
         let ids: Vec<JobId> = r.jobs.keys().cloned().collect();
         for id in ids {
-            r.on_progress(&id, view);
+            r.on_progress(&id, context);
         }
-        r.try_finish_recovery(view);
-        if is_left_out(Guard::Recovery) && !r.settled {
-            r.finish_recovery(view);
+        r.try_finish_recovery(context);
+        if is_disabled(Safeguard::Recovery) && !r.settled {
+            r.finish_recovery(context);
         }
         r
     }
@@ -294,25 +295,32 @@
 
     /// Whether few of these have been heard of late, though they could have been answered
     /// since `able_since` and there was time for all.
-    pub fn hears_few(&self, able_since: Micros, view: &View<'_>) -> bool {
-        let patience = view.settings.report * 5 / 4 + 4 * SECOND;
-        if view.now < self.taken_at.max(able_since) + 2 * patience {
+    pub fn hears_few(&self, able_since: Micros, context: &SchedulingContext<'_>) -> bool {
+        let patience = context.settings.report * 5 / 4 + 4 * SECOND;
+        if context.now < self.taken_at.max(able_since) + 2 * patience {
             return false;
         }
-        let since = view.now.saturating_sub(patience);
+        let since = context.now.saturating_sub(patience);
         let recent = self.heard.range((since, Rc::from(""))..).count();
         recent * 4 < self.heard.len()
     }
 
     /// A task as it stands on (or is meant for) a machine.
-    fn held_mut(&mut self, id: &JobId, n: u32, machine: &str) -> Option<&mut Held> {
+    fn held_mut(&mut self, id: &JobId, n: u32, machine: &str) -> Option<&mut Assignment> {
         let m = self.machines.get_mut(machine)?;
         m.tasks.get_mut(&(id.clone(), n))
     }
 
     /// The only way in which a task changes its place. `at` names machine and
     /// attempt for places on a machine.
-    fn transition(&mut self, id: &JobId, n: u32, to: Place, at: Option<(&str, u64)>, now: Micros) {
+    fn transition(
+        &mut self,
+        id: &JobId,
+        n: u32,
+        to: TaskState,
+        at: Option<(&str, u64)>,
+        now: Micros,
+    ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -328,16 +336,16 @@
                     m.wide = machine_index::less(m.wide, h.room());
                 }
                 let kept = self.list.kept(&m.group).is_some();
-                if (h.narrow || !kept) && !m.serves(kept) && h.place != Place::Assigned {
+                if (h.narrow || !kept) && !m.serves(kept) && h.place != TaskState::Assigned {
                     m.idle_since = now;
                 }
                 Some(h)
             });
             if let Some(h) = held {
-                if to == Place::Done && !h.narrow {
+                if to == TaskState::Done && !h.narrow {
                     self.measured.add(&job.spec, now - h.since, now);
                 }
-                if h.place == Place::Assigned {
+                if h.place == TaskState::Assigned {
                     self.unsent.remove(&(h.since, id.clone(), n));
                     if h.brings {
                         self.never_fetched(at, id);
@@ -371,7 +379,7 @@
             return;
         };
         match to {
-            Place::Waiting => {
+            TaskState::Pending => {
                 if job.over || job.done.contains(n) || !job.mine.contains(n) {
                     return;
                 }
@@ -381,33 +389,33 @@
                 job.waiting.insert(n);
                 self.dirty_jobs.insert(id.clone());
             }
-            Place::Unsettled => job.unsettled.insert(n),
-            Place::Moving => job.moving.insert(n),
-            Place::Done => {
+            TaskState::Unreconciled => job.unsettled.insert(n),
+            TaskState::Rebinding => job.moving.insert(n),
+            TaskState::Done => {
                 if !job.over && job.mine.contains(n) && !job.done.contains(n) {
                     job.done.insert(n);
                     job.pending.insert(n);
                     self.unwritten.insert(id.clone());
                 }
             }
-            Place::Assigned | Place::Sent | Place::On(_) => {
+            TaskState::Assigned | TaskState::Dispatched | TaskState::Reported(_) => {
                 let Some((machine, attempt)) = at else { return };
                 let Some(m) = self.machines.get_mut(machine) else {
                     return;
                 };
                 let brings = !m.images.contains(&job.spec.image);
-                if to == Place::Assigned {
+                if to == TaskState::Assigned {
                     job.last_assigned = now;
                 }
-                let h = Held {
+                let h = Assignment {
                     attempt,
                     place: to,
                     need: job.spec.amount(),
                     mem: job.spec.mem,
                     team: Rc::from(job.spec.team.as_str()),
                     narrow: job.narrow_to.is_some(),
-                    fresh: to == Place::Assigned,
-                    wait_go: to == Place::Assigned && job.joint.is_some(),
+                    fresh: to == TaskState::Assigned,
+                    wait_go: to == TaskState::Assigned && job.joint.is_some(),
                     brings,
                     stop: job.over.then_some(0),
                     since: now,
@@ -420,7 +428,7 @@
                 if brings {
                     m.images.insert(job.spec.image.clone());
                 }
-                if to == Place::Assigned && !h.wait_go {
+                if to == TaskState::Assigned && !h.wait_go {
                     self.unsent.insert((now, id.clone(), n));
                 }
                 let s = self.shares.entry(h.team.clone()).or_default();
@@ -436,75 +444,75 @@
     }
 
     /// Regular upkeep. Returns when to look again.
-    pub fn tick(&mut self, view: &View<'_>) -> Micros {
-        if view.now >= self.next_tick {
-            self.next_tick = view.now + 250 * MILLI;
-            self.settle_conflicts(view);
-            self.watch_machines(view);
-            self.save_before_notice(view);
-            self.write_machines(view);
-            self.look_again(view);
-            self.preempt(view);
-            if view.now >= self.next_share {
-                self.next_share = view.now + SECOND / 2;
-                self.keep_clear(view);
-                self.watch_hold(view);
-                self.share_out(view);
+    pub fn tick(&mut self, context: &SchedulingContext<'_>) -> Micros {
+        if context.now >= self.next_tick {
+            self.next_tick = context.now + 250 * MILLISECOND;
+            self.settle_conflicts(context);
+            self.watch_machines(context);
+            self.save_before_notice(context);
+            self.write_machines(context);
+            self.look_again(context);
+            self.preempt(context);
+            if context.now >= self.next_share {
+                self.next_share = context.now + SECOND / 2;
+                self.keep_clear(context);
+                self.watch_hold(context);
+                self.share_out(context);
                 let due: Vec<JobId> = self.unwritten.iter().cloned().collect();
                 for id in due {
-                    self.write_progress(&id, view);
+                    self.write_progress(&id, context);
                 }
             }
             if !self.settled {
-                self.try_finish_recovery(view);
+                self.try_finish_recovery(context);
             }
         }
-        self.place(view);
+        self.place(context);
         self.next_tick
     }
 
     /// Jobs whose time has come: their place in the order changes, a delay is
     /// over, or room was held for too long.
-    fn look_again(&mut self, view: &View<'_>) {
+    fn look_again(&mut self, context: &SchedulingContext<'_>) {
         while let Some((at, id)) = self.wake.first().cloned() {
-            if at > view.now {
+            if at > context.now {
                 break;
             }
             self.wake.remove(&(at, id.clone()));
             let late = self.jobs.get(&id).and_then(|j| j.held_since);
-            if late.is_some_and(|s| view.now >= s + view.settings.gang_wait) {
+            if late.is_some_and(|s| context.now >= s + context.settings.gang_wait) {
                 // Guards against a gang over several regions of which another
                 // part never gets room: nobody holds places for it for ever.
                 log::info!("region: {id}: room let go, not all parts have it");
                 if let Some(j) = self.jobs.get_mut(&id) {
                     j.held_since = None;
-                    j.not_before = view.now + 2 * SECOND;
+                    j.not_before = context.now + 2 * SECOND;
                     self.wake.insert((j.not_before, id.clone()));
                 }
-                self.break_gang(&id, view);
+                self.break_gang(&id, context);
             }
             self.dirty_jobs.insert(id.clone());
-            self.rekey_due(&id, view);
+            self.rekey_due(&id, context);
         }
     }
 
     /// The replica was read anew as a whole.
-    pub fn on_loaded(&mut self, view: &View<'_>) {
+    pub fn on_loaded(&mut self, context: &SchedulingContext<'_>) {
         let mut names: BTreeSet<Rc<str>> = self.machines.keys().cloned().collect();
-        let here = view.replica.machines.iter();
+        let here = context.replica.machines.iter();
         names.extend(
             here.filter(|(_, m)| m.value.region == self.name)
                 .map(|(n, _)| Rc::from(n.as_str())),
         );
         for n in names {
-            self.on_machine(&n, view);
+            self.on_machine(&n, context);
         }
         let mut ids: BTreeSet<String> = self.jobs.keys().map(|j| j.to_string()).collect();
-        ids.extend(view.replica.open.iter().cloned());
+        ids.extend(context.replica.open.iter().cloned());
         for id in ids {
-            self.on_job(&id, view, false);
+            self.on_job(&id, context, false);
         }
-        self.on_flavors(view);
+        self.on_flavors(context);
     }
 
     /// A team's shares changed.
@@ -513,35 +521,37 @@
     }
 
     /// What is to be done since the last call.
-    pub fn take_effects(&mut self) -> Vec<Effect> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.out)
     }
 
     /// Whether tasks could be placed but for their team's limit.
     pub fn short_of_quota(&self) -> bool {
-        self.shares.values().any(|s| s.want != Amount::default())
+        self.shares
+            .values()
+            .any(|s| s.want != QuotaAmount::default())
     }
 
     /// The region as told to the other controllers.
-    pub fn report(&self, view: &View<'_>) -> RegionReport {
+    pub fn report(&self, context: &SchedulingContext<'_>) -> RegionReport {
         let waits = self
             .ready
             .values()
             .filter_map(|id| Some((id, self.jobs.get(id)?)))
             .filter(|(_, j)| !j.writing)
-            .filter(|(_, j)| j.failures.is_suspect() || j.not_before <= view.now)
+            .filter(|(_, j)| j.failures.is_suspect() || j.not_before <= context.now)
             .take(200)
-            .map(|(id, j)| WaitLine {
+            .map(|(id, j)| PendingJob {
                 job: id.to_string(),
-                waiting: j.wanted(view.now),
-                since_us: view.now.saturating_sub(j.wait_since),
+                waiting: j.wanted(context.now),
+                since_us: context.now.saturating_sub(j.wait_since),
                 stuck: j.stuck() || j.failures.is_suspect(),
             })
             .collect();
         let mut rooms = Vec::new();
-        for ((flavor, zone, spot), g) in &self.list.groups {
-            let line = |live: bool, free: Room, machines: u32| RoomLine {
-                flavor: flavor.to_string(),
+        for ((machine_type, zone, spot), g) in &self.list.groups {
+            let line = |live: bool, free: Room, machines: u32| PoolCapacity {
+                machine_type: machine_type.to_string(),
                 zone: zone.to_string(),
                 spot: *spot,
                 live,
@@ -564,7 +574,7 @@
                 .iter()
                 .filter(|(_, j)| !j.out.is_empty())
                 .take(500)
-                .map(|(id, j)| CountLine {
+                .map(|(id, j)| RunningTasks {
                     job: id.to_string(),
                     running: j.out.len() as u32,
                 })
