--- a/src/region/commits.rs
+++ b/src/region/commits.rs
@@ -2,48 +2,58 @@
 //! to another region; and what follows from each commit's end.
 
 use super::*;
-use crate::fault_injection::{is_left_out, Guard};
+use crate::fault_injection::{is_disabled, Safeguard};
 
 /// How long the most that a team needed is remembered.
 const PEAK_KEPT: Micros = 15 * SECOND;
 
 impl Region {
     /// Notes under which ticket a commit went out.
-    pub fn sent(&mut self, ticket: u64, purpose: Purpose) {
-        self.tickets.insert(ticket, purpose);
+    pub fn sent(&mut self, ticket: u64, kind: CommitKind) {
+        self.tickets.insert(ticket, kind);
     }
 
     /// Takes the end of a commit, if it was ours.
-    pub fn on_committed(&mut self, ticket: u64, outcome: &Outcome, view: &View<'_>) -> bool {
-        let Some(purpose) = self.tickets.remove(&ticket) else {
+    pub fn on_committed(
+        &mut self,
+        ticket: u64,
+        outcome: &CommitOutcome,
+        context: &SchedulingContext<'_>,
+    ) -> bool {
+        let Some(kind) = self.tickets.remove(&ticket) else {
             return false;
         };
         match outcome {
-            Outcome::Done(_) => self.concluded(purpose, true, view),
-            Outcome::Conflict(revision) => self.conflicts.push((*revision, purpose)),
-            Outcome::Refused => self.concluded(purpose, false, view),
+            CommitOutcome::Committed(_) => self.concluded(kind, true, context),
+            CommitOutcome::Conflict(revision) => self.conflicts.push((*revision, kind)),
+            CommitOutcome::Refused => self.concluded(kind, false, context),
             // May yet be carried out: what it would change stays set aside.
-            Outcome::Unknown => log::error!("region: {purpose:?}: commit ended unknown"),
+            CommitOutcome::Unknown => log::error!("region: {kind:?}: commit ended unknown"),
         }
         true
     }
 
     /// After a conflict nothing is concluded before the replica shows why.
-    pub(super) fn settle_conflicts(&mut self, view: &View<'_>) {
-        let known = view.replica.revision;
+    pub(super) fn settle_conflicts(&mut self, context: &SchedulingContext<'_>) {
+        let known = context.replica.revision;
         let (ready, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.conflicts)
             .into_iter()
             .partition(|(r, _)| *r <= known);
         self.conflicts = rest;
-        for (_, purpose) in ready {
-            log::debug!("region: {purpose:?}: conflict, looking again");
-            self.concluded(purpose, false, view);
+        for (_, kind) in ready {
+            log::debug!("region: {kind:?}: conflict, looking again");
+            self.concluded(kind, false, context);
         }
     }
 
-    pub(super) fn concluded(&mut self, purpose: Purpose, done: bool, view: &View<'_>) {
-        match purpose {
-            Purpose::Progress(id, set) => {
+    pub(super) fn concluded(
+        &mut self,
+        kind: CommitKind,
+        done: bool,
+        context: &SchedulingContext<'_>,
+    ) {
+        match kind {
+            CommitKind::Progress(id, set) => {
                 if let Some(j) = self.jobs.get_mut(&id) {
                     j.writing = false;
                     if done {
@@ -52,24 +62,24 @@
                             self.unwritten.remove(&id);
                         }
                     }
-                    self.write_progress(&id, view);
+                    self.write_progress(&id, context);
                 }
             }
-            Purpose::Finish(id) => {
+            CommitKind::JobDone(id) => {
                 if let Some(j) = self.jobs.get_mut(&id) {
                     j.writing = false;
                 }
                 if !done {
-                    self.on_progress(&id, view);
+                    self.on_progress(&id, context);
                 }
             }
-            Purpose::Share(team) => {
+            CommitKind::QuotaShare(team) => {
                 if let Some(s) = self.shares.get_mut(team.as_str()) {
                     s.pending = None;
                 }
                 self.dirty_teams.insert(team);
             }
-            Purpose::Move(id) => {
+            CommitKind::Rebind(id) => {
                 if let Some(j) = self.jobs.get_mut(&id) {
                     let back = std::mem::take(&mut j.moving);
                     j.writing = false;
@@ -78,10 +88,10 @@
                     }
                 }
                 self.dirty_jobs.insert(id.clone());
-                self.rekey(&id, view);
+                self.rekey(&id, context);
                 self.after_out(&id);
             }
-            Purpose::Open(names) => {
+            CommitKind::ActivateMachines(names) => {
                 self.rolling = false;
                 if done {
                     for n in names {
@@ -89,7 +99,7 @@
                     }
                 }
             }
-            Purpose::Forget(names) => {
+            CommitKind::RemoveMachines(names) => {
                 self.forgetting = false;
                 if done {
                     for n in names {
@@ -109,56 +119,61 @@
         &mut self,
         when: Vec<(Key, u64)>,
         apply: Vec<(Key, Option<serde_json::Value>)>,
-        urgency: Urgency,
-        purpose: Purpose,
+        urgency: CommitPriority,
+        kind: CommitKind,
     ) {
-        let txn = Txn {
+        let txn = Transaction {
             when,
             apply,
             lease: None,
         };
-        self.out.push(Effect::Commit(txn, urgency, purpose));
+        self.out.push(Action::Commit(txn, urgency, kind));
     }
 
     /// Puts finished tasks on record, and the job's end once all are.
-    pub(super) fn write_progress(&mut self, id: &JobId, view: &View<'_>) {
+    pub(super) fn write_progress(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         // Guards against an end written over a cancellation: the replica may show the job
         // cancelled, with the revision to rely on, before we come to that event, when
         // the last task's progress stands before it in the same answer.
-        if view.over(id) {
+        if context.over(id) {
             return;
         }
         let when = self.when();
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.writing || job.over || job.spec.kind == Kind::Service {
+        if job.writing || job.over || job.spec.kind == JobKind::Service {
             return;
         }
-        let mut all = view.replica.done_tasks(id);
+        let mut all = context.replica.done_tasks(id);
         all.add_all(&job.pending);
-        let job_mark = view.replica.version(&Key::Job(id.to_string()));
+        let job_mark = context.replica.version(&Key::Job(id.to_string()));
         let complete = job.complete(all.len());
         if complete {
             let mut apply = vec![(
                 Key::Job(id.to_string()),
                 Some(value(&JobRecord {
-                    stage: Stage::Done,
+                    stage: JobStage::Done,
                     spec: None,
                     parts: Vec::new(),
                     joint: None,
-                    ended: Some(view.wall),
+                    ended: Some(context.wall),
                 })),
             )];
-            if let Some(chunks) = view.replica.progress.get(&**id) {
-                for (r, c) in chunks.keys().take(view.settings.txn_ops - 1) {
+            if let Some(chunks) = context.replica.progress.get(&**id) {
+                for (r, c) in chunks.keys().take(context.settings.txn_ops - 1) {
                     apply.push((Key::Progress(id.to_string(), r.clone(), *c), None));
                 }
             }
             let mut when = when;
             when.push((Key::Job(id.to_string()), job_mark));
             job.writing = true;
-            self.commit(when, apply, Urgency::First, Purpose::Finish(id.clone()));
+            self.commit(
+                when,
+                apply,
+                CommitPriority::Urgent,
+                CommitKind::JobDone(id.clone()),
+            );
             return;
         }
         // A result that is lost costs little: the task, started again, ends as soon
@@ -166,22 +181,22 @@
         // service's rate asks for; but at once where another region waits for
         // them, since it can't see our share of the job otherwise.
         let here = job.mine.len() < job.spec.tasks && job.done.len() >= job.mine.len();
-        let gap = (self.unwritten.len() * view.settings.size()) as f64
-            / (view.settings.store_writes_least * 0.15)
+        let gap = (self.unwritten.len() * context.settings.size()) as f64
+            / (context.settings.store_writes_least * 0.15)
             * 1e6;
         let gap = (gap as Micros).max(3 * SECOND);
-        let job_age = view.now.saturating_sub(job.last_write);
+        let job_age = context.now.saturating_sub(job.last_write);
         if job.pending.is_empty() || (!here && job_age < gap) || job_age < SECOND {
             return;
         }
-        job.last_write = view.now;
+        job.last_write = context.now;
         let mut when = when;
         // A job that was moved or ended meanwhile is looked at again first.
         when.push((Key::Job(id.to_string()), job_mark));
         let mut apply = Vec::new();
         let mut written = RangeSet::default();
         let mut chunk_done: Option<u32> = None;
-        let most = (view.settings.txn_ops - 1).min(8);
+        let most = (context.settings.txn_ops - 1).min(8);
         for (s, e) in job.pending.iter() {
             for chunk in s / CHUNK..=(e - 1) / CHUNK {
                 let (a, b) = (s.max(chunk * CHUNK), e.min((chunk + 1) * CHUNK));
@@ -196,7 +211,7 @@
                 written.add(a, b);
                 let key = Key::Progress(id.to_string(), self.name.clone(), chunk);
                 let mut set = RangeSet::default();
-                if let Some(old) = view
+                if let Some(old) = context
                     .replica
                     .progress
                     .get(&**id)
@@ -205,7 +220,7 @@
                     read_bitmap(&old.value, chunk, &mut set);
                 }
                 set.add_all(&job.pending);
-                when.push((key.clone(), view.replica.version(&key)));
+                when.push((key.clone(), context.replica.version(&key)));
                 apply.push((key, Some(value(&bitmap(&set, chunk)))));
             }
         }
@@ -213,8 +228,8 @@
         self.commit(
             when,
             apply,
-            Urgency::Later,
-            Purpose::Progress(id.clone(), written),
+            CommitPriority::Background,
+            CommitKind::Progress(id.clone(), written),
         );
     }
 
@@ -222,22 +237,26 @@
     /// Guards against a job whose last tasks two regions put on record at the
     /// same moment, neither of them seeing the other's: whoever then sees that
     /// all are there ends it.
-    pub fn on_progress(&mut self, id: &str, view: &View<'_>) {
+    pub fn on_progress(&mut self, id: &str, context: &SchedulingContext<'_>) {
         let Some((id, job)) = self.jobs.get_key_value(id) else {
             return;
         };
-        if job.complete(view.replica.done_tasks(id).len() + job.pending.len()) {
+        if job.complete(context.replica.done_tasks(id).len() + job.pending.len()) {
             let id = id.clone();
-            self.write_progress(&id, view);
+            self.write_progress(&id, context);
         }
     }
 
     /// What the region may use for a team just now.
-    pub(super) fn headroom(&self, team: &str, view: &View<'_>) -> Amount {
-        if view.settings.team(team).is_some_and(|t| t.limit.is_none()) {
-            return Amount::UNBOUNDED;
+    pub(super) fn headroom(&self, team: &str, context: &SchedulingContext<'_>) -> QuotaAmount {
+        if context
+            .settings
+            .team(team)
+            .is_some_and(|t| t.limit.is_none())
+        {
+            return QuotaAmount::UNBOUNDED;
         }
-        let rec = view.replica.quotas.get(team).map(|q| &q.value);
+        let rec = context.replica.quotas.get(team).map(|q| &q.value);
         let mut share = quota::share(rec, &self.name);
         match self.shares.get(team) {
             None => share,
@@ -245,7 +264,7 @@
                 if let Some(p) = s.pending {
                     share = share.min(p);
                 }
-                if self.settled || is_left_out(Guard::InheritedShares) {
+                if self.settled || is_disabled(Safeguard::InheritedShares) {
                     share.minus(s.used)
                 } else {
                     share.minus(s.inherited).minus(s.fresh)
@@ -258,21 +277,21 @@
     /// Shares go up by more than is needed just now and down only after a while,
     /// or when other regions find the limit used up: each change counts against
     /// the state service's rate.
-    pub(super) fn share_out(&mut self, view: &View<'_>) {
-        self.count_wants(view);
-        let (regions, settled) = (view.settings.size() as u64, self.settled);
+    pub(super) fn share_out(&mut self, context: &SchedulingContext<'_>) {
+        self.count_wants(context);
+        let (regions, settled) = (context.settings.size() as u64, self.settled);
         let teams: Vec<Rc<str>> = self.shares.keys().cloned().collect();
         for team in teams {
             // A team without a limit needs no share of one.
-            let Some(limit) = view.settings.team(&team).and_then(|t| t.limit) else {
+            let Some(limit) = context.settings.team(&team).and_then(|t| t.limit) else {
                 continue;
             };
-            let rec = view.replica.quotas.get(&*team);
+            let rec = context.replica.quotas.get(&*team);
             let have = quota::share(rec.map(|r| &r.value), &self.name);
             let Some(s) = self.shares.get_mut(&team) else {
                 continue;
             };
-            s.rest(view.now);
+            s.rest(context.now);
             let used = if settled {
                 s.used
             } else {
@@ -283,13 +302,13 @@
             // first, and the others take nothing and give back what they don't use.
             // By age alone a gang of high priority waited for ever while another region's
             // older, lesser jobs followed each other.
-            let yields = view
+            let yields = context
                 .short
                 .get(&*team)
                 .is_some_and(|at| s.turn.is_none_or(|o| *at < o));
             // Guards against a share that is kept for tasks to come while another region
             // has room and lacks it: what runs here will leave its share to them.
-            let ahead = if view.short.contains_key(&*team) {
+            let ahead = if context.short.contains_key(&*team) {
                 s.ahead.minus(used)
             } else {
                 s.ahead
@@ -299,15 +318,15 @@
             } else {
                 used.plus(s.want).plus(ahead)
             };
-            if !target.within(s.peak) || view.now > s.peak_at + PEAK_KEPT {
+            if !target.within(s.peak) || context.now > s.peak_at + PEAK_KEPT {
                 s.peak = target;
-                s.peak_at = view.now;
+                s.peak_at = context.now;
             }
             s.starved = false;
             if s.pending.is_some() {
                 continue;
             }
-            let spare = |part: u64| Amount {
+            let spare = |part: u64| QuotaAmount {
                 cpus: limit.cpus / part / regions,
                 gpus: limit.gpus / part / regions,
             };
@@ -316,14 +335,14 @@
                 let more = target.plus(spare(4));
                 let own = quota::propose(rec.map(|r| &r.value), &self.name, limit, more);
                 s.starved = own.as_ref().is_none_or(|(_, new)| !target.within(*new));
-                s.note_hoarding(used, have, view.now);
+                s.note_hoarding(used, have, context.now);
                 match own {
                     Some((_, new)) if more.within(new) => more,
                     _ => target,
                 }
             } else if !settled {
                 continue;
-            } else if view.short.contains_key(&*team) && have != target {
+            } else if context.short.contains_key(&*team) && have != target {
                 target
             } else if !have.within(s.peak.plus(spare(2))) {
                 s.peak.plus(spare(4))
@@ -343,28 +362,33 @@
             let mut when = vec![(Key::Region(self.name.clone()), self.version)];
             when.push((key.clone(), rec.map_or(0, |r| r.version)));
             let apply = vec![(key, Some(value(&q)))];
-            self.commit(when, apply, Urgency::Next, Purpose::Share(team.to_string()));
+            self.commit(
+                when,
+                apply,
+                CommitPriority::Normal,
+                CommitKind::QuotaShare(team.to_string()),
+            );
         }
     }
 
     /// The leader asks for waiting tasks to be given away. Only tasks that are
     /// on no machine move; a job whose tasks must keep together moves whole.
-    pub fn give(&mut self, job: &str, to: &str, count: u32, view: &View<'_>) {
+    pub fn give(&mut self, job: &str, to: &str, count: u32, context: &SchedulingContext<'_>) {
         let when = self.when();
         let Some(id) = self.jobs.get_key_value(job).map(|(k, _)| k.clone()) else {
             return;
         };
-        let Some(rec) = view.replica.jobs.get(job) else {
+        let Some(rec) = context.replica.jobs.get(job) else {
             return;
         };
         let me = self.name.clone();
         let Some(j) = self.jobs.get_mut(&id) else {
             return;
         };
-        if j.over || j.writing || to == me || j.waiting.is_empty() || view.over(job) {
+        if j.over || j.writing || to == me || j.waiting.is_empty() || context.over(job) {
             return;
         }
-        let whole = j.spec.kind == Kind::Gang || j.spec.one_zone || j.spec.spread;
+        let whole = j.spec.kind == JobKind::Gang || j.spec.one_zone || j.spec.spread;
         let set = if whole {
             // All of it, or all of our part of a gang over several regions.
             if j.waiting.len() != j.mine.len()
@@ -376,19 +400,19 @@
         } else {
             j.waiting.last_n(count)
         };
-        let mut owners: Vec<Part> = Vec::new();
-        for Part(a, b, r) in &rec.value.parts {
+        let mut owners: Vec<TaskRange> = Vec::new();
+        for TaskRange(a, b, r) in &rec.value.parts {
             let mut keep = RangeSet::from_range(*a, *b);
             if *r == me {
                 keep.remove_all(&set);
             }
-            owners.extend(keep.iter().map(|(s, e)| Part(s, e, r.clone())));
+            owners.extend(keep.iter().map(|(s, e)| TaskRange(s, e, r.clone())));
         }
-        owners.extend(set.iter().map(|(s, e)| Part(s, e, to.to_owned())));
+        owners.extend(set.iter().map(|(s, e)| TaskRange(s, e, to.to_owned())));
         owners.sort_by_key(|p| p.0);
         // Once the last part of a gang is with nobody, it is bound anew.
         let free = owners.iter().all(|p| p.2.is_empty());
-        let mut parts: Vec<Part> = Vec::new();
+        let mut parts: Vec<TaskRange> = Vec::new();
         for p in owners {
             match parts.last_mut() {
                 Some(l) if l.1 == p.0 && l.2 == p.2 => l.1 = p.1,
@@ -421,7 +445,7 @@
                 ..rec.value.clone()
             })),
         )];
-        self.rekey(&id, view);
-        self.commit(when, apply, Urgency::Next, Purpose::Move(id));
+        self.rekey(&id, context);
+        self.commit(when, apply, CommitPriority::Normal, CommitKind::Rebind(id));
     }
 }
--- a/src/region/failure_attribution.rs
+++ b/src/region/failure_attribution.rs
@@ -52,7 +52,7 @@
         let was = self.health;
         if !has_results
             && self.machines.len() >= SUSPECT_MACHINES
-            && !is_left_out(Guard::SuspectJobs)
+            && !is_disabled(Safeguard::SuspectJobs)
         {
             self.health = JobHealth::Suspect;
         }
@@ -119,21 +119,26 @@
 
 impl Region {
     /// A task of a job failed on a machine. Returns for how long the job is not tried.
-    pub(super) fn on_failed(&mut self, machine: &str, id: &JobId, view: &View<'_>) -> Micros {
+    pub(super) fn on_failed(
+        &mut self,
+        machine: &str,
+        id: &JobId,
+        context: &SchedulingContext<'_>,
+    ) -> Micros {
         let Some(job) = self.jobs.get_mut(id) else {
             return 0;
         };
         // A service has no results, so nothing could ever clear it.
-        let has_results = job.spec.kind == Kind::Service
+        let has_results = job.spec.kind == JobKind::Service
             || !job.done.is_empty()
-            || view.replica.progress.contains_key(&**id);
+            || context.replica.progress.contains_key(&**id);
         let turned = job.failures.failed(machine, has_results);
         let suspect = job.failures.is_suspect();
         let delay = job.failures.delay();
         if turned {
             self.on_suspect(id);
         } else if !suspect {
-            self.blame_machine(machine, id, has_results, view);
+            self.blame_machine(machine, id, has_results, context);
         }
         delay
     }
@@ -164,11 +169,11 @@
 
     /// Takes back what was assigned of a suspect array and not sent yet: it is tried a
     /// task at a time.
-    pub(super) fn withdraw_unsent(&mut self, id: &JobId, view: &View<'_>) {
+    pub(super) fn withdraw_unsent(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        if job.spec.kind == Kind::Gang {
+        if job.spec.kind == JobKind::Gang {
             return;
         }
         let unsent: Vec<u32> = job
@@ -179,16 +184,22 @@
                     .machines
                     .get(*name)
                     .and_then(|m| m.tasks.get(&(id.clone(), **n)));
-                held.is_some_and(|h| h.place == Place::Assigned)
+                held.is_some_and(|h| h.place == TaskState::Assigned)
             })
             .map(|(n, _)| *n)
             .collect();
         for n in unsent {
-            self.transition(id, n, Place::Waiting, None, view.now);
+            self.transition(id, n, TaskState::Pending, None, context.now);
         }
     }
 
-    fn blame_machine(&mut self, machine: &str, id: &JobId, has_results: bool, view: &View<'_>) {
+    fn blame_machine(
+        &mut self,
+        machine: &str,
+        id: &JobId,
+        has_results: bool,
+        context: &SchedulingContext<'_>,
+    ) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
@@ -196,7 +207,7 @@
         if m.failures.is_faulty() && m.closed.is_none() {
             log::info!("region: {machine}: closed, its tasks keep failing");
             m.closed = Some("faulty");
-            self.revisit_at(machine, view.now);
+            self.revisit_at(machine, context.now);
         }
     }
 }
--- a/src/region/failure_attribution/tests.rs
+++ b/src/region/failure_attribution/tests.rs
@@ -21,7 +21,7 @@
 /// faulty machine still brings about.
 #[test]
 fn jobs_at_fault_are_told_from_faulty_machines() {
-    // Kind, tasks, processors of each, most starts in five minutes.
+    // JobKind, tasks, processors of each, most starts in five minutes.
     for (kind, tasks, cpus, most) in [
         ("a", 40, 1_000_000, 60),
         ("a", 1, 1_000_000, 14),
@@ -68,8 +68,8 @@
 /// later try succeeds. With the guard left out they keep taking machines.
 #[test]
 fn a_suspect_job_takes_nothing_from_others() {
-    let served = |left_out: Option<Guard>| {
-        crate::fault_injection::leave_out(left_out);
+    let served = |disabled: Option<Safeguard>| {
+        crate::fault_injection::disable(disabled);
         let mut shop = Shop::new(4);
         shop.submit("req-1", "a", "red", 400, 2_000_000, 2 * SECOND);
         shop.broken.insert("req-1".into());
@@ -80,10 +80,10 @@
         }
         let now = play(&mut shop, now, 60);
         let tries = shop.starts["req-1"] - before;
-        crate::fault_injection::leave_out(None);
+        crate::fault_injection::disable(None);
         (shop, now, tries)
     };
-    let (_, _, tries) = served(Some(Guard::SuspectJobs));
+    let (_, _, tries) = served(Some(Safeguard::SuspectJobs));
     assert!(tries > 10, "left out: {tries} tries");
     let (mut shop, now, tries) = served(None);
     assert!((1..=4).contains(&tries), "{tries} tries");
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -9,7 +9,7 @@
 const HOLD_AFTER: Micros = 60 * SECOND;
 
 impl Region {
-    pub(super) fn place_gang(&mut self, id: &JobId, view: &View<'_>) {
+    pub(super) fn place_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
         // Of a gang over several regions, only this region's part is placed here.
@@ -29,10 +29,10 @@
         let tasks: Vec<u32> = job.waiting.numbers().collect();
         let (since, joint) = (job.wait_since, job.joint.clone());
         for zone in self.zones_for(job) {
-            if self.room_for(id, zone.as_deref(), n as u64, view) < n as u64 {
+            if self.room_for(id, zone.as_deref(), n as u64, context) < n as u64 {
                 continue;
             }
-            if !need.within(self.headroom(&spec.team, view)) {
+            if !need.within(self.headroom(&spec.team, context)) {
                 if let Some(j) = self.jobs.get_mut(id) {
                     j.short = true;
                 }
@@ -46,7 +46,7 @@
             let mut full = BTreeSet::new();
             let mut placed = 0;
             for t in &tasks {
-                let Some(name) = self.best_machine(id, zone.as_deref(), &full, view) else {
+                let Some(name) = self.best_machine(id, zone.as_deref(), &full, context) else {
                     break;
                 };
                 if spec.spread {
@@ -58,12 +58,18 @@
                         }
                     }
                 }
-                self.transition(id, *t, Place::Assigned, Some((&name, attempt)), view.now);
+                self.transition(
+                    id,
+                    *t,
+                    TaskState::Assigned,
+                    Some((&name, attempt)),
+                    context.now,
+                );
                 placed += 1;
             }
             if placed < tasks.len() {
                 for t in &tasks[..placed] {
-                    self.transition(id, *t, Place::Waiting, None, view.now);
+                    self.transition(id, *t, TaskState::Pending, None, context.now);
                 }
                 self.dirty_jobs.remove(id);
                 if let Some(j) = self.jobs.get_mut(id) {
@@ -78,14 +84,14 @@
             if joint.is_some() {
                 log::info!("region: {id}: room held for our part, attempt {attempt}");
                 if let Some(j) = self.jobs.get_mut(id) {
-                    j.held_since = Some(view.now);
+                    j.held_since = Some(context.now);
                 }
                 self.wake
-                    .insert((view.now + view.settings.gang_wait, id.clone()));
+                    .insert((context.now + context.settings.gang_wait, id.clone()));
             }
             return;
         }
-        self.hold_for(id, view);
+        self.hold_for(id, context);
     }
 
     /// Parts of gangs over several regions for which room is held here.
@@ -97,7 +103,7 @@
     }
 
     /// All parts of a gang over several regions have room: start ours.
-    pub fn go(&mut self, id: &str, attempt: u64, view: &View<'_>) {
+    pub fn go(&mut self, id: &str, attempt: u64, context: &SchedulingContext<'_>) {
         let Some((id, job)) = self.jobs.get_key_value(id) else {
             return;
         };
@@ -115,14 +121,14 @@
         for (n, name) in out {
             if let Some(h) = self.held_mut(&id, n, &name) {
                 h.wait_go = false;
-                h.since = view.now;
+                h.since = context.now;
             }
         }
     }
 
     /// A gang finds no room: if it is the first in line to wait, the places that
     /// fall free are kept for it.
-    pub(super) fn hold_for(&mut self, id: &JobId, view: &View<'_>) {
+    pub(super) fn hold_for(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         if self.hold.is_some() {
             return;
         }
@@ -131,9 +137,10 @@
             return;
         }
         // Since its submission: it may have been moved here.
-        let age = view.wall.saturating_sub(job.spec.submitted);
+        let age = context.wall.saturating_sub(job.spec.submitted);
         if age < HOLD_AFTER {
-            self.wake.insert((view.now + HOLD_AFTER - age, id.clone()));
+            self.wake
+                .insert((context.now + HOLD_AFTER - age, id.clone()));
             return;
         }
         let n = job.mine.len() as u64;
@@ -145,7 +152,7 @@
                 let could = self.list.potential(&job.spec, wide, |k| {
                     job.spec.permits(&k.0, &k.1, k.2) && zone.as_ref().is_none_or(|z| *z == k.1)
                 });
-                let room = self.room_for(id, zone.as_deref(), n, view);
+                let room = self.room_for(id, zone.as_deref(), n, context);
                 (could >= n, room, zone)
             })
             .max();
@@ -153,7 +160,7 @@
             return;
         };
         log::info!("region: {id}: places are kept for it, {room} of {n} free");
-        self.hold = Some(Hold {
+        self.hold = Some(GangReservation {
             job: id.clone(),
             priority: job.spec.priority,
             team: job.spec.team.clone(),
@@ -163,11 +170,11 @@
             until: 0,
             looked: 0,
         });
-        self.watch_hold(view);
+        self.watch_hold(context);
     }
 
     /// Looks whether places must still be held, and until when they will fill.
-    pub(super) fn watch_hold(&mut self, view: &View<'_>) {
+    pub(super) fn watch_hold(&mut self, context: &SchedulingContext<'_>) {
         let Some(h) = &self.hold else { return };
         let stays = self
             .jobs
@@ -178,7 +185,7 @@
             self.dirty_all = true;
             return;
         };
-        if view.now < h.looked + 2 * SECOND {
+        if context.now < h.looked + 2 * SECOND {
             return;
         }
         let short = job.short;
@@ -202,10 +209,10 @@
                     .filter(|(_, t)| t.narrow || g.kept.is_none())
                     .filter_map(|((id, _), t)| {
                         let est = self.jobs.get(id)?.spec.estimate;
-                        Some(t.ran_at.unwrap_or(view.now) + est)
+                        Some(t.ran_at.unwrap_or(context.now) + est)
                     })
                     .max();
-                free_at.push((ends.unwrap_or(0).max(view.now), each));
+                free_at.push((ends.unwrap_or(0).max(context.now), each));
             }
         }
         free_at.sort_unstable();
@@ -216,7 +223,7 @@
         });
         if let Some(h) = &mut self.hold {
             h.until = until.unwrap_or(0);
-            h.looked = view.now;
+            h.looked = context.now;
             h.short = short;
             h.outranked = outranked;
         }
--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -5,40 +5,44 @@
 impl Region {
     /// Takes a report and says what to answer. The caller has checked our
     /// authority and checks it again when the answer is written.
-    pub fn on_report(&mut self, r: &Report, view: &View<'_>) -> Verdict {
+    pub fn on_heartbeat(
+        &mut self,
+        r: &Heartbeat,
+        context: &SchedulingContext<'_>,
+    ) -> HeartbeatOutcome {
         let Some((name, m)) = self.machines.get_key_value(&*r.machine) else {
-            return Verdict::UnknownMachine;
+            return HeartbeatOutcome::UnknownMachine;
         };
         let name = name.clone();
         // Guards against reports that were held back, and copies: they are as
         // old as their number says, and what they list may long be untrue.
-        let believe = is_left_out(Guard::ReportOrder);
+        let believe = is_disabled(Safeguard::ReportOrder);
         if r.order <= m.order && !believe {
-            return Verdict::Stale;
+            return HeartbeatOutcome::Stale;
         }
         // Guards against one that comes in after we have found the machine's lease
         // over: had it been sent since, its session would be a later one.
-        if m.standing == Standing::Empty && r.order.0 <= m.order.0 && !believe {
-            return Verdict::Stale;
+        if m.standing == MachineState::LeaseExpired && r.order.0 <= m.order.0 && !believe {
+            return HeartbeatOutcome::Stale;
         }
         // A report that a machine sent before the cloud took it back.
         if m.gone {
-            return Verdict::UnknownMachine;
+            return HeartbeatOutcome::UnknownMachine;
         }
         if r.token > self.token {
-            return Verdict::Outranked;
+            return HeartbeatOutcome::Superseded;
         }
         if r.token < self.token {
-            return self.greet(&name, view);
+            return self.greet(&name, context);
         }
-        let first = m.standing != Standing::Live;
+        let first = m.standing != MachineState::Ready;
         let booted = m.order == (0, 0) && m.dealt_at > self.taken_at;
-        let sent = m.tasks.values().any(|h| h.place == Place::Sent);
-        let rose = self.listen(&name, r, view);
+        let sent = m.tasks.values().any(|h| h.place == TaskState::Dispatched);
+        let rose = self.listen(&name, r, context);
         if first {
             log::info!("region: {name}: live in {}", self.name);
             if booted {
-                self.note_arrival(&name, view.now);
+                self.note_arrival(&name, context.now);
             }
             self.awaited.remove(&name);
             self.dirty_machines.insert(name.clone());
@@ -46,55 +50,55 @@
         let mut commands = Vec::new();
         let mut listed: BTreeSet<(JobId, u32)> = BTreeSet::new();
         for t in &r.tasks {
-            self.on_reported(&name, t, view, &mut listed, &mut commands);
+            self.on_reported(&name, t, context, &mut listed, &mut commands);
         }
-        let missing: Vec<(JobId, u32, Place)> = self.machines[&name]
+        let missing: Vec<(JobId, u32, TaskState)> = self.machines[&name]
             .tasks
             .iter()
-            .filter(|(k, h)| h.place != Place::Assigned && !listed.contains(*k))
+            .filter(|(k, h)| h.place != TaskState::Assigned && !listed.contains(*k))
             .map(|(k, h)| (k.0.clone(), k.1, h.place))
             .collect();
-        let unheeded = missing.iter().any(|(_, _, p)| *p == Place::Sent);
+        let unheeded = missing.iter().any(|(_, _, p)| *p == TaskState::Dispatched);
         let heeded = sent.then_some(!unheeded);
         for (id, n, _) in missing {
-            self.lost(&id, n, "not on its machine", view);
+            self.lost(&id, n, "not on its machine", context);
         }
-        self.judge_hearing(&name, rose, heeded, view);
+        self.judge_hearing(&name, rose, heeded, context);
         self.relist(&name);
         if !self.settled {
-            self.try_finish_recovery(view);
+            self.try_finish_recovery(context);
         }
-        self.place(view);
-        self.draw(&name, view);
-        self.command(&name, view, &mut commands);
-        Verdict::Commands(commands)
+        self.place(context);
+        self.draw(&name, context);
+        self.command(&name, context, &mut commands);
+        HeartbeatOutcome::Accepted(commands)
     }
 
     pub(super) fn on_reported(
         &mut self,
         machine: &Rc<str>,
         t: &crate::worker_protocol::ReportedTask,
-        view: &View<'_>,
+        context: &SchedulingContext<'_>,
         listed: &mut BTreeSet<(JobId, u32)>,
         commands: &mut Vec<Command>,
     ) {
-        let rec = view.replica.jobs.get(&*t.job).map(|r| &r.value);
+        let rec = context.replica.jobs.get(&*t.job).map(|r| &r.value);
         let held = self.machines[machine]
             .tasks
             .get(&(t.job.clone(), t.task))
             .map(|h| (h.attempt, h.place));
-        if let OnMachine::Ended(end) = t.stage {
-            let ours = held.is_some_and(|(a, p)| a == t.attempt && p != Place::Assigned);
-            if ours || end == End::Done {
-                self.on_ended(machine, t, end, ours, view);
+        if let ReportedState::Ended(end) = t.stage {
+            let ours = held.is_some_and(|(a, p)| a == t.attempt && p != TaskState::Assigned);
+            if ours || end == ExitReason::Done {
+                self.on_ended(machine, t, end, ours, context);
             }
-            let open = !view.over(&t.job);
+            let open = !context.over(&t.job);
             let recorded = self
                 .jobs
                 .get(&t.job)
                 .is_none_or(|j| j.done.contains(t.task) && !j.pending.contains(t.task));
             // A result is forgotten only once it is on record.
-            if end != End::Done || !open || recorded {
+            if end != ExitReason::Done || !open || recorded {
                 commands.push(Command::Reap(t.job.clone(), t.task, t.attempt));
             }
             return;
@@ -102,12 +106,12 @@
         let key = (t.job.clone(), t.task);
         match held {
             Some((a, p)) if a == t.attempt => {
-                if p != Place::On(t.stage) {
+                if p != TaskState::Reported(t.stage) {
                     if let Some(m) = self.machines.get_mut(machine) {
                         if let Some(h) = m.tasks.get_mut(&key) {
-                            h.place = Place::On(t.stage);
-                            if t.stage == OnMachine::Running {
-                                h.ran_at.get_or_insert(view.now);
+                            h.place = TaskState::Reported(t.stage);
+                            if t.stage == ReportedState::Running {
+                                h.ran_at.get_or_insert(context.now);
                             }
                         }
                     }
@@ -115,7 +119,7 @@
                 listed.insert(key);
             }
             _ => {
-                if self.adopt(machine, t, rec, view) {
+                if self.adopt(machine, t, rec, context) {
                     listed.insert(key);
                 } else {
                     commands.push(Command::Stop(t.job.clone(), t.task, t.attempt, 0));
@@ -131,15 +135,15 @@
         machine: &str,
         t: &crate::worker_protocol::ReportedTask,
         rec: Option<&JobRecord>,
-        view: &View<'_>,
+        context: &SchedulingContext<'_>,
     ) -> bool {
-        let over = view.over(&t.job);
+        let over = context.over(&t.job);
         if let (true, Some(spec)) = (over, rec.and_then(|r| r.spec.as_ref())) {
             // Cancelled, but still there: counts against the limit until gone.
-            let narrow_to = narrow_type(spec, view.replica);
+            let narrow_to = only_fitting_type(spec, context.replica);
             self.jobs.entry(t.job.clone()).or_insert_with(|| Job {
                 over: true,
-                ..Job::new(spec, narrow_to, view.now)
+                ..Job::new(spec, narrow_to, context.now)
             });
         }
         let Some(job) = self.jobs.get(&t.job) else {
@@ -165,9 +169,9 @@
         self.transition(
             &t.job,
             t.task,
-            Place::On(t.stage),
+            TaskState::Reported(t.stage),
             Some((machine, t.attempt)),
-            view.now,
+            context.now,
         );
         true
     }
@@ -176,31 +180,31 @@
         &mut self,
         machine: &str,
         t: &crate::worker_protocol::ReportedTask,
-        end: End,
+        end: ExitReason,
         ours: bool,
-        view: &View<'_>,
+        context: &SchedulingContext<'_>,
     ) {
         let Some(job) = self.jobs.get_mut(&t.job) else {
             return;
         };
-        let service = job.spec.kind == Kind::Service;
-        if end == End::Done && !service {
+        let service = job.spec.kind == JobKind::Service;
+        if end == ExitReason::Done && !service {
             if job.over || job.done.contains(t.task) || !job.mine.contains(t.task) {
                 if ours {
-                    self.transition(&t.job, t.task, Place::Done, None, view.now);
+                    self.transition(&t.job, t.task, TaskState::Done, None, context.now);
                     self.after_out(&t.job);
                 }
                 return;
             }
             // Only what is on no other machine can be settled here; a result
             // is final wherever it was found.
-            let tasks: Vec<u32> = if job.spec.kind == Kind::Gang {
+            let tasks: Vec<u32> = if job.spec.kind == JobKind::Gang {
                 job.mine.numbers().collect()
             } else {
                 vec![t.task]
             };
             job.failures.succeeded();
-            let gang = job.spec.kind == Kind::Gang;
+            let gang = job.spec.kind == JobKind::Gang;
             for n in tasks {
                 // Done, yet held on another machine: it counts there until that
                 // machine is rid of it. Guards against a gang of which one
@@ -213,7 +217,7 @@
                     .as_ref()
                     .and_then(|at| self.machines.get_mut(at))
                     .and_then(|m| m.tasks.get_mut(&(t.job.clone(), n)))
-                    .filter(|h| h.place != Place::Assigned);
+                    .filter(|h| h.place != TaskState::Assigned);
                 if let Some(h) = held {
                     if !gang {
                         log::error!(
@@ -229,13 +233,13 @@
                     }
                     continue;
                 }
-                self.transition(&t.job, n, Place::Done, None, view.now);
+                self.transition(&t.job, n, TaskState::Done, None, context.now);
             }
             if let Some(m) = self.machines.get_mut(machine) {
                 m.failures.succeeded();
             }
             self.after_out(&t.job);
-            self.write_progress(&t.job, view);
+            self.write_progress(&t.job, context);
             return;
         }
         if !ours {
@@ -243,33 +247,38 @@
         }
         log::debug!("region: {}/{}: ended on {machine}: {end:?}", t.job, t.task);
         let wait = match end {
-            End::Error => self.on_failed(machine, &t.job, view),
-            End::Unknown => 5 * SECOND,
-            End::Full => {
+            ExitReason::Failed => self.on_failed(machine, &t.job, context),
+            ExitReason::UnknownTask => 5 * SECOND,
+            ExitReason::NoCapacity => {
                 log::info!("region: {machine}: refused {}/{}: full", t.job, t.task);
                 SECOND
             }
-            End::Busy => SECOND,
+            ExitReason::AttemptConflict => SECOND,
             _ => 0,
         };
         let Some(job) = self.jobs.get_mut(&t.job) else {
             return;
         };
         if wait > 0 {
-            job.not_before = job.not_before.max(view.now + wait);
+            job.not_before = job.not_before.max(context.now + wait);
             self.wake.insert((job.not_before, t.job.clone()));
         }
         let suspect = job.failures.is_suspect();
-        self.lost(&t.job, t.task, "ended", view);
+        self.lost(&t.job, t.task, "ended", context);
         if suspect {
-            self.withdraw_unsent(&t.job, view);
-            let again = view.now + failure_attribution::TRY_AGAIN_AFTER + SECOND;
+            self.withdraw_unsent(&t.job, context);
+            let again = context.now + failure_attribution::TRY_AGAIN_AFTER + SECOND;
             self.wake.insert((again, t.job.clone()));
         }
     }
 
     /// Adds stops and starts for a machine that was just heard from.
-    pub(super) fn command(&mut self, machine: &str, view: &View<'_>, commands: &mut Vec<Command>) {
+    pub(super) fn command(
+        &mut self,
+        machine: &str,
+        context: &SchedulingContext<'_>,
+        commands: &mut Vec<Command>,
+    ) {
         let mut withdrawn = Vec::new();
         let Some(m) = self.machines.get_mut(machine) else {
             return;
@@ -280,8 +289,8 @@
                 break;
             }
             match (h.place, h.stop) {
-                (Place::Assigned, Some(_)) => withdrawn.push((id.clone(), *n)),
-                (Place::On(_) | Place::Sent, Some(grace)) => {
+                (TaskState::Assigned, Some(_)) => withdrawn.push((id.clone(), *n)),
+                (TaskState::Reported(_) | TaskState::Dispatched, Some(grace)) => {
                     commands.push(Command::Stop(id.clone(), *n, h.attempt, grace));
                 }
                 _ => {}
@@ -290,13 +299,13 @@
         for ((id, n), h) in m.tasks.iter_mut() {
             // Guards against starts of jobs whose cancellation was confirmed while
             // the state service refuses us: what we know is some seconds old.
-            if commands.len() >= MAX_COMMANDS || !view.starts {
+            if commands.len() >= MAX_COMMANDS || !context.starts {
                 break;
             }
-            if h.place == Place::Assigned && h.stop.is_none() && !h.wait_go {
+            if h.place == TaskState::Assigned && h.stop.is_none() && !h.wait_go {
                 self.unsent.remove(&(h.since, id.clone(), *n));
-                h.place = Place::Sent;
-                h.since = view.now;
+                h.place = TaskState::Dispatched;
+                h.since = context.now;
                 log::debug!(
                     "region: {id}/{n}: start on {machine}, attempt {}",
                     h.attempt
@@ -305,8 +314,8 @@
             }
         }
         for (id, n) in withdrawn {
-            self.transition(&id, n, Place::Waiting, None, view.now);
-            self.rekey(&id, view);
+            self.transition(&id, n, TaskState::Pending, None, context.now);
+            self.rekey(&id, context);
         }
     }
 }
--- a/src/region/job.rs
+++ b/src/region/job.rs
@@ -29,7 +29,7 @@
     /// Its team's share was too small last time.
     pub(super) short: bool,
     /// Of a gang over several regions: what its parts have in common.
-    pub(super) joint: Option<Joint>,
+    pub(super) joint: Option<MultiRegionAttempt>,
     pub(super) given_up: bool,
     /// The joint attempt that was started last, and since when room is held for
     /// one that was not.
@@ -71,8 +71,8 @@
     /// one part's result is known and the other's machine is gone: that part would
     /// wait for ever for mates that are done.
     pub(super) fn complete(&self, results: u32) -> bool {
-        let any = is_left_out(Guard::CompleteResults) && results > 0;
-        any || results >= self.spec.tasks || (self.spec.kind == Kind::Gang && results > 0)
+        let any = is_disabled(Safeguard::CompleteResults) && results > 0;
+        any || results >= self.spec.tasks || (self.spec.kind == JobKind::Gang && results > 0)
     }
 
     /// How many of its tasks are to be started or moved now: of a suspect array one at a
@@ -80,9 +80,11 @@
     /// while, since a try may take long.
     pub(super) fn wanted(&self, now: Micros) -> u32 {
         let waiting = self.waiting.len();
-        if !self.failures.is_suspect() || self.spec.kind == Kind::Gang {
+        if !self.failures.is_suspect() || self.spec.kind == JobKind::Gang {
             waiting
-        } else if self.out.is_empty() || now > self.last_assigned + failure_attribution::TRY_AGAIN_AFTER {
+        } else if self.out.is_empty()
+            || now > self.last_assigned + failure_attribution::TRY_AGAIN_AFTER
+        {
             waiting.min(1)
         } else {
             0
--- a/src/region/job_lifecycle.rs
+++ b/src/region/job_lifecycle.rs
@@ -5,8 +5,8 @@
 impl Region {
     /// Enters a job's record. `taking`: as found when the region was taken, so
     /// its tasks may have been started by a former owner.
-    pub fn on_job(&mut self, id: &str, view: &View<'_>, taking: bool) {
-        let Some(rec) = view.replica.jobs.get(id).map(|r| &r.value) else {
+    pub fn on_job(&mut self, id: &str, context: &SchedulingContext<'_>, taking: bool) {
+        let Some(rec) = context.replica.jobs.get(id).map(|r| &r.value) else {
             return;
         };
         if let Some(s) = &rec.spec {
@@ -16,9 +16,9 @@
         }
         let mine = rec.tasks_of(&self.name);
         let key = self.jobs.get_key_value(id).map(|(k, _)| k.clone());
-        if view.over(id) {
+        if context.over(id) {
             if let Some(id) = key {
-                self.end_job(&id, view);
+                self.end_job(&id, context);
             }
             return;
         }
@@ -27,28 +27,28 @@
         };
         // Only ready jobs are bound. Guards against records that say otherwise, of a
         // damaged store perhaps: nothing of such a job may start.
-        if key.is_none() && !view.replica.is_ready(spec) {
+        if key.is_none() && !context.replica.is_ready(spec) {
             if !mine.is_empty() {
                 log::error!("region: {id}: bound, but what it needs isn't done; left alone");
             }
             return;
         }
-        if self.narrow.note(spec, view.replica, view.now) {
-            self.keep_clear(view);
+        if self.narrow.note(spec, context.replica, context.now) {
+            self.keep_clear(context);
         }
         if key.is_none() && mine.is_empty() {
             return;
         }
         let id: JobId = key.unwrap_or_else(|| Rc::from(id));
-        let narrow_to = narrow_type(spec, view.replica);
+        let narrow_to = only_fitting_type(spec, context.replica);
         let job = self
             .jobs
             .entry(id.clone())
-            .or_insert_with(|| Job::new(spec, narrow_to, view.now));
+            .or_insert_with(|| Job::new(spec, narrow_to, context.now));
         if job.spec != *spec {
             // Another job that needs this one came or went.
             job.spec = spec.clone();
-            self.rekey(&id, view);
+            self.rekey(&id, context);
         }
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -61,7 +61,7 @@
             // What was held for another attempt is let go.
             let assigned = job.held_since.take().is_some();
             if assigned {
-                self.break_gang(&id, view);
+                self.break_gang(&id, context);
             }
             self.dirty_jobs.insert(id.clone());
         }
@@ -77,7 +77,7 @@
             return;
         }
         job.mine = mine;
-        let done = view.replica.done_tasks(&id);
+        let done = context.replica.done_tasks(&id);
         job.done.add_all(&done);
         fresh.remove_all(&job.done);
         if taking {
@@ -86,7 +86,7 @@
             // Bound here after we took the region: nobody else can have
             // started it under this region's name.
             if job.waiting.is_empty() {
-                job.wait_since = view.now;
+                job.wait_since = context.now;
             }
             job.waiting.add_all(&fresh);
         }
@@ -94,19 +94,19 @@
         job.moving.remove_all(&lost);
         job.unsettled.remove_all(&lost);
         self.dirty_jobs.insert(id.clone());
-        self.rekey(&id, view);
+        self.rekey(&id, context);
         self.after_out(&id);
     }
 
     /// A job is cancelled, as another controller has it from the state service.
-    pub fn on_reported_cancelled(&mut self, id: &str, view: &View<'_>) {
+    pub fn on_reported_cancelled(&mut self, id: &str, context: &SchedulingContext<'_>) {
         if let Some(id) = self.jobs.get_key_value(id).map(|(k, _)| k.clone()) {
             log::info!("region: {id}: cancelled, as a peer says");
-            self.end_job(&id, view);
+            self.end_job(&id, context);
         }
     }
 
-    pub(super) fn end_job(&mut self, id: &JobId, view: &View<'_>) {
+    pub(super) fn end_job(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -118,25 +118,25 @@
         let out: Vec<(u32, Rc<str>)> = job.out.iter().map(|(n, m)| (*n, m.clone())).collect();
         for (n, m) in out {
             match self.held_mut(id, n, &m) {
-                Some(h) if h.place != Place::Assigned => h.stop = Some(0),
-                _ => self.transition(id, n, Place::Done, None, view.now),
+                Some(h) if h.place != TaskState::Assigned => h.stop = Some(0),
+                _ => self.transition(id, n, TaskState::Done, None, context.now),
             }
         }
         self.unwritten.remove(id);
-        self.rekey(id, view);
+        self.rekey(id, context);
         self.after_out(id);
     }
 
     /// A task on a machine is there no more and isn't done.
-    pub(super) fn lost(&mut self, id: &JobId, n: u32, why: &str, view: &View<'_>) {
+    pub(super) fn lost(&mut self, id: &JobId, n: u32, why: &str, context: &SchedulingContext<'_>) {
         log::debug!("region: {id}/{n}: back to waiting, {why}");
-        self.transition(id, n, Place::Waiting, None, view.now);
-        self.rekey(id, view);
+        self.transition(id, n, TaskState::Pending, None, context.now);
+        self.rekey(id, context);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.spec.kind == Kind::Gang && !job.over && !job.out.is_empty() {
-            self.break_gang(id, view);
+        if job.spec.kind == JobKind::Gang && !job.over && !job.out.is_empty() {
+            self.break_gang(id, context);
         }
         self.after_out(id);
     }
@@ -161,7 +161,7 @@
 
     /// A gang that lost a task starts again as a whole, under another attempt,
     /// once the last task of this one is gone.
-    pub(super) fn break_gang(&mut self, id: &JobId, view: &View<'_>) {
+    pub(super) fn break_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -169,8 +169,8 @@
         let out: Vec<(u32, Rc<str>)> = job.out.iter().map(|(n, m)| (*n, m.clone())).collect();
         for (n, m) in out {
             match self.held_mut(id, n, &m) {
-                Some(h) if h.place == Place::Assigned => {
-                    self.transition(id, n, Place::Waiting, None, view.now)
+                Some(h) if h.place == TaskState::Assigned => {
+                    self.transition(id, n, TaskState::Pending, None, context.now)
                 }
                 // One that is told to save already may finish that.
                 Some(h) => {
@@ -179,16 +179,16 @@
                 None => {}
             }
         }
-        self.rekey(id, view);
+        self.rekey(id, context);
         self.after_out(id);
     }
 
     /// Nothing is on this machine any more.
-    pub(super) fn clear_machine(&mut self, name: &str, view: &View<'_>) {
+    pub(super) fn clear_machine(&mut self, name: &str, context: &SchedulingContext<'_>) {
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        m.standing = Standing::Empty;
+        m.standing = MachineState::LeaseExpired;
         m.greeted = 0;
         let held: Vec<(JobId, u32)> = m.tasks.keys().cloned().collect();
         if !held.is_empty() {
@@ -198,7 +198,7 @@
             );
         }
         for (id, n) in held {
-            self.lost(&id, n, "machine gone", view);
+            self.lost(&id, n, "machine gone", context);
         }
         self.awaited.remove(name);
         self.relist(name);
--- a/src/region/machine.rs
+++ b/src/region/machine.rs
@@ -4,13 +4,13 @@
 
 /// How a machine stands with us.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum MachineState {
     /// Not heard from under our token.
-    Expected,
+    Provisioning,
     /// Heard from under our token.
-    Live,
+    Ready,
     /// Silent for longer than its lease: nothing is on it.
-    Empty,
+    LeaseExpired,
 }
 
 #[derive(Debug)]
@@ -21,8 +21,8 @@
     pub(super) used: Room,
     /// Of these, by tasks that fit on other types too.
     pub(super) wide: Room,
-    pub(super) listed: Listed,
-    pub(super) standing: Standing,
+    pub(super) listed: IndexEntry,
+    pub(super) standing: MachineState,
     pub(super) order: (u64, u64),
     /// Our last 200 to it, or the last time a former owner may have sent one.
     pub(super) last_ok: Micros,
@@ -32,11 +32,11 @@
     pub(super) answered_since: Micros,
     /// Answers to reports that didn't carry our token, since one did.
     pub(super) greeted: u32,
-    pub(super) ear: Ear,
+    pub(super) reachability: Reachability,
     pub(super) dealt_at: Micros,
     pub(super) boot: Micros,
     pub(super) notice: Option<Micros>,
-    pub(super) tasks: BTreeMap<(JobId, u32), Held>,
+    pub(super) tasks: BTreeMap<(JobId, u32), Assignment>,
     pub(super) idle_since: Micros,
     pub(super) failures: MachineFailures,
     pub(super) images: BTreeSet<String>,
@@ -66,6 +66,6 @@
     }
 
     pub(super) fn open(&self) -> bool {
-        self.standing == Standing::Live && self.rec.opened && self.usable()
+        self.standing == MachineState::Ready && self.rec.opened && self.usable()
     }
 }
--- a/src/region/machine_index.rs
+++ b/src/region/machine_index.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use salttiller_records::model::JobSpec;
-use salttiller_records::Amount;
+use salttiller_records::QuotaAmount;
 
 /// Processors, cards and memory, in millionths.
 pub type Room = (u64, u64, u64);
@@ -55,14 +55,14 @@
 
 /// How a machine stands in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Listed {
+pub enum IndexEntry {
     /// Not at all.
     #[default]
-    Out,
+    Unlisted,
     /// Expected to come up.
-    Booting,
+    Provisioning,
     /// Open to placing.
-    Open {
+    Available {
         /// Free room.
         free: Room,
         /// Free room for tasks that fit on other types too.
@@ -72,13 +72,13 @@
     },
 }
 
-impl Listed {
+impl IndexEntry {
     /// Free room of an open machine, for tasks that fit on other types too if `wide`.
     pub fn room(self, for_wide: bool) -> Option<Room> {
         match self {
-            Listed::Open { wide, .. } if for_wide => Some(wide),
-            Listed::Open { free, .. } => Some(free),
-            Listed::Out | Listed::Booting => None,
+            IndexEntry::Available { wide, .. } if for_wide => Some(wide),
+            IndexEntry::Available { free, .. } => Some(free),
+            IndexEntry::Unlisted | IndexEntry::Provisioning => None,
         }
     }
 }
@@ -87,7 +87,7 @@
 
 /// Machines of one type, zone and kind.
 #[derive(Debug, Default)]
-pub struct Group {
+pub struct PoolIndex {
     /// What each has in all.
     pub cap: Room,
     /// Kept clear on each for tasks that fit nowhere else.
@@ -113,7 +113,7 @@
     }
 }
 
-impl Group {
+impl PoolIndex {
     fn steps(&self, wide: bool) -> &Steps {
         if wide && self.kept.is_some() {
             &self.wide
@@ -144,17 +144,17 @@
 
 /// The list.
 #[derive(Debug, Default)]
-pub struct List {
+pub struct MachineIndex {
     /// By type, zone and kind.
-    pub groups: BTreeMap<GroupKey, Group>,
+    pub groups: BTreeMap<GroupKey, PoolIndex>,
 }
 
-impl List {
+impl MachineIndex {
     /// All processors and cards of the machines that are up or coming up.
-    pub fn capacity(&self) -> Amount {
-        let mut sum = Amount::default();
+    pub fn capacity(&self) -> QuotaAmount {
+        let mut sum = QuotaAmount::default();
         for g in self.groups.values() {
-            let each = Amount {
+            let each = QuotaAmount {
                 cpus: g.cap.0,
                 gpus: g.cap.1,
             };
@@ -169,14 +169,21 @@
     }
 
     /// Changes how a machine stands.
-    pub fn change(&mut self, key: &GroupKey, cap: Room, name: &Rc<str>, was: Listed, now: Listed) {
+    pub fn change(
+        &mut self,
+        key: &GroupKey,
+        cap: Room,
+        name: &Rc<str>,
+        was: IndexEntry,
+        now: IndexEntry,
+    ) {
         let g = self.groups.entry(key.clone()).or_default();
         match was {
-            Listed::Out => {}
-            Listed::Booting => {
+            IndexEntry::Unlisted => {}
+            IndexEntry::Provisioning => {
                 g.booting.remove(name);
             }
-            Listed::Open { free, wide, held } => {
+            IndexEntry::Available { free, wide, held } => {
                 g.up -= 1;
                 take(&mut g.open, step(free, g.cap), held, name);
                 take(&mut g.wide, step(wide, g.cap), held, name);
@@ -186,11 +193,11 @@
             g.cap = cap;
         }
         match now {
-            Listed::Out => {}
-            Listed::Booting => {
+            IndexEntry::Unlisted => {}
+            IndexEntry::Provisioning => {
                 g.booting.insert(name.clone());
             }
-            Listed::Open { free, wide, held } => {
+            IndexEntry::Available { free, wide, held } => {
                 g.up += 1;
                 put(&mut g.open, step(free, g.cap), held, name);
                 put(&mut g.wide, step(wide, g.cap), held, name);
--- a/src/region/machine_index/tests.rs
+++ b/src/region/machine_index/tests.rs
@@ -21,31 +21,31 @@
     ) {
         let cap = (8, 0, 8);
         let key: GroupKey = (Rc::from("box"), Rc::from("a"), false);
-        let mut list = List::default();
-        let mut now: BTreeMap<usize, Listed> = BTreeMap::new();
+        let mut list = MachineIndex::default();
+        let mut now: BTreeMap<usize, IndexEntry> = BTreeMap::new();
         for (m, c, g, held) in changes {
             let name: Rc<str> = Rc::from(format!("m-{m:02}"));
             let free = (c, 0, g);
-            let to = if held == 5 { Listed::Out } else { Listed::Open { free, wide: free, held } };
+            let to = if held == 5 { IndexEntry::Unlisted } else { IndexEntry::Available { free, wide: free, held } };
             let was = now.insert(m, to).unwrap_or_default();
             list.change(&key, cap, &name, was, to);
         }
         let s = spec(cpus, mem);
         let free = |name: &str| match now[&name[2..].parse::<usize>().unwrap()] {
-            Listed::Open { free, .. } => free,
+            IndexEntry::Available { free, .. } => free,
             _ => (0, 0, 0),
         };
         let got = list.best(&s, false, |_| true, |_, held, n| fits(free(n), &s).then_some(held));
         let want = now.values().filter_map(|l| match l {
-            Listed::Open { free, held, .. } if fits(*free, &s) => Some(*held),
+            IndexEntry::Available { free, held, .. } if fits(*free, &s) => Some(*held),
             _ => None,
         }).min();
         prop_assert_eq!(got.as_ref().map(|n| match now[&n[2..].parse::<usize>().unwrap()] {
-            Listed::Open { held, .. } => held,
+            IndexEntry::Available { held, .. } => held,
             _ => 99,
         }), want);
         let all: u64 = now.values().map(|l| match l {
-            Listed::Open { free, .. } => s.count_in(*free),
+            IndexEntry::Available { free, .. } => s.count_in(*free),
             _ => 0,
         }).sum();
         let counted = list.count(&s, false, |_| true, free, u64::MAX);
--- a/src/region/machine_inventory.rs
+++ b/src/region/machine_inventory.rs
@@ -5,14 +5,18 @@
 
 impl Region {
     /// Enters a machine's record.
-    pub fn on_machine(&mut self, name: &str, view: &View<'_>) {
-        let rec = view.replica.machines.get(name).map(|r| &r.value);
+    pub fn on_machine(&mut self, name: &str, context: &SchedulingContext<'_>) {
+        let rec = context.replica.machines.get(name).map(|r| &r.value);
         let Some(rec) = rec.filter(|r| r.region == self.name) else {
             // Its record goes only once it is proved gone, by us.
-            self.drop_machine(name, view);
+            self.drop_machine(name, context);
             return;
         };
-        let f = view.replica.flavors.get(&rec.flavor).map(|f| &f.value);
+        let f = context
+            .replica
+            .machine_types
+            .get(&rec.machine_type)
+            .map(|f| &f.value);
         let cap = f.map_or((0, 0, 0), |f| (f.cpus, f.gpus, f.mem));
         if let Some(m) = self.machines.get_mut(name) {
             let opened = rec.opened && !m.rec.opened;
@@ -34,19 +38,19 @@
             cap,
             used: (0, 0, 0),
             wide: (0, 0, 0),
-            listed: Listed::Out,
-            standing: Standing::Expected,
+            listed: IndexEntry::Unlisted,
+            standing: MachineState::Provisioning,
             order: (0, 0),
-            last_ok: view.now,
-            heard_at: view.now,
+            last_ok: context.now,
+            heard_at: context.now,
             answered_since: 0,
             greeted: 0,
-            ear: Ear::Good,
-            dealt_at: view.now,
+            reachability: Reachability::Reachable,
+            dealt_at: context.now,
             boot: f.map_or(60 * SECOND, |f| f.boot),
             notice: None,
             tasks: BTreeMap::new(),
-            idle_since: view.now,
+            idle_since: context.now,
             failures: MachineFailures::default(),
             images: BTreeSet::new(),
             closed: None,
@@ -59,13 +63,13 @@
             self.heard.insert((m.heard_at, key.clone()));
         }
         self.machines.insert(key, m);
-        self.revisit_at(name, view.now + 2 * SECOND);
+        self.revisit_at(name, context.now + 2 * SECOND);
         self.relist(name);
     }
 
     fn group_of(&self, rec: &MachineRecord) -> GroupKey {
         let key = (
-            Rc::from(rec.flavor.as_str()),
+            Rc::from(rec.machine_type.as_str()),
             Rc::from(rec.zone.as_str()),
             rec.spot,
         );
@@ -77,31 +81,36 @@
     }
 
     /// Machine types became known or changed.
-    pub fn on_flavors(&mut self, view: &View<'_>) {
+    pub fn on_flavors(&mut self, context: &SchedulingContext<'_>) {
         let names: Vec<Rc<str>> = self.machines.keys().cloned().collect();
         for n in &names {
-            self.list_as(n, Listed::Out);
+            self.list_as(n, IndexEntry::Unlisted);
         }
         for n in &names {
             if let Some(m) = self.machines.get_mut(n) {
-                if let Some(f) = view.replica.flavors.get(&m.rec.flavor).map(|f| &f.value) {
+                if let Some(f) = context
+                    .replica
+                    .machine_types
+                    .get(&m.rec.machine_type)
+                    .map(|f| &f.value)
+                {
                     m.cap = (f.cpus, f.gpus, f.mem);
                     m.boot = f.boot;
                 }
             }
             self.relist(n);
         }
-        self.keep_clear(view);
+        self.keep_clear(context);
         self.dirty_all = true;
     }
 
-    fn drop_machine(&mut self, name: &str, view: &View<'_>) {
+    fn drop_machine(&mut self, name: &str, context: &SchedulingContext<'_>) {
         if !self.machines.contains_key(name) {
             return;
         }
-        self.clear_machine(name, view);
+        self.clear_machine(name, context);
         self.forget_boot(name);
-        self.list_as(name, Listed::Out);
+        self.list_as(name, IndexEntry::Unlisted);
         if let Some((key, m)) = self.machines.remove_entry(name) {
             self.heard.remove(&(m.heard_at, key.clone()));
             self.due.remove(&(m.due, key.clone()));
@@ -111,7 +120,7 @@
             self.surplus.remove(&key);
             self.awaited.remove(&key);
         }
-        self.try_finish_recovery(view);
+        self.try_finish_recovery(context);
     }
 
     /// Brings the level-two list up to date with what is known of a machine.
@@ -119,27 +128,30 @@
         let Some(m) = self.machines.get(name) else {
             return;
         };
-        let hears = !matches!(m.ear, Ear::Deaf { .. });
+        let hears = !matches!(m.reachability, Reachability::Unreachable { .. });
         let to = if m.open() && hears {
             let free = m.free();
             let wide = match self.list.kept(&m.group) {
-                Some(k) => machine_index::least(free, machine_index::less(machine_index::less(m.cap, k), m.wide)),
+                Some(k) => machine_index::least(
+                    free,
+                    machine_index::less(machine_index::less(m.cap, k), m.wide),
+                ),
                 None => free,
             };
-            Listed::Open {
+            IndexEntry::Available {
                 free,
                 wide,
                 held: m.tasks.len() as u32,
             }
-        } else if m.usable() && hears && m.standing != Standing::Empty && !m.late {
-            Listed::Booting
+        } else if m.usable() && hears && m.standing != MachineState::LeaseExpired && !m.late {
+            IndexEntry::Provisioning
         } else {
-            Listed::Out
+            IndexEntry::Unlisted
         };
         self.list_as(name, to);
     }
 
-    fn list_as(&mut self, name: &str, to: Listed) {
+    fn list_as(&mut self, name: &str, to: IndexEntry) {
         let Some((key, _)) = self.machines.get_key_value(name) else {
             return;
         };
@@ -154,13 +166,13 @@
     }
 
     /// Follows what is kept clear for jobs that fit on one type only.
-    pub(super) fn keep_clear(&mut self, view: &View<'_>) {
+    pub(super) fn keep_clear(&mut self, context: &SchedulingContext<'_>) {
         let changed: Vec<(GroupKey, Option<Room>)> = self
             .list
             .groups
             .iter()
             .filter(|(k, _)| !k.2)
-            .map(|(k, g)| (k, g, self.narrow.kept_for(&k.0, view.now)))
+            .map(|(k, g)| (k, g, self.narrow.kept_for(&k.0, context.now)))
             .filter(|(_, g, kept)| g.kept != *kept)
             .map(|(k, _, kept)| (k.clone(), kept))
             .collect();
@@ -195,7 +207,7 @@
     /// Has tasks that can save stopped in good time on machines that the cloud
     /// is about to take; the others run on as long as they can. A gang's tasks are
     /// told together, since it can only save as a whole.
-    pub(super) fn save_before_notice(&mut self, view: &View<'_>) {
+    pub(super) fn save_before_notice(&mut self, context: &SchedulingContext<'_>) {
         let mut stop: BTreeSet<JobId> = BTreeSet::new();
         for m in self.noticed.iter().filter_map(|n| self.machines.get(n)) {
             let Some(at) = m.notice else { continue };
@@ -204,8 +216,8 @@
                     continue;
                 };
                 // Told at its next report, and all of a gang at theirs.
-                let needs = job.spec.save + 2 * view.settings.report + SECOND;
-                if job.spec.checkpoint > 0 && !job.over && at < view.now + needs {
+                let needs = job.spec.save + 2 * context.settings.report + SECOND;
+                if job.spec.checkpoint > 0 && !job.over && at < context.now + needs {
                     stop.insert(id.clone());
                 }
             }
@@ -228,7 +240,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let (gang, save) = (job.spec.kind == Kind::Gang, job.spec.save);
+        let (gang, save) = (job.spec.kind == JobKind::Gang, job.spec.save);
         let grace = if job.spec.checkpoint > 0 {
             save + SECOND
         } else {
--- a/src/region/placement.rs
+++ b/src/region/placement.rs
@@ -1,6 +1,6 @@
 //! The level-two list at work: which machine each task goes to.
 
-use super::reservation::held_back;
+use super::reservation::is_reserved_for_another;
 use super::*;
 
 /// For how many waiting jobs shares are taken ahead of room.
@@ -13,8 +13,8 @@
     /// Sends waiting tasks to machines: each to the fitting one that holds the
     /// fewest tasks. Only jobs for which something changed are looked at: their own
     /// tasks, a machine's room, or their team's share.
-    pub fn place(&mut self, view: &View<'_>) {
-        self.look_at_guarantees(view);
+    pub fn place(&mut self, context: &SchedulingContext<'_>) {
+        self.look_at_guarantees(context);
         let jobs = std::mem::take(&mut self.dirty_jobs);
         let machines = std::mem::take(&mut self.dirty_machines);
         let teams = std::mem::take(&mut self.dirty_teams);
@@ -27,7 +27,7 @@
         let rooms: Vec<(Room, &Machine)> = machines
             .iter()
             .filter_map(|n| self.machines.get(n))
-            .filter(|m| matches!(m.listed, Listed::Open { .. }))
+            .filter(|m| matches!(m.listed, IndexEntry::Available { .. }))
             .map(|m| (m.free(), m))
             .collect();
         let todo: Vec<JobId> = self
@@ -39,7 +39,7 @@
                         (j.short && teams.contains(&j.spec.team))
                             || rooms.iter().any(|(free, m)| {
                                 fits(*free, &j.spec)
-                                    && j.spec.permits(&m.rec.flavor, &m.rec.zone, m.rec.spot)
+                                    && j.spec.permits(&m.rec.machine_type, &m.rec.zone, m.rec.spot)
                             })
                     })
             })
@@ -50,16 +50,16 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if job.not_before > view.now || job.waiting.is_empty() {
+            if job.not_before > context.now || job.waiting.is_empty() {
                 continue;
             }
             job.short = false;
-            if job.spec.kind == Kind::Gang {
-                self.place_gang(&id, view);
+            if job.spec.kind == JobKind::Gang {
+                self.place_gang(&id, context);
             } else {
-                self.place_tasks(&id, view);
+                self.place_tasks(&id, context);
             }
-            self.rekey(&id, view);
+            self.rekey(&id, context);
             short |= self.jobs.get(&id).is_some_and(|j| j.short);
         }
         if !self.surplus.is_empty() {
@@ -75,7 +75,7 @@
         }
         // What was found wanting is asked for at once.
         if short {
-            self.share_out(view);
+            self.share_out(context);
         }
     }
 
@@ -86,7 +86,7 @@
         id: &JobId,
         zone: Option<&str>,
         full: &BTreeSet<String>,
-        view: &View<'_>,
+        context: &SchedulingContext<'_>,
     ) -> Option<Rc<str>> {
         let job = self.jobs.get(id)?;
         let s = &job.spec;
@@ -94,7 +94,7 @@
         self.list.best(
             s,
             wide,
-            |k| self.allowed(id, job, k, zone, full, view),
+            |k| self.allowed(id, job, k, zone, full, context),
             |k, held, name| {
                 let m = self.machines.get(name)?;
                 let free = m.listed.room(wide)?;
@@ -117,12 +117,12 @@
     /// a task meant for the machine with the fewest tasks may wait a whole interval
     /// for it; one that holds no more takes it at once, any other after a while.
     /// Nothing was sent yet, so it is still sent once.
-    pub(super) fn draw(&mut self, name: &Rc<str>, view: &View<'_>) {
+    pub(super) fn draw(&mut self, name: &Rc<str>, context: &SchedulingContext<'_>) {
         const LOOK: usize = 64;
         if self.unsent.is_empty() {
             return;
         }
-        let patience = view.settings.report / 8;
+        let patience = context.settings.report / 8;
         let todo: Vec<(Micros, JobId, u32)> = self.unsent.iter().take(LOOK).cloned().collect();
         for (since, id, n) in todo {
             let (Some(job), Some(m)) = (self.jobs.get(&id), self.machines.get(name)) else {
@@ -143,7 +143,7 @@
                 continue;
             };
             // Where a job's tasks are together is settled; only the machine changes.
-            let bound = s.kind == Kind::Gang || s.one_zone || s.spread;
+            let bound = s.kind == JobKind::Gang || s.one_zone || s.spread;
             let fewer = m.tasks.len() < o.tasks.len();
             let scarce = wide && self.list.kept(&m.group).is_some();
             if scarce
@@ -151,13 +151,17 @@
                 || !fits(room, s)
                 || job.failures.failed_on(name)
                 || (bound && m.group != o.group)
-                || (!fewer && view.now < since + patience)
-                || !self.allowed(&id, job, &m.group, None, &BTreeSet::new(), view)
+                || (!fewer && context.now < since + patience)
+                || !self.allowed(&id, job, &m.group, None, &BTreeSet::new(), context)
             {
                 continue;
             }
             let fetch = |g: &GroupKey| {
-                let speed = view.replica.flavors.get(&*g.0).map_or(0, |f| f.value.fetch);
+                let speed = context
+                    .replica
+                    .machine_types
+                    .get(&*g.0)
+                    .map_or(0, |f| f.value.fetch);
                 (s.image_size * SECOND).checked_div(speed).unwrap_or(0)
             };
             let here = if m.images.contains(&s.image) {
@@ -165,14 +169,20 @@
             } else {
                 fetch(&m.group)
             };
-            let report = (o.heard_at + view.settings.report * 9 / 8).saturating_sub(view.now);
+            let report = (o.heard_at + context.settings.report * 9 / 8).saturating_sub(context.now);
             let there = report + if h.brings { fetch(&o.group) } else { 0 };
-            if here + 300 * MILLI >= there {
+            if here + 300 * MILLISECOND >= there {
                 continue;
             }
             let attempt = h.attempt;
             log::debug!("region: {id}/{n}: meant for {other}, drawn by {name}");
-            self.transition(&id, n, Place::Assigned, Some((name, attempt)), view.now);
+            self.transition(
+                &id,
+                n,
+                TaskState::Assigned,
+                Some((name, attempt)),
+                context.now,
+            );
         }
     }
 
@@ -202,16 +212,14 @@
         k: &GroupKey,
         zone: Option<&str>,
         full: &BTreeSet<String>,
-        view: &View<'_>,
+        context: &SchedulingContext<'_>,
     ) -> bool {
         job.spec.permits(&k.0, &k.1, k.2)
             && zone.is_none_or(|z| z == &*k.1)
             && !full.contains(&*k.1)
-            && self
-                .list
-                .groups
-                .get(k)
-                .is_none_or(|g| !held_back(self.hold.as_ref(), id, job, k, g, view))
+            && self.list.groups.get(k).is_none_or(|g| {
+                !is_reserved_for_another(self.hold.as_ref(), id, job, k, g, context)
+            })
     }
 
     /// How many of a job's tasks there is room for, up to `most`.
@@ -220,7 +228,7 @@
         id: &JobId,
         zone: Option<&str>,
         most: u64,
-        view: &View<'_>,
+        context: &SchedulingContext<'_>,
     ) -> u64 {
         let Some(job) = self.jobs.get(id) else {
             return 0;
@@ -234,7 +242,7 @@
         self.list.count(
             &job.spec,
             wide,
-            |k| self.allowed(id, job, k, zone, &none, view),
+            |k| self.allowed(id, job, k, zone, &none, context),
             free,
             most,
         )
@@ -245,11 +253,11 @@
     /// idle for a report's interval, because the next task on it is of a team whose
     /// share must first be taken. No more than the region's machines could hold: a
     /// share kept for tasks that can't run here is lacking where they can.
-    pub(super) fn count_wants(&mut self, view: &View<'_>) {
+    pub(super) fn count_wants(&mut self, context: &SchedulingContext<'_>) {
         const LOOK: usize = 60;
         for s in self.shares.values_mut() {
-            s.want = Amount::default();
-            s.ahead = Amount::default();
+            s.want = QuotaAmount::default();
+            s.ahead = QuotaAmount::default();
             s.turn = None;
         }
         // Guards against a small region that wants its whole hold for each job in line
@@ -261,13 +269,13 @@
                 continue;
             };
             let spec = job.spec.clone();
-            let waiting = u64::from(job.wanted(view.now));
+            let waiting = u64::from(job.wanted(context.now));
             let suspect = job.failures.is_suspect();
-            let room = self.room_for(id, None, waiting, view);
+            let room = self.room_for(id, None, waiting, context);
             // A suspect job takes what is free now, and no share ahead of that.
             let mut n = if suspect && room < waiting {
                 0
-            } else if spec.kind == Kind::Gang {
+            } else if spec.kind == JobKind::Gang {
                 let could = self.list.potential(&spec, job.narrow_to.is_none(), |k| {
                     spec.permits(&k.0, &k.1, k.2)
                 });
@@ -289,7 +297,7 @@
             let each = spec.amount();
             let most = |left: u64, each: u64| left.checked_div(each).unwrap_or(u64::MAX);
             let fit = most(left.cpus, each.cpus).min(most(left.gpus, each.gpus));
-            if spec.kind != Kind::Gang {
+            if spec.kind != JobKind::Gang {
                 n = n.min(fit);
             } else if n > fit {
                 n = 0;
@@ -301,7 +309,7 @@
                     left = left.minus(each.times(n));
                 }
                 let now = match spec.kind {
-                    Kind::Gang if room < n => 0,
+                    JobKind::Gang if room < n => 0,
                     _ => room.min(n),
                 };
                 s.want = s.want.plus(each.times(now));
@@ -312,14 +320,14 @@
         }
     }
 
-    fn place_tasks(&mut self, id: &JobId, view: &View<'_>) {
+    fn place_tasks(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         loop {
             let Some(job) = self.jobs.get(id) else { return };
-            if job.wanted(view.now) == 0 {
+            if job.wanted(context.now) == 0 {
                 return;
             }
             let one_only = job.key.as_ref().is_some_and(OrderKey::is_ahead);
-            if one_only && view.now < self.next_turn {
+            if one_only && context.now < self.next_turn {
                 // Another has had its turn: this one is served in the usual order.
                 self.dirty_jobs.insert(id.clone());
                 return;
@@ -353,20 +361,26 @@
             } else {
                 BTreeSet::new()
             };
-            let Some(name) = self.best_machine(id, zone.as_deref(), &full, view) else {
+            let Some(name) = self.best_machine(id, zone.as_deref(), &full, context) else {
                 return;
             };
-            if !spec.amount().within(self.headroom(&spec.team, view)) {
+            if !spec.amount().within(self.headroom(&spec.team, context)) {
                 if let Some(j) = self.jobs.get_mut(id) {
                     j.short = true;
                 }
                 return;
             }
             let attempt = self.next_attempt();
-            self.transition(id, n, Place::Assigned, Some((&name, attempt)), view.now);
+            self.transition(
+                id,
+                n,
+                TaskState::Assigned,
+                Some((&name, attempt)),
+                context.now,
+            );
             if one_only {
                 // The rest of it takes its place in the order again.
-                self.next_turn = view.now + TURN_EVERY;
+                self.next_turn = context.now + TURN_EVERY;
                 self.dirty_jobs.insert(id.clone());
                 return;
             }
@@ -380,7 +394,7 @@
 
     /// The zones in which a gang could be, or just `None` if it may be anywhere.
     pub(super) fn zones_for(&self, job: &Job) -> Vec<Option<Rc<str>>> {
-        if let Some(Joint(_, Some(z))) = &job.joint {
+        if let Some(MultiRegionAttempt(_, Some(z))) = &job.joint {
             return vec![Some(Rc::from(z.as_str()))];
         }
         if !job.spec.one_zone {
--- a/src/region/preemption.rs
+++ b/src/region/preemption.rs
@@ -1,6 +1,6 @@
 //! Stopping work for work that goes before it.
 
-use super::reservation::held_back;
+use super::reservation::is_reserved_for_another;
 use super::*;
 
 /// A job within its guarantee waits so long for room before others make it.
@@ -11,9 +11,9 @@
     /// finds room: of lower priority, or of other teams beyond their own guarantees.
     /// Only for the first such job in line, only after it has waited for a while,
     /// and only as much as it needs; what has run for the shortest time goes first.
-    pub(super) fn preempt(&mut self, view: &View<'_>) {
+    pub(super) fn preempt(&mut self, context: &SchedulingContext<'_>) {
         const LOOK: usize = 8;
-        if view.now < self.next_preempt || !self.settled || !view.starts {
+        if context.now < self.next_preempt || !self.settled || !context.starts {
             return;
         }
         let ids: Vec<JobId> = self.ready.values().take(LOOK).cloned().collect();
@@ -22,9 +22,9 @@
                 continue;
             };
             let guaranteed = job.key.as_ref().is_some_and(|k| !k.beyond_guarantee);
-            let wait = view.now.saturating_sub(job.wait_since);
+            let wait = context.now.saturating_sub(job.wait_since);
             if job.short
-                || job.not_before > view.now
+                || job.not_before > context.now
                 || wait < PREEMPT_AFTER
                 || job.writing
                 || job.failures.is_suspect()
@@ -33,17 +33,17 @@
             }
             // Guards against room made for a job that its team's share here does not
             // let start: what was stopped takes the place again, and is stopped again.
-            let least = if job.spec.kind == Kind::Gang {
+            let least = if job.spec.kind == JobKind::Gang {
                 job.mine.len() as u64
             } else {
                 1
             };
             let need = job.spec.amount().times(least);
-            if !need.within(self.headroom(&job.spec.team, view)) {
+            if !need.within(self.headroom(&job.spec.team, context)) {
                 continue;
             }
-            self.next_preempt = view.now + SECOND;
-            if self.make_room(&id, guaranteed, view) {
+            self.next_preempt = context.now + SECOND;
+            if self.make_room(&id, guaranteed, context) {
                 return;
             }
         }
@@ -51,20 +51,30 @@
 
     /// Whether a task has most of its run before it, or can save: else it is soon
     /// through by itself, and to stop it would waste more than it gains.
-    pub(super) fn far_from_done(&self, id: &JobId, h: &Held, view: &View<'_>) -> bool {
-        let ran = h.ran_at.map_or(0, |at| view.now.saturating_sub(at));
+    pub(super) fn far_from_done(
+        &self,
+        id: &JobId,
+        h: &Assignment,
+        context: &SchedulingContext<'_>,
+    ) -> bool {
+        let ran = h.ran_at.map_or(0, |at| context.now.saturating_sub(at));
         self.jobs
             .get(id)
             .is_some_and(|j| j.spec.checkpoint > 0 || ran < j.spec.estimate / 3)
     }
 
-    pub(super) fn make_room(&mut self, id: &JobId, guaranteed: bool, view: &View<'_>) -> bool {
+    pub(super) fn make_room(
+        &mut self,
+        id: &JobId,
+        guaranteed: bool,
+        context: &SchedulingContext<'_>,
+    ) -> bool {
         const MOST: u64 = 16;
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
         let spec = job.spec.clone();
-        let gang = spec.kind == Kind::Gang;
+        let gang = spec.kind == JobKind::Gang;
         let wide = job.narrow_to.is_none();
         let priority = spec.priority;
         let n = if gang {
@@ -79,7 +89,7 @@
                     .get(&o.spec.team)
                     .is_none_or(|last| (o.spec.submitted, &**other) > (last.0, last.1.as_str()));
                 !o.over
-                    && o.spec.kind != Kind::Service
+                    && o.spec.kind != JobKind::Service
                     // Guards against work within a guarantee that is stopped for higher
                     // priority beyond one: it goes first, takes its place again, and so on.
                     && (guaranteed || beyond)
@@ -96,7 +106,7 @@
                 }
                 // Guards against work that is stopped again and again for a job that
                 // may not go there, since the places are held for another.
-                let held = held_back(self.hold.as_ref(), id, job, k, g, view);
+                let held = is_reserved_for_another(self.hold.as_ref(), id, job, k, g, context);
                 if held || (wide && g.kept.is_some()) {
                     continue;
                 }
@@ -112,9 +122,9 @@
                     let mut cost = 0;
                     let mut stops = Vec::new();
                     for ((other, _), h) in &m.tasks {
-                        if may_stop(other, self) && self.far_from_done(other, h, view) {
+                        if may_stop(other, self) && self.far_from_done(other, h, context) {
                             room = machine_index::sum(room, h.room());
-                            cost += view.now.saturating_sub(h.ran_at.unwrap_or(view.now));
+                            cost += context.now.saturating_sub(h.ran_at.unwrap_or(context.now));
                             stops.push(other.clone());
                         }
                     }
--- a/src/region/provisioning.rs
+++ b/src/region/provisioning.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::*;
-use crate::peer_protocol::BootLine;
+use crate::peer_protocol::ProvisioningHealth;
 
 /// How long an arrival speaks for its kind.
 const ARRIVAL_VALID: Micros = 120 * SECOND;
@@ -18,18 +18,18 @@
 
 /// Whether a kind as a whole comes up late or never: several machines are overdue, and more
 /// than have come up lately.
-pub fn is_boot_trouble(overdue: u32, arrived: u32) -> bool {
+pub fn is_provisioning_trouble(overdue: u32, arrived: u32) -> bool {
     overdue >= LEAST_OVERDUE && overdue > arrived
 }
 
 /// What was seen of the boots of one kind of machine.
 #[derive(Debug, Default)]
-pub(super) struct BootHistory {
+pub(super) struct ProvisioningHistory {
     overdue: BTreeMap<Rc<str>, Micros>,
     arrivals: VecDeque<Micros>,
 }
 
-impl BootHistory {
+impl ProvisioningHistory {
     fn expire(&mut self, now: Micros) {
         let old = |at: &Micros| now > *at + ARRIVAL_VALID;
         while self.arrivals.front().is_some_and(old) {
@@ -39,12 +39,12 @@
 
     /// Whether the kind as a whole comes up late or never.
     fn in_trouble(&self) -> bool {
-        is_boot_trouble(self.overdue.len() as u32, self.arrivals.len() as u32)
+        is_provisioning_trouble(self.overdue.len() as u32, self.arrivals.len() as u32)
     }
 }
 
 impl Region {
-    fn boot_history(&mut self, group: &GroupKey, now: Micros) -> &mut BootHistory {
+    fn boot_history(&mut self, group: &GroupKey, now: Micros) -> &mut ProvisioningHistory {
         let history = self.boots.entry(group.clone()).or_default();
         history.expire(now);
         history
@@ -92,7 +92,8 @@
 
     /// Whether machines of this kind come up late or never just now.
     pub(super) fn boots_badly(&self, group: &GroupKey) -> bool {
-        !is_left_out(Guard::BootTrouble) && self.boots.get(group).is_some_and(|h| h.in_trouble())
+        !is_disabled(Safeguard::BootTrouble)
+            && self.boots.get(group).is_some_and(|h| h.in_trouble())
     }
 
     /// How long a machine may take to come up before it is returned. While its whole kind
@@ -107,16 +108,16 @@
     }
 
     /// What the leader is told of boots here.
-    pub fn boot_lines(&mut self, now: Micros) -> Vec<BootLine> {
+    pub fn provisioning_health(&mut self, now: Micros) -> Vec<ProvisioningHealth> {
         let mut lines = Vec::new();
-        for ((flavor, zone, spot), history) in &mut self.boots {
+        for ((machine_type, zone, spot), history) in &mut self.boots {
             history.expire(now);
             if history.overdue.is_empty() {
                 continue;
             }
             let first = history.overdue.values().min().copied().unwrap_or(now);
-            lines.push(BootLine {
-                flavor: flavor.to_string(),
+            lines.push(ProvisioningHealth {
+                machine_type: machine_type.to_string(),
                 zone: zone.to_string(),
                 spot: *spot,
                 overdue: history.overdue.len() as u32,
--- a/src/region/queue.rs
+++ b/src/region/queue.rs
@@ -22,7 +22,7 @@
     /// It goes beyond its team's guarantee.
     pub beyond_guarantee: bool,
     priority: std::cmp::Reverse<salttiller_records::model::Priority>,
-    /// Place of its class in the operators' precedence.
+    /// TaskState of its class in the operators' precedence.
     precedence: usize,
     /// None of its aims can be met any more.
     past_aims: bool,
@@ -71,16 +71,16 @@
 /// The time of day by which a job must be started to meet the nearest of its
 /// aims that can still be met: its own deadline, or what its class is expected.
 /// `None` if there was one and it is past; far off if there never was one.
-pub fn latest_start(s: &JobSpec, view: &View<'_>) -> Option<Micros> {
+pub fn latest_start(s: &JobSpec, context: &SchedulingContext<'_>) -> Option<Micros> {
     let mut any = false;
     let mut best: Option<Micros> = None;
     let mut aim = |at: Micros| {
         any = true;
-        if at >= view.wall {
+        if at >= context.wall {
             best = Some(best.map_or(at, |b| b.min(at)));
         }
     };
-    for span in waiting_spans(s, view.settings) {
+    for span in waiting_spans(s, context.settings) {
         aim(s.submitted + span);
     }
     if any {
@@ -101,9 +101,9 @@
         &self,
         id: &JobId,
         s: &JobSpec,
-        view: &View<'_>,
+        context: &SchedulingContext<'_>,
     ) -> (OrderKey, Option<Micros>) {
-        let precedence = view
+        let precedence = context
             .settings
             .operator
             .precedence
@@ -118,10 +118,10 @@
         // Guards against work of low priority that never begins while higher priority keeps
         // coming: once it is old enough a task starts now and then.
         let turn_in = self.jobs.get(id).and_then(|j| {
-            let never_served = j.out.is_empty() && s.kind == Kind::Array && !suspect;
-            let by_age = (s.submitted + PATIENCE).saturating_sub(view.wall);
-            let by_last = (j.last_assigned + SHARE_HOLD_LIMIT).saturating_sub(view.now);
-            let by_others = self.next_turn.saturating_sub(view.now);
+            let never_served = j.out.is_empty() && s.kind == JobKind::Array && !suspect;
+            let by_age = (s.submitted + PATIENCE).saturating_sub(context.wall);
+            let by_last = (j.last_assigned + SHARE_HOLD_LIMIT).saturating_sub(context.now);
+            let by_others = self.next_turn.saturating_sub(context.now);
             never_served.then_some(by_age.max(by_last).max(by_others))
         });
         let key = |past_aims: bool, relaxed: bool, weight: u64| OrderKey {
@@ -140,44 +140,47 @@
             id: id.clone(),
         };
         // One task needs no others' places: it goes by its aims like the rest.
-        let together = s.kind == Kind::Gang && s.tasks > 1;
+        let together = s.kind == JobKind::Gang && s.tasks > 1;
         let aged = s.submitted + PATIENCE;
-        if together || view.wall >= aged {
+        if together || context.wall >= aged {
             let change = turn_in.filter(|span| *span > 0);
-            return (key(false, false, s.submitted), change.map(|c| c + MILLI));
+            return (
+                key(false, false, s.submitted),
+                change.map(|c| c + MILLISECOND),
+            );
         }
-        let due = latest_start(s, view);
+        let due = latest_start(s, context);
         let size = s.estimate.saturating_mul(s.tasks.into()) / 1000 * (s.cpus / 1000).max(1);
-        let pressing = due.is_some_and(|d| d < view.wall + PRESSING);
+        let pressing = due.is_some_and(|d| d < context.wall + PRESSING);
         let weight = if pressing { due.unwrap_or(0) } else { size };
         let change = match due {
             Some(d) if pressing => d,
             Some(d) => d - PRESSING,
             None => aged,
         };
-        let span = change.min(aged).saturating_sub(view.wall) + MILLI;
+        let span = change.min(aged).saturating_sub(context.wall) + MILLISECOND;
         (key(due.is_none(), !pressing, weight), Some(span))
     }
 
     /// Enters a job into the order of waiting jobs, or takes it out.
-    pub(super) fn rekey(&mut self, id: &JobId, view: &View<'_>) {
-        self.update_order(id, false, view);
+    pub(super) fn rekey(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+        self.update_order(id, false, context);
     }
 
     /// A job's time to be looked at has come. Guards against one whose place stays as it
     /// is for now, since another had its turn: it is to be looked at again.
-    pub(super) fn rekey_due(&mut self, id: &JobId, view: &View<'_>) {
-        self.update_order(id, true, view);
+    pub(super) fn rekey_due(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+        self.update_order(id, true, context);
     }
 
-    fn update_order(&mut self, id: &JobId, due: bool, view: &View<'_>) {
+    fn update_order(&mut self, id: &JobId, due: bool, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
         let waits = !job.waiting.is_empty() && !job.over;
         let (key, again) = if waits {
             let spec = job.spec.clone();
-            let (k, again) = self.order_key(id, &spec, view);
+            let (k, again) = self.order_key(id, &spec, context);
             (Some(k), again)
         } else {
             (None, None)
@@ -193,16 +196,16 @@
             if let Some(k) = key {
                 self.ready.insert(k, id.clone());
                 if let Some(span) = again {
-                    self.wake.insert((view.now + span, id.clone()));
+                    self.wake.insert((context.now + span, id.clone()));
                 }
             }
         }
     }
 
     /// Follows which jobs fit into their teams' guarantees.
-    pub(super) fn look_at_guarantees(&mut self, view: &View<'_>) {
+    pub(super) fn look_at_guarantees(&mut self, context: &SchedulingContext<'_>) {
         for team in std::mem::take(&mut self.stale_teams) {
-            let last = quota::last_guaranteed(view.replica, view.settings, &team);
+            let last = quota::last_guaranteed(context.replica, context.settings, &team);
             let was = match &last {
                 Some(l) => self.guaranteed.insert(team.clone(), l.clone()),
                 None => self.guaranteed.remove(&team),
@@ -215,7 +218,7 @@
                     .cloned()
                     .collect();
                 for id in ids {
-                    self.rekey(&id, view);
+                    self.rekey(&id, context);
                 }
             }
         }
--- a/src/region/quota_share.rs
+++ b/src/region/quota_share.rs
@@ -3,19 +3,19 @@
 use super::*;
 
 #[derive(Debug, Default)]
-pub(super) struct Share {
-    pub(super) used: Amount,
+pub(super) struct QuotaShare {
+    pub(super) used: QuotaAmount,
     /// Of these, started under our own token.
-    pub(super) fresh: Amount,
+    pub(super) fresh: QuotaAmount,
     /// Counted as used until all machines are accounted for.
-    pub(super) inherited: Amount,
-    pub(super) want: Amount,
+    pub(super) inherited: QuotaAmount,
+    pub(super) want: QuotaAmount,
     /// The same for tasks that there is no room for yet.
-    pub(super) ahead: Amount,
+    pub(super) ahead: QuotaAmount,
     /// The [`turn`] of the first of the jobs that want it.
     pub(super) turn: Option<u64>,
     /// A smaller share that is being committed binds at once.
-    pub(super) pending: Option<Amount>,
+    pub(super) pending: Option<QuotaAmount>,
     /// The limit leaves less than waiting tasks need.
     pub(super) starved: bool,
     /// Since when a part of the share is kept unused for a job that lacks the rest.
@@ -23,17 +23,17 @@
     /// Until when such a part is left to other regions.
     pub(super) rest_until: Micros,
     /// The most that was needed lately, and when that was.
-    pub(super) peak: Amount,
+    pub(super) peak: QuotaAmount,
     pub(super) peak_at: Micros,
 }
 
-impl Share {
+impl QuotaShare {
     /// Follows how long a part of the share `have` is kept unused since its first job needs
     /// more. Guards against a gang that never gets the rest, since work without end uses it
     /// in another region: from time to time others may use what is kept.
-    pub(super) fn note_hoarding(&mut self, used: Amount, have: Amount, now: Micros) {
+    pub(super) fn note_hoarding(&mut self, used: QuotaAmount, have: QuotaAmount, now: Micros) {
         let hoards = self.starved && used != have;
-        if !hoards || is_left_out(Guard::ShareHoldLimit) {
+        if !hoards || is_disabled(Safeguard::ShareHoldLimit) {
             self.hoarded_since = None;
             return;
         }
@@ -47,8 +47,8 @@
     /// While others may use what is kept, nothing is asked for beyond what runs.
     pub(super) fn rest(&mut self, now: Micros) {
         if now < self.rest_until {
-            self.want = Amount::default();
-            self.ahead = Amount::default();
+            self.want = QuotaAmount::default();
+            self.ahead = QuotaAmount::default();
             self.turn = None;
         }
     }
--- a/src/region/reachability.rs
+++ b/src/region/reachability.rs
@@ -12,14 +12,14 @@
 /// the way back may be cut alone, and such a machine would draw work again and
 /// again and carry out none of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Ear {
+pub(super) enum Reachability {
     /// They do, as far as we know.
-    Good,
+    Reachable,
     /// So many starts in a row were not carried out.
-    Doubt(u32),
+    Suspect(u32),
     /// They don't, as of this time: nothing is placed there. If they did again,
     /// its session would stand; once it has for longer than a lease, they do.
-    Deaf { since: Micros, times: u32 },
+    Unreachable { since: Micros, times: u32 },
 }
 
 impl Region {
@@ -35,22 +35,31 @@
     /// learns our token. Guards against a machine that never does, because our
     /// answers don't reach it or all we get are copies: each answer might renew its
     /// lease, so after a few there are none, and its lease runs out for sure.
-    pub(super) fn greet(&mut self, name: &Rc<str>, view: &View<'_>) -> Verdict {
+    pub(super) fn greet(
+        &mut self,
+        name: &Rc<str>,
+        context: &SchedulingContext<'_>,
+    ) -> HeartbeatOutcome {
         let Some(m) = self.machines.get_mut(name) else {
-            return Verdict::UnknownMachine;
+            return HeartbeatOutcome::UnknownMachine;
         };
         if m.greeted >= GREETINGS || m.closed.is_some() {
-            return Verdict::Stale;
+            return HeartbeatOutcome::Stale;
         }
         m.greeted += 1;
-        m.last_ok = view.now;
+        m.last_ok = context.now;
         self.ask_open(name);
-        Verdict::Commands(Vec::new())
+        HeartbeatOutcome::Accepted(Vec::new())
     }
 
     /// Notes a newer report under our token. Returns whether it shows that our
     /// answers don't arrive: the session rose although we had answered.
-    pub(super) fn listen(&mut self, name: &Rc<str>, r: &Report, view: &View<'_>) -> bool {
+    pub(super) fn listen(
+        &mut self,
+        name: &Rc<str>,
+        r: &Heartbeat,
+        context: &SchedulingContext<'_>,
+    ) -> bool {
         self.ask_open(name);
         let Some(m) = self.machines.get_mut(name) else {
             return false;
@@ -58,20 +67,20 @@
         let rose = m.order.0 != 0 && r.order.0 > m.order.0;
         // Answered without a break for the better part of a lease: one answer alone
         // may have been to a report that came late.
-        if view.now > m.last_ok + 2 * view.settings.report + SECOND {
-            m.answered_since = view.now;
+        if context.now > m.last_ok + 2 * context.settings.report + SECOND {
+            m.answered_since = context.now;
         }
-        let answered = view.now > m.answered_since + view.settings.lease * 3 / 4;
+        let answered = context.now > m.answered_since + context.settings.lease * 3 / 4;
         if m.rec.opened {
             self.heard.remove(&(m.heard_at, name.clone()));
-            self.heard.insert((view.now, name.clone()));
+            self.heard.insert((context.now, name.clone()));
         }
         m.order = r.order;
-        m.heard_at = view.now;
-        m.last_ok = view.now;
+        m.heard_at = context.now;
+        m.last_ok = context.now;
         m.greeted = 0;
-        m.standing = Standing::Live;
-        m.notice = r.notice.map(|n| view.now + n);
+        m.standing = MachineState::Ready;
+        m.notice = r.notice.map(|n| context.now + n);
         if m.notice.is_some() {
             self.noticed.insert(name.clone());
         } else {
@@ -86,32 +95,34 @@
         name: &Rc<str>,
         rose: bool,
         heeded: Option<bool>,
-        view: &View<'_>,
+        context: &SchedulingContext<'_>,
     ) {
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
         let bad = rose || heeded == Some(false);
-        let lease = stretch(view.settings.lease) + view.settings.report;
-        let deaf = |times: u32| Ear::Deaf {
-            since: view.now,
+        let lease = add_drift(context.settings.lease) + context.settings.report;
+        let deaf = |times: u32| Reachability::Unreachable {
+            since: context.now,
             times,
         };
-        let next = match m.ear {
-            Ear::Good if rose => deaf(1),
-            Ear::Good if bad => Ear::Doubt(1),
-            Ear::Doubt(n) if rose || (bad && n + 1 >= UNHEEDED) => deaf(1),
-            Ear::Doubt(n) if bad => Ear::Doubt(n + 1),
-            Ear::Doubt(_) if heeded == Some(true) => Ear::Good,
-            Ear::Deaf { times, .. } if bad => deaf(times + 1),
-            Ear::Deaf { since, .. } if view.now > since + lease => Ear::Good,
+        let next = match m.reachability {
+            Reachability::Reachable if rose => deaf(1),
+            Reachability::Reachable if bad => Reachability::Suspect(1),
+            Reachability::Suspect(n) if rose || (bad && n + 1 >= UNHEEDED) => deaf(1),
+            Reachability::Suspect(n) if bad => Reachability::Suspect(n + 1),
+            Reachability::Suspect(_) if heeded == Some(true) => Reachability::Reachable,
+            Reachability::Unreachable { times, .. } if bad => deaf(times + 1),
+            Reachability::Unreachable { since, .. } if context.now > since + lease => {
+                Reachability::Reachable
+            }
             same => same,
         };
-        if next == m.ear {
+        if next == m.reachability {
             return;
         }
-        let was = std::mem::replace(&mut m.ear, next);
-        if let Ear::Deaf { times, .. } = next {
+        let was = std::mem::replace(&mut m.reachability, next);
+        if let Reachability::Unreachable { times, .. } = next {
             log::info!("region: {name}: deaf, our answers don't arrive, time {times}");
             if times >= DEAF_TIMES && m.closed.is_none() {
                 m.closed = Some("deaf");
@@ -119,14 +130,14 @@
             let meant: Vec<(JobId, u32)> = m
                 .tasks
                 .iter()
-                .filter(|(_, h)| h.place == Place::Assigned)
+                .filter(|(_, h)| h.place == TaskState::Assigned)
                 .map(|(k, _)| k.clone())
                 .collect();
             for (id, n) in meant {
-                self.lost(&id, n, "its machine is deaf", view);
+                self.lost(&id, n, "its machine is deaf", context);
             }
-            self.revisit_at(name, view.now);
-        } else if matches!(was, Ear::Deaf { .. }) {
+            self.revisit_at(name, context.now);
+        } else if matches!(was, Reachability::Unreachable { .. }) {
             log::info!("region: {name}: hears us again");
             self.dirty_machines.insert(name.clone());
         }
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -5,7 +5,7 @@
 impl Region {
     /// Ends the accounting once every machine that a former owner may have used
     /// is heard from or provably empty.
-    pub(super) fn try_finish_recovery(&mut self, view: &View<'_>) {
+    pub(super) fn try_finish_recovery(&mut self, context: &SchedulingContext<'_>) {
         if self.settled {
             return;
         }
@@ -19,25 +19,25 @@
         }
         // Guards against records of machines that we can't read: what may be on
         // those is over only when every lease that a former owner gave is.
-        if !view.replica.unreadable.is_empty()
-            && view.now < self.taken_at + stretch(view.settings.lease) + SECOND
+        if !context.replica.unreadable.is_empty()
+            && context.now < self.taken_at + add_drift(context.settings.lease) + SECOND
         {
             return;
         }
-        self.finish_recovery(view);
+        self.finish_recovery(context);
     }
 
-    pub(super) fn finish_recovery(&mut self, view: &View<'_>) {
+    pub(super) fn finish_recovery(&mut self, context: &SchedulingContext<'_>) {
         self.settled = true;
         self.dirty_all = true;
         log::info!(
             "region: {}: settled {:.1} s after taking, {} machines",
             self.name,
-            to_secs(view.now - self.taken_at),
+            to_secs(context.now - self.taken_at),
             self.machines.len()
         );
         for s in self.shares.values_mut() {
-            s.inherited = Amount::default();
+            s.inherited = QuotaAmount::default();
         }
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
@@ -46,14 +46,14 @@
             };
             let rest = std::mem::take(&mut job.unsettled);
             if job.waiting.is_empty() {
-                job.wait_since = view.now;
+                job.wait_since = context.now;
             }
             job.waiting.add_all(&rest);
             // A gang of which only a part is left can't go on.
-            if job.spec.kind == Kind::Gang && !job.out.is_empty() && !job.waiting.is_empty() {
-                self.break_gang(&id, view);
+            if job.spec.kind == JobKind::Gang && !job.out.is_empty() && !job.waiting.is_empty() {
+                self.break_gang(&id, context);
             }
-            self.rekey(&id, view);
+            self.rekey(&id, context);
         }
     }
 }
--- a/src/region/reservation.rs
+++ b/src/region/reservation.rs
@@ -1,12 +1,12 @@
 //! Places kept for the gang whose turn it is.
 
-use super::machine_index::Group;
+use super::machine_index::PoolIndex;
 use super::*;
 
 /// Places kept for the gang whose turn it is, so that they fill up under steady
 /// small work.
 #[derive(Debug)]
-pub(super) struct Hold {
+pub(super) struct GangReservation {
     pub job: JobId,
     pub priority: salttiller_records::model::Priority,
     pub team: String,
@@ -34,13 +34,13 @@
 const BACKFILL_SLACK: Micros = 10 * SECOND;
 
 /// What a job may not use because of a hold.
-pub(super) fn held_back(
-    hold: Option<&Hold>,
+pub(super) fn is_reserved_for_another(
+    hold: Option<&GangReservation>,
     id: &JobId,
     job: &Job,
     key: &GroupKey,
-    g: &Group,
-    view: &View<'_>,
+    g: &PoolIndex,
+    context: &SchedulingContext<'_>,
 ) -> bool {
     // Guards against work of higher priority that waits behind a hold while all that it
     // has stopped for its sake is started again.
@@ -57,8 +57,8 @@
     }
     // Guards against a job that waits without end beside free machines while the gang
     // gathers its team's share from other regions: one task at a time may pass.
-    let waited = view.now.saturating_sub(job.last_assigned);
-    if h.short && waited > SHARE_HOLD_LIMIT && !is_left_out(Guard::ShareHoldLimit) {
+    let waited = context.now.saturating_sub(job.last_assigned);
+    if h.short && waited > SHARE_HOLD_LIMIT && !is_disabled(Safeguard::ShareHoldLimit) {
         return false;
     }
     // Nor for one that work of higher priority goes before again and again.
@@ -70,5 +70,5 @@
         return false;
     }
     // Work that ends in time may run in the meantime.
-    view.now + job.spec.estimate * 3 / 2 + BACKFILL_SLACK > h.until
+    context.now + job.spec.estimate * 3 / 2 + BACKFILL_SLACK > h.until
 }
--- a/src/region/runtime_estimates.rs
+++ b/src/region/runtime_estimates.rs
@@ -5,13 +5,13 @@
 /// What finished tasks that fit many types took, and what their owners had said;
 /// what is older weighs less.
 #[derive(Debug, Default)]
-pub(super) struct Measured {
+pub(super) struct RuntimeEstimates {
     pub(super) said: f64,
     pub(super) took: f64,
     pub(super) at: Micros,
 }
 
-impl Measured {
+impl RuntimeEstimates {
     /// How fast it forgets.
     const SPAN: f64 = 90.0 * SECOND as f64;
 
--- a/src/region/task.rs
+++ b/src/region/task.rs
@@ -4,29 +4,29 @@
 
 /// Where a task is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum TaskState {
     /// On no machine, free to be started.
-    Waiting,
+    Pending,
     /// A former owner may have started it: on a machine not yet accounted for.
-    Unsettled,
+    Unreconciled,
     /// On no machine; a commit that gives it to another region is under way.
-    Moving,
+    Rebinding,
     /// Meant for a machine, the start not yet sent.
     Assigned,
     /// The start is in an answer; the next report tells.
-    Sent,
+    Dispatched,
     /// Reported by its machine.
-    On(OnMachine),
+    Reported(ReportedState),
     /// Done.
     Done,
 }
 
 /// A task on (or meant for) a machine.
 #[derive(Debug, Clone)]
-pub(super) struct Held {
+pub(super) struct Assignment {
     pub(super) attempt: u64,
-    pub(super) place: Place,
-    pub(super) need: Amount,
+    pub(super) place: TaskState,
+    pub(super) need: QuotaAmount,
     pub(super) mem: u64,
     pub(super) team: Rc<str>,
     /// Fits no other type of machine.
@@ -45,7 +45,7 @@
     pub(super) ran_at: Option<Micros>,
 }
 
-impl Held {
+impl Assignment {
     pub(super) fn room(&self) -> Room {
         (self.need.cpus, self.need.gpus, self.mem)
     }
--- a/src/region/tests.rs
+++ b/src/region/tests.rs
@@ -47,8 +47,8 @@
     fn share(&mut self, team: &str, cpus: u64) {
         self.put(&format!("st/quota/{team}"), json!({"t-0":[cpus,0]}));
     }
-    fn view(&self, now: Micros) -> View<'_> {
-        View {
+    fn context(&self, now: Micros) -> SchedulingContext<'_> {
+        SchedulingContext {
             replica: &self.replica,
             settings: &self.settings,
             now,
@@ -59,14 +59,14 @@
         }
     }
     fn take(&self, token: u64, now: Micros) -> Region {
-        Region::new("t-0", token, 1, &self.view(now))
+        Region::new("t-0", token, 1, &self.context(now))
     }
 }
 
-fn report(machine: &str, tally: u64, token: u64, tasks: &[(&str, u32, u64)]) -> Report {
-    Report {
+fn report(machine: &str, tally: u64, token: u64, tasks: &[(&str, u32, u64)]) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
-        flavor: "box".into(),
+        machine_type: "box".into(),
         zone: "a".into(),
         spot: false,
         order: (1, tally),
@@ -78,15 +78,17 @@
                 job: Rc::from(*j),
                 task: *n,
                 attempt: *a,
-                stage: OnMachine::Running,
+                stage: ReportedState::Running,
             })
             .collect(),
     }
 }
 
-fn starts(v: &Verdict) -> usize {
+fn starts(v: &HeartbeatOutcome) -> usize {
     match v {
-        Verdict::Commands(c) => c.iter().filter(|c| matches!(c, Command::Start(..))).count(),
+        HeartbeatOutcome::Accepted(c) => {
+            c.iter().filter(|c| matches!(c, Command::Start(..))).count()
+        }
         _ => 0,
     }
 }
@@ -101,33 +103,42 @@
     f.job("req-1", "red", "x", "1", 2, 0);
     f.share("red", 8_000_000);
     let mut r = f.take(7, SECOND);
-    let at = |s: u64| f.view(s * SECOND);
+    let at = |s: u64| f.context(s * SECOND);
     // First word comes under the old token: nothing is concluded from it.
     assert_eq!(
-        r.on_report(&report("m-1", 1, 6, &[("req-1", 0, 5)]), &at(2)),
-        Verdict::Commands(vec![])
+        r.on_heartbeat(&report("m-1", 1, 6, &[("req-1", 0, 5)]), &at(2)),
+        HeartbeatOutcome::Accepted(vec![])
+    );
+    assert_eq!(
+        starts(&r.on_heartbeat(&report("m-1", 2, 7, &[]), &at(3))),
+        0
     );
-    assert_eq!(starts(&r.on_report(&report("m-1", 2, 7, &[]), &at(3))), 0);
     assert!(!r.settled());
     assert_eq!(
-        r.on_report(&report("m-1", 2, 7, &[]), &at(4)),
-        Verdict::Stale
+        r.on_heartbeat(&report("m-1", 2, 7, &[]), &at(4)),
+        HeartbeatOutcome::Stale
     );
     assert_eq!(
-        r.on_report(&report("m-1", 3, 8, &[]), &at(4)),
-        Verdict::Outranked
+        r.on_heartbeat(&report("m-1", 3, 8, &[]), &at(4)),
+        HeartbeatOutcome::Superseded
     );
     assert_eq!(
-        r.on_report(&report("m-9", 1, 7, &[]), &at(4)),
-        Verdict::UnknownMachine
+        r.on_heartbeat(&report("m-9", 1, 7, &[]), &at(4)),
+        HeartbeatOutcome::UnknownMachine
     );
     // The other machine has task 1 of the old owner: it stays, task 0 starts.
-    r.on_report(&report("m-2", 1, 7, &[("req-1", 1, 5)]), &at(5));
+    r.on_heartbeat(&report("m-2", 1, 7, &[("req-1", 1, 5)]), &at(5));
     assert!(r.settled());
     assert_eq!(r.running("req-1"), 2);
-    assert_eq!(starts(&r.on_report(&report("m-1", 4, 7, &[]), &at(6))), 1);
+    assert_eq!(
+        starts(&r.on_heartbeat(&report("m-1", 4, 7, &[]), &at(6))),
+        1
+    );
     // Not in the next report: the start was not carried out, and goes anew.
-    assert_eq!(starts(&r.on_report(&report("m-1", 5, 7, &[]), &at(9))), 1);
+    assert_eq!(
+        starts(&r.on_heartbeat(&report("m-1", 5, 7, &[]), &at(9))),
+        1
+    );
 }
 
 /// One silent machine among others goes back; when all are silent, the fault
@@ -147,10 +158,10 @@
         if cancelled {
             f.put("st/job/req-1", json!({"st": "c"}));
         }
-        let v = f.view(2 * SECOND);
+        let v = f.context(2 * SECOND);
         r.on_progress("req-1", &v);
-        let finish = |e: &Effect| matches!(e, Effect::Commit(_, _, Purpose::Finish(_)));
-        assert_eq!(r.take_effects().iter().filter(|e| finish(e)).count(), ends);
+        let finish = |e: &Action| matches!(e, Action::Commit(_, _, CommitKind::JobDone(_)));
+        assert_eq!(r.take_actions().iter().filter(|e| finish(e)).count(), ends);
     }
 }
 
@@ -163,24 +174,24 @@
         }
         let mut r = f.take(7, SECOND);
         for s in (2..17).step_by(2) {
-            let v = f.view(s * SECOND);
+            let v = f.context(s * SECOND);
             for m in reporting {
-                r.on_report(&report(m, s, 7, &[]), &v);
+                r.on_heartbeat(&report(m, s, 7, &[]), &v);
             }
             r.tick(&v);
         }
-        r.tick(&f.view(17 * SECOND));
+        r.tick(&f.context(17 * SECOND));
         let got = r
-            .take_effects()
+            .take_actions()
             .into_iter()
-            .any(|e| matches!(e, Effect::Release(names) if names == ["m-3"]));
+            .any(|e| matches!(e, Action::Release(names) if names == ["m-3"]));
         assert_eq!(got, released, "{reporting:?}");
         assert!(!r.settled());
         if released {
-            r.on_released(&["m-3".into()], true, &f.view(17 * SECOND));
+            r.on_released(&["m-3".into()], true, &f.context(17 * SECOND));
         }
         assert_eq!(r.settled(), released);
-        r.tick(&f.view(19 * SECOND));
+        r.tick(&f.context(19 * SECOND));
         assert!(r.settled(), "past the lease all is clear");
     }
 }
@@ -203,15 +214,15 @@
             "u":10_000_000,"m":20_000_000,"i":"img","e":5_000_000,"a":1}});
         f.put(&format!("st/job/{id}"), v);
     };
-    r.on_report(&report("m-1", 1, 7, &[]), &f.view(2 * SECOND));
+    r.on_heartbeat(&report("m-1", 1, 7, &[]), &f.context(2 * SECOND));
     large(&mut f, "req-1");
-    r.on_job("req-1", &f.view(2 * SECOND), false);
+    r.on_job("req-1", &f.context(2 * SECOND), false);
     f.job("req-2", "red", "s", "1", 1, 0);
-    r.on_job("req-2", &f.view(2 * SECOND), false);
+    r.on_job("req-2", &f.context(2 * SECOND), false);
     let mut begun = BTreeMap::new();
     let mut out = Vec::new();
     for s in 3..90 {
-        let v = f.view(s * SECOND);
+        let v = f.context(s * SECOND);
         let tasks: Vec<(&str, u32, u64)> = begun
             .iter()
             .filter(|((id, _), _): &(&(JobId, u32), &u64)| s < 20 || &**id != "req-1")
@@ -224,10 +235,10 @@
                 job: "req-1".into(),
                 task: 0,
                 attempt: a,
-                stage: OnMachine::Ended(End::Done),
+                stage: ReportedState::Ended(ExitReason::Done),
             });
         }
-        if let Verdict::Commands(c) = r.on_report(&rep, &v) {
+        if let HeartbeatOutcome::Accepted(c) = r.on_heartbeat(&rep, &v) {
             for c in c {
                 if let Command::Start(id, n, a) = c {
                     out.push(id.to_string());
@@ -236,19 +247,19 @@
             }
         }
         r.tick(&v);
-        for e in r.take_effects() {
-            if let Effect::Commit(_, _, purpose) = e {
-                r.concluded(purpose, true, &v);
+        for e in r.take_actions() {
+            if let Action::Commit(_, _, kind) = e {
+                r.concluded(kind, true, &v);
             }
         }
         if s == 70 {
             f.job("req-3", "red", "s", "1", 1, 0);
-            r.on_job("req-3", &f.view(s * SECOND), false);
+            r.on_job("req-3", &f.context(s * SECOND), false);
         }
         if s == 80 {
             assert_eq!(out, ["req-1", "req-2"], "req-3 may run elsewhere");
             large(&mut f, "req-4");
-            r.on_job("req-4", &f.view(s * SECOND), false);
+            r.on_job("req-4", &f.context(s * SECOND), false);
         }
     }
     assert!(out.contains(&"req-4".to_owned()), "{out:?}");
@@ -272,16 +283,16 @@
         let mut r = f.take(7, SECOND);
         if elsewhere {
             f.put("st/progress/req-1/t-1/0", json!("1"));
-            r.on_progress("req-1", &f.view(2 * SECOND));
+            r.on_progress("req-1", &f.context(2 * SECOND));
         } else {
             let mut rep = report("m-1", 1, 7, &[("req-1", 2, 9)]);
-            rep.tasks[0].stage = OnMachine::Ended(End::Done);
-            r.on_report(&rep, &f.view(2 * SECOND));
+            rep.tasks[0].stage = ReportedState::Ended(ExitReason::Done);
+            r.on_heartbeat(&rep, &f.context(2 * SECOND));
         }
         let finished = r
-            .take_effects()
+            .take_actions()
             .into_iter()
-            .any(|e| matches!(e, Effect::Commit(_, _, Purpose::Finish(id)) if &*id == "req-1"));
+            .any(|e| matches!(e, Action::Commit(_, _, CommitKind::JobDone(id)) if &*id == "req-1"));
         assert_eq!(finished, ends, "{kind} {elsewhere}");
     }
 }
@@ -308,13 +319,13 @@
         let mut r = f.take(7, SECOND);
         let had = [("req-1", 0, 7 << 24)];
         let had = if busy { &had[..] } else { &[] };
-        r.on_report(&report("m-2", 1, 7, had), &f.view(2 * SECOND));
-        r.on_report(&report("m-1", 1, 7, &[]), &f.view(2 * SECOND));
+        r.on_heartbeat(&report("m-2", 1, 7, had), &f.context(2 * SECOND));
+        r.on_heartbeat(&report("m-1", 1, 7, &[]), &f.context(2 * SECOND));
         f.job("req-2", "red", "x", "1", 1, 0);
-        r.on_job("req-2", &f.view(3 * SECOND), false);
-        r.place(&f.view(3 * SECOND));
-        let first = r.on_report(&report("m-2", 2, 7, had), &f.view(at * MILLI));
-        let then = r.on_report(&report("m-1", 2, 7, &[]), &f.view(at * MILLI + 1));
+        r.on_job("req-2", &f.context(3 * SECOND), false);
+        r.place(&f.context(3 * SECOND));
+        let first = r.on_heartbeat(&report("m-2", 2, 7, had), &f.context(at * MILLISECOND));
+        let then = r.on_heartbeat(&report("m-1", 2, 7, &[]), &f.context(at * MILLISECOND + 1));
         assert_eq!(
             (starts(&first), starts(&then)),
             (drawn.into(), (!drawn).into()),
@@ -331,20 +342,20 @@
     let mut f = Fixture::new();
     f.machine("m-1");
     let mut r = f.take(7, SECOND);
-    r.on_report(&report("m-1", 1, 7, &[]), &f.view(2 * SECOND));
-    r.take_effects();
+    r.on_heartbeat(&report("m-1", 1, 7, &[]), &f.context(2 * SECOND));
+    r.take_actions();
     f.job("req-1", "red", "x", "1", 2, 0);
     f.share("red", 4_000_000);
-    r.on_job("req-1", &f.view(2 * SECOND), false);
-    r.place(&f.view(2 * SECOND));
+    r.on_job("req-1", &f.context(2 * SECOND), false);
+    r.place(&f.context(2 * SECOND));
     assert_eq!(r.running("req-1"), 2);
     f.job("req-2", "blue", "x", "1", 1, 0);
-    r.on_job("req-2", &f.view(3 * SECOND), false);
-    r.tick(&f.view(3 * SECOND));
+    r.on_job("req-2", &f.context(3 * SECOND), false);
+    r.tick(&f.context(3 * SECOND));
     let asked = r
-        .take_effects()
+        .take_actions()
         .into_iter()
-        .any(|e| matches!(e, Effect::Commit(_, _, Purpose::Share(t)) if t == "blue"));
+        .any(|e| matches!(e, Action::Commit(_, _, CommitKind::QuotaShare(t)) if t == "blue"));
     assert!(asked);
 }
 
@@ -367,7 +378,7 @@
         f.job(id, "red", class, priority, tasks, i as u64);
     }
     let mut r = f.take(7, SECOND);
-    let v = f.view(SECOND);
+    let v = f.context(SECOND);
     r.place(&v);
     let order: Vec<String> = r.report(&v).waits.into_iter().map(|w| w.job).collect();
     assert_eq!(order, ["req-1", "req-4", "req-3", "req-2", "req-5"]);
@@ -436,12 +447,12 @@
         let v = json!({"st":"o","b":[[0,tasks,"t-0"]],"j":{"c":"x","t":team,"k":kind,"r":priority,"n":tasks,
             "u":cpus,"m":1_000_000,"i":"img","e":4_000_000,"a":now}});
         self.f.put(&format!("st/job/{id}"), v);
-        self.r.on_job(id, &self.f.view(now), false);
+        self.r.on_job(id, &self.f.context(now), false);
     }
 
     /// The region's waiting jobs as told to the other controllers.
-    pub(super) fn waits(&self, now: Micros) -> Vec<WaitLine> {
-        self.r.report(&self.f.view(now)).waits
+    pub(super) fn waits(&self, now: Micros) -> Vec<PendingJob> {
+        self.r.report(&self.f.context(now)).waits
     }
 
     /// More small work of a team than goes in, in this second.
@@ -467,11 +478,11 @@
                 job: Rc::from(job.as_str()),
                 task: *task,
                 attempt: *attempt,
-                stage: OnMachine::Ended(End::Error),
+                stage: ReportedState::Ended(ExitReason::Failed),
             })
             .collect();
-        match self.r.on_report(&rep, &self.f.view(now)) {
-            Verdict::Commands(commands) => commands.len(),
+        match self.r.on_heartbeat(&rep, &self.f.context(now)) {
+            HeartbeatOutcome::Accepted(commands) => commands.len(),
             other => panic!("{machine}: {other:?}"),
         }
     }
@@ -489,15 +500,19 @@
                     attempt: *attempt,
                     stage: if *ends <= now {
                         let fails = self.broken.contains(job) || self.faulty.contains(m);
-                        OnMachine::Ended(if fails { End::Error } else { End::Done })
+                        ReportedState::Ended(if fails {
+                            ExitReason::Failed
+                        } else {
+                            ExitReason::Done
+                        })
                     } else {
-                        OnMachine::Running
+                        ReportedState::Running
                     },
                 });
             }
             tasks.retain(|_, ends| *ends > now);
-            let v = self.f.view(now);
-            let Verdict::Commands(commands) = self.r.on_report(&rep, &v) else {
+            let v = self.f.context(now);
+            let HeartbeatOutcome::Accepted(commands) = self.r.on_heartbeat(&rep, &v) else {
                 panic!("{m}: no answer");
             };
             if deaf == Some(m) {
@@ -511,9 +526,9 @@
                 }
             }
         }
-        self.r.tick(&self.f.view(now));
-        for e in self.r.take_effects() {
-            let Effect::Commit(txn, _, purpose) = e else {
+        self.r.tick(&self.f.context(now));
+        for e in self.r.take_actions() {
+            let Action::Commit(txn, _, kind) = e else {
                 continue;
             };
             for (k, v) in txn.apply {
@@ -522,10 +537,10 @@
                     None => drop(self.f.replica.event(&k.text(), None, self.f.rev + 1)),
                 }
                 if let Key::Job(id) = &k {
-                    self.r.on_job(id, &self.f.view(now), false);
+                    self.r.on_job(id, &self.f.context(now), false);
                 }
             }
-            self.r.concluded(purpose, true, &self.f.view(now));
+            self.r.concluded(kind, true, &self.f.context(now));
         }
     }
 }
@@ -582,7 +597,7 @@
                 let v = json!({"st":"o","b":[[0,tasks,"t-0"]],"j":{"c":class,"t":team,"k":"a",
                     "r":"1","n":tasks,"u":2_000_000,"m":1_000_000,"i":"img","e":4_000_000,"a":now}});
                 shop.f.put("st/job/req-1", v);
-                shop.r.on_job("req-1", &shop.f.view(now), false);
+                shop.r.on_job("req-1", &shop.f.context(now), false);
             }
             shop.second(now, None);
             let n = shop.began.keys().filter(|(j, _)| j == "req-1").count();
@@ -641,7 +656,7 @@
     for s in 2..8 {
         shop.second(s * SECOND, Some("m-0"));
     }
-    assert_eq!(shop.r.machines["m-0"].listed, Listed::Out);
+    assert_eq!(shop.r.machines["m-0"].listed, IndexEntry::Unlisted);
     assert!(shop.r.machines["m-0"].tasks.is_empty());
     for s in 8..16 {
         shop.second(s * SECOND, Some("m-0"));
@@ -650,7 +665,10 @@
     for s in 16..40 {
         shop.second(s * SECOND, None);
     }
-    assert!(matches!(shop.r.machines["m-0"].listed, Listed::Open { .. }));
+    assert!(matches!(
+        shop.r.machines["m-0"].listed,
+        IndexEntry::Available { .. }
+    ));
 }
 
 /// Copies from a former owner's time, however many, neither settle a region nor
@@ -664,10 +682,10 @@
     let mut r = f.take(7, SECOND);
     let mut answered = 0;
     for s in 2..30u64 {
-        let v = f.view(s * SECOND);
-        let got = r.on_report(&report("m-1", s, 6, &[]), &v);
+        let v = f.context(s * SECOND);
+        let got = r.on_heartbeat(&report("m-1", s, 6, &[]), &v);
         if !r.settled() {
-            answered += u32::from(matches!(got, Verdict::Commands(_)));
+            answered += u32::from(matches!(got, HeartbeatOutcome::Accepted(_)));
         }
         r.tick(&v);
         assert!(!r.settled() || s > 17, "settled after {s} s");
@@ -676,10 +694,10 @@
     assert!(r.settled(), "its lease is over since the last answer");
     // Nothing of the session that is over counts any more.
     let late = report("m-1", 99, 7, &[("req-1", 0, 5)]);
-    let v = f.view(31 * SECOND);
-    r.on_report(&report("m-1", 40, 7, &[]), &v);
+    let v = f.context(31 * SECOND);
+    r.on_heartbeat(&report("m-1", 40, 7, &[]), &v);
     r.clear_machine("m-1", &v);
-    assert_eq!(r.on_report(&late, &v), Verdict::Stale);
+    assert_eq!(r.on_heartbeat(&late, &v), HeartbeatOutcome::Stale);
 }
 
 /// A team without a guarantee and a limit gets what others leave, and needs no share on
@@ -690,11 +708,11 @@
     f.machine("m-1");
     f.job("req-1", "guest", "x", "0", 3, 0);
     let mut r = f.take(7, SECOND);
-    let v = f.view(2 * SECOND);
-    assert_eq!(starts(&r.on_report(&report("m-1", 1, 7, &[]), &v)), 2);
+    let v = f.context(2 * SECOND);
+    assert_eq!(starts(&r.on_heartbeat(&report("m-1", 1, 7, &[]), &v)), 2);
     r.tick(&v);
-    let shares = |e: &Effect| matches!(e, Effect::Commit(_, _, Purpose::Share(_)));
-    assert!(!r.take_effects().iter().any(shares));
+    let shares = |e: &Action| matches!(e, Action::Commit(_, _, CommitKind::QuotaShare(_)));
+    assert!(!r.take_actions().iter().any(shares));
 }
 
 /// Work of low priority begins within four minutes, a task at a time, though work of higher
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -5,7 +5,7 @@
 mod wire;
 
 pub use operator::{parse_ini, Operator};
-use salttiller_records::Amount;
+use salttiller_records::QuotaAmount;
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::Path;
@@ -63,9 +63,9 @@
     /// Name as jobs give it.
     pub name: String,
     /// Guaranteed processors and cards.
-    pub guarantee: Amount,
+    pub guarantee: QuotaAmount,
     /// Most processors and cards at any time; `None`: no limit.
-    pub limit: Option<Amount>,
+    pub limit: Option<QuotaAmount>,
 }
 
 /// What the users expect of a class of jobs.
@@ -194,12 +194,12 @@
                 Err(bad(field, &format!("{r} is not a positive rate")))
             }
         };
-        let amount = |field: &str, cpus: f64, gpus: f64| -> Result<Amount, SettingsError> {
+        let amount = |field: &str, cpus: f64, gpus: f64| -> Result<QuotaAmount, SettingsError> {
             if [cpus, gpus]
                 .iter()
                 .all(|x| x.is_finite() && *x >= 0.0 && *x < 1e9)
             {
-                Ok(Amount {
+                Ok(QuotaAmount {
                     cpus: units::room(cpus),
                     gpus: units::room(gpus),
                 })
@@ -229,7 +229,7 @@
                 guarantee: amount(&field, t.cpus, t.gpus)?,
                 // A limit that would let nothing run at all is none.
                 limit: Some(amount(&field, t.cpus_max, t.gpus_max)?)
-                    .filter(|limit| *limit != Amount::default()),
+                    .filter(|limit| *limit != QuotaAmount::default()),
             });
         }
         let w = &f.facts.workers;
--- a/src/simulation.rs
+++ b/src/simulation.rs
@@ -9,12 +9,12 @@
 
 use serde_json::{json, Value};
 
-use crate::fault_injection::{leave_out, Guard};
-use crate::controller::Node;
+use crate::controller::Controller;
+use crate::fault_injection::{disable, Safeguard};
 use crate::reactor::{Call, CallError, CallId, ConnId, Net, NetEvent};
 use crate::settings::Settings;
 use salttiller_protocol::http::{query_value, Request, Response};
-use salttiller_records::units::{Micros, MILLI, SECOND};
+use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
 mod cloud;
 mod compound_failures;
@@ -123,8 +123,8 @@
     Fault(Fault),
 }
 
-struct Controller {
-    node: Option<Node<SimNet>>,
+struct SimulatedController {
+    node: Option<Controller<SimNet>>,
     shared: Rc<RefCell<Shared>>,
     boot: Micros,
     life: u64,
@@ -153,7 +153,7 @@
 }
 
 struct Worker {
-    flavor: String,
+    machine_type: String,
     spot: bool,
     season: u64,
     tally: u64,
@@ -172,9 +172,9 @@
 
 impl Worker {
     /// A machine that has not reported yet; its first report goes to controller `at`.
-    fn new(flavor: &str, spot: bool, at: usize) -> Self {
+    fn new(machine_type: &str, spot: bool, at: usize) -> Self {
         Worker {
-            flavor: flavor.into(),
+            machine_type: machine_type.into(),
             spot,
             season: 1,
             tally: 0,
@@ -291,7 +291,7 @@
     seq: u64,
     queue: BTreeMap<(Micros, u64), Event>,
     rng: fastrand::Rng,
-    controllers: Vec<Controller>,
+    controllers: Vec<SimulatedController>,
     store: Store,
     workers: BTreeMap<String, Worker>,
     next_machine: u32,
@@ -380,7 +380,7 @@
     failures: u32,
 }
 
-const LATENCY: Micros = MILLI;
+const LATENCY: Micros = MILLISECOND;
 
 fn reply(status: u16, v: Value) -> Response {
     Response::new(status, rmp_serde::to_vec(&v).unwrap())
@@ -458,7 +458,7 @@
             value_most: 4096,
         };
         for i in 0..3 {
-            w.controllers.push(Controller {
+            w.controllers.push(SimulatedController {
                 node: None,
                 shared: Rc::default(),
                 boot: 0,
@@ -475,7 +475,7 @@
                 away: 0,
                 frozen: 0,
             });
-            w.at(1 + i as u64 * 50 * MILLI, Event::Boot(i));
+            w.at(1 + i as u64 * 50 * MILLISECOND, Event::Boot(i));
         }
         // Repeats of requests that were carried out, long after.
         let mut later = fastrand::Rng::with_seed(plan.seed ^ 0x1a7e);
@@ -693,7 +693,7 @@
         let net = SimNet {
             shared: c.shared.clone(),
         };
-        let node = Node::new(self.settings[i].clone(), net);
+        let node = Controller::new(self.settings[i].clone(), net);
         c.node = Some(node);
         self.set_clock(i);
         if let Some(n) = self.controllers[i].node.as_mut() {
@@ -733,7 +733,7 @@
                         let cut = worker && self.now < self.controllers[i].cut_workers;
                         let mut lag = self.lag();
                         if worker && self.now < self.held_answers && self.rng.bool() {
-                            lag += self.rng.u64(0..6000) * MILLI;
+                            lag += self.rng.u64(0..6000) * MILLISECOND;
                         }
                         if matches!(
                             &requester,
@@ -779,7 +779,7 @@
                             Event::Returned(i, life, id, Err(CallError::NoAnswer)),
                         );
                     } else if call.dest == 0 && self.now < self.slow_store {
-                        let slow = self.rng.u64(50..1500) * MILLI;
+                        let slow = self.rng.u64(50..1500) * MILLISECOND;
                         if slow > timeout {
                             self.at(
                                 self.now + timeout,
@@ -810,7 +810,7 @@
         let c = &mut self.controllers[i];
         c.wake += 1;
         let wake = c.wake;
-        let wait = until.saturating_sub(clock).max(MILLI);
+        let wait = until.saturating_sub(clock).max(MILLISECOND);
         self.at(self.now + wait, Event::Wake(i, wake));
     }
 
@@ -862,10 +862,10 @@
     }
 }
 
-fn play(p: &Plan, left_out: Option<Guard>) -> World {
-    leave_out(left_out);
+fn play(p: &Plan, disabled: Option<Safeguard>) -> World {
+    disable(disabled);
     let world = play_in(p, World::new(p));
-    leave_out(None);
+    disable(None);
     world
 }
 
--- a/src/simulation/cloud.rs
+++ b/src/simulation/cloud.rs
@@ -73,7 +73,7 @@
                     .filter(|(_, (born, gone))| *born <= at && gone.is_none_or(|g| g > at))
                     .filter_map(|(n, (born, _))| {
                         let w = self.workers.get(n)?;
-                        Some(json!({"nameId": n, "address": "x", "plot": w.flavor, "field": "a",
+                        Some(json!({"nameId": n, "address": "x", "plot": w.machine_type, "field": "a",
                             "fallow": w.spot, "stage": "running", "heldS": (at - born) as f64 / 1e6}))
                     })
                     .collect();
--- a/src/simulation/compound_failures.rs
+++ b/src/simulation/compound_failures.rs
@@ -381,14 +381,14 @@
 const SEEDS_EACH: usize = 8;
 
 /// Seeds of "a team at its limit" on which jobs once waited for a gang that lacked its share
-/// (21, 39), or do without [`Guard::ShareHoldLimit`]. Since regions that their workers don't
+/// (21, 39), or do without [`Safeguard::ShareHoldLimit`]. Since regions that their workers don't
 /// reach are released, machines that can't be asked are rarely in the way for so long.
 const SEEDS_OF_A_GANG_SHORT_OF_ITS_SHARE: [u64; 5] = [21, 39, 358, 371, 382];
 
 /// The pieces that guard against a compound failure are needed: without them its day goes wrong.
 #[test]
 fn without_its_guard_a_compound_failure_breaks_a_rule() {
-    let noticed = |name: &str, guard: Guard, wrong: fn(&World) -> bool| {
+    let noticed = |name: &str, guard: Safeguard, wrong: fn(&World) -> bool| {
         let all = compound_failures();
         let m = all.iter().find(|m| m.name == name).unwrap();
         let mut seeds = (1..=60).chain(SEEDS_OF_A_GANG_SHORT_OF_ITS_SHARE);
@@ -396,70 +396,76 @@
         assert!(caught, "{name}: {guard:?} left out isn't noticed");
     };
     let broke = |w: &World| !w.broken.is_empty();
-    noticed("the gap", Guard::StartDeadline, |w| {
+    noticed("the gap", Safeguard::StartDeadline, |w| {
         w.seen.starts_after_cancel > 0
     });
     for (name, guard) in [
-        ("the gap", Guard::AuthorityDeadline),
-        ("the gap, and the machines hang", Guard::AuthorityDeadline),
+        ("the gap", Safeguard::AuthorityDeadline),
+        (
+            "the gap, and the machines hang",
+            Safeguard::AuthorityDeadline,
+        ),
         (
             "the leader is cut off with its workers, jobs are cancelled elsewhere",
-            Guard::AuthorityDeadline,
+            Safeguard::AuthorityDeadline,
         ),
         (
             "a zone with workers and a controller is cut off for longer than a lease",
-            Guard::AuthorityDeadline,
+            Safeguard::AuthorityDeadline,
         ),
         (
             "the leader ends while machines are cut off or deaf",
-            Guard::Recovery,
+            Safeguard::Recovery,
         ),
         (
             "ten leaders in two minutes, also inside an outage",
-            Guard::Recovery,
+            Safeguard::Recovery,
         ),
         (
             "all controllers are away for longer than a lease",
-            Guard::Recovery,
+            Safeguard::Recovery,
         ),
         (
             "controllers hand over and back, all end, and one returns within a second",
-            Guard::Recovery,
+            Safeguard::Recovery,
         ),
-        ("gangs and arrays lose machines", Guard::Recovery),
-        ("old reports arrive at a new leader", Guard::ReportOrder),
+        ("gangs and arrays lose machines", Safeguard::Recovery),
+        ("old reports arrive at a new leader", Safeguard::ReportOrder),
         (
             "answers are held up for seconds while jobs are cancelled",
-            Guard::LeaseWait,
+            Safeguard::LeaseWait,
         ),
         (
             "machines reach no controller while the leader changes",
-            Guard::LeaseWait,
+            Safeguard::LeaseWait,
         ),
         (
             "a team at its limit, a new leader, machines that can't be asked",
-            Guard::InheritedShares,
+            Safeguard::InheritedShares,
         ),
         (
             "a team at its limit, a new leader, machines that can't be asked",
-            Guard::ShareHoldLimit,
+            Safeguard::ShareHoldLimit,
         ),
         (
             "more work than room, urgent and not",
-            Guard::InheritedShares,
+            Safeguard::InheritedShares,
         ),
         (
             "transactions are carried out late, after newer ones",
-            Guard::RevisionConditions,
+            Safeguard::RevisionConditions,
+        ),
+        (
+            "a cancellation meets the end",
+            Safeguard::RevisionConditions,
         ),
-        ("a cancellation meets the end", Guard::RevisionConditions),
         (
             "jobs of two or three tasks end far apart across new leaders",
-            Guard::CompleteResults,
+            Safeguard::CompleteResults,
         ),
         (
             "jobs of two or three tasks end far apart across new leaders",
-            Guard::RunNumber,
+            Safeguard::RunNumber,
         ),
     ] {
         noticed(name, guard, broke);
@@ -473,11 +479,14 @@
     for seed in 1..=4 {
         let p = day(quiet, seed);
         assert!(
-            gateless(&play(&p, Some(Guard::DependencyCheck))),
+            gateless(&play(&p, Some(Safeguard::DependencyCheck))),
             "seed {seed}"
         );
     }
-    assert!((1..=30).any(|seed| alone(&play(&day(quiet, seed), Some(Guard::UpstreamCancellation)))));
+    assert!((1..=30).any(|seed| alone(&play(
+        &day(quiet, seed),
+        Some(Safeguard::UpstreamCancellation)
+    ))));
 }
 
 /// Days on which a job once waited for 90 s beside free machines, because a gang of its
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -117,7 +117,7 @@
                     }
                 }
                 for id in ids {
-                    let at = now + self.rng.u64(0..200) * MILLI;
+                    let at = now + self.rng.u64(0..200) * MILLISECOND;
                     self.at(at, Event::User(id, Action::Abort));
                 }
                 for m in on {
@@ -188,7 +188,7 @@
                     for requester in std::mem::take(&mut self.controllers[i].conns).into_values() {
                         self.fail(requester);
                     }
-                    let wait = self.rng.u64(50..900) * MILLI;
+                    let wait = self.rng.u64(50..900) * MILLISECOND;
                     let at = (now + wait).max(self.controllers[i].away + wait);
                     self.at(at, Event::Boot(i));
                 }
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -70,7 +70,7 @@
             if self.lapsed(w) || w.token == 0 {
                 continue;
             }
-            let (mut cpus, mut mem) = if w.flavor == "box" {
+            let (mut cpus, mut mem) = if w.machine_type == "box" {
                 (4.0, 16.0)
             } else {
                 (8.0, 64.0)
--- a/src/simulation/lost_records.rs
+++ b/src/simulation/lost_records.rs
@@ -71,7 +71,7 @@
 
     fn all_held(&self) -> bool {
         let up = self.controllers.iter().filter_map(|c| c.node.as_ref());
-        up.clone().count() == 3 && up.into_iter().all(Node::is_held)
+        up.clone().count() == 3 && up.into_iter().all(Controller::is_held)
     }
 
     /// Tasks on machines whose users want them still.
@@ -310,16 +310,16 @@
 #[test]
 fn without_its_guard_a_loss_does_harm() {
     let cases = [
-        (Guard::KnownHistory, "set back, grown past"),
-        (Guard::ReportEvidence, "set back, all restart"),
-        (Guard::ProvenStart, "wiped, all restart"),
-        (Guard::SufficientToken, "wiped"),
+        (Safeguard::KnownHistory, "set back, grown past"),
+        (Safeguard::ReportEvidence, "set back, all restart"),
+        (Safeguard::ProvenStart, "wiped, all restart"),
+        (Safeguard::SufficientToken, "wiped"),
     ];
     for (guard, name) in cases {
         let day = days().into_iter().find(|d| d.name == name).unwrap();
-        leave_out(Some(guard));
+        disable(Some(guard));
         let noticed = (1..=10).any(|seed| play_loss(&day, seed).is_err());
-        leave_out(None);
+        disable(None);
         assert!(noticed, "{guard:?} left out went unnoticed");
     }
 }
@@ -439,11 +439,11 @@
 
 #[test]
 fn without_the_wait_after_a_decision_a_task_runs_twice() {
-    leave_out(Some(Guard::UnrecordedMachines));
+    disable(Some(Safeguard::UnrecordedMachines));
     let mut all = set_back_days()
         .flat_map(|day| (1..=8).map(move |seed| play_decision(&day, seed, CancelAgain::No)));
     let noticed = all.any(|r| r.is_err_and(|what| what.contains("ran_twice")));
-    leave_out(None);
+    disable(None);
     assert!(noticed);
 }
 
--- a/src/simulation/partial_failures.rs
+++ b/src/simulation/partial_failures.rs
@@ -154,7 +154,7 @@
     let mut lapsed = [0, 0];
     for seed in 1..=20 {
         let p = day(&m, seed);
-        for (i, guard) in [None, Some(Guard::UnreachedRelease)]
+        for (i, guard) in [None, Some(Safeguard::UnreachedRelease)]
             .into_iter()
             .enumerate()
         {
@@ -214,7 +214,7 @@
             end: 240 * S,
             load: Load::Mixed,
         };
-        for (i, guard) in [None, Some(Guard::BootTrouble)].into_iter().enumerate() {
+        for (i, guard) in [None, Some(Safeguard::BootTrouble)].into_iter().enumerate() {
             let w = play(&p, guard);
             assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
             assert!(w.seen.bad_boots > 0, "seed {seed}: none came up badly");
--- a/src/simulation/pipelines.rs
+++ b/src/simulation/pipelines.rs
@@ -70,7 +70,7 @@
             if self.now >= end || !self.broken.is_empty() {
                 return false;
             }
-            let next = self.now + MILLI;
+            let next = self.now + MILLISECOND;
             self.run(next);
             self.now = next;
         }
@@ -155,7 +155,7 @@
         assert!(dependent_open, "tidied before the leader could change");
         for _ in 0..3 {
             w.fault(Fault::LeaderBlinks);
-            w.run_for(700 * MILLI);
+            w.run_for(700 * MILLISECOND);
         }
     }),
     ("the state service goes out", TOLD, |w| {
@@ -208,15 +208,15 @@
 #[test]
 fn pipelines_without_their_guards_go_wrong() {
     for (name, moment, after) in AFTER_A_CANCELLATION {
-        leave_out(Some(Guard::UpstreamCancellation));
+        disable(Some(Safeguard::UpstreamCancellation));
         let wrong = cancellation(1, moment, after);
-        leave_out(None);
+        disable(None);
         assert!(!wrong.is_empty(), "{name}: not noticed");
     }
-    leave_out(Some(Guard::DependencyCheck));
+    disable(Some(Safeguard::DependencyCheck));
     let mut w = four_jobs(1, 30);
     w.run_for(20 * SECOND);
-    leave_out(None);
+    disable(None);
     assert!(w.broken.iter().any(|b| b.contains("too_early")));
 }
 
@@ -233,7 +233,7 @@
             of_first.map(|(_, t)| t.ends).max().unwrap()
         };
         let last_end = ends(&w);
-        w.run_for(last_end.saturating_sub(w.now + 200 * MILLI));
+        w.run_for(last_end.saturating_sub(w.now + 200 * MILLISECOND));
         let owner = w.owner_of(FIRST);
         let takings = w.seen.takings;
         w.fault(Fault::Crash(owner));
@@ -272,7 +272,7 @@
         let mut w = four_jobs(seed, 20);
         let ended = |w: &World| w.jobs[FIRST].done.len() == 2;
         assert!(w.run_until(60 * SECOND, ended), "seed {seed}");
-        w.run_for(seed % 8 * 4 * MILLI);
+        w.run_for(seed % 8 * 4 * MILLISECOND);
         w.cancel(FIRST);
         assert!(w.run_until(90 * SECOND, World::all_over), "seed {seed}");
         w.run_for(10 * SECOND);
--- a/src/simulation/scale.rs
+++ b/src/simulation/scale.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 /// What a day with so many machines came to.
-struct Outcome {
+struct CommitOutcome {
     world: World,
     /// Most machines up at a time.
     most: usize,
 }
 
-fn play_with(machines: usize) -> Outcome {
+fn play_with(machines: usize) -> CommitOutcome {
     let mut rng = fastrand::Rng::with_seed(7);
     let p = Plan {
         seed: 7,
@@ -63,14 +63,14 @@
         }
         until += 5 * SECOND;
     }
-    Outcome { world, most }
+    CommitOutcome { world, most }
 }
 
 /// Machines by the thousand: the leader ends, then two controllers, then all; the rules
 /// hold, all work ends, and every machine is on record, used and returned.
 #[test]
 fn four_thousand_machines_are_rented_used_and_returned() {
-    let Outcome { world, most } = play_with(4_000);
+    let CommitOutcome { world, most } = play_with(4_000);
     assert!(world.broken.is_empty(), "{:?}", world.broken);
     assert!(most >= 4_000, "{most} machines at the most");
     assert!(world.left_open().is_empty(), "{:?}", world.left_open());
--- a/src/simulation/scenarios.rs
+++ b/src/simulation/scenarios.rs
@@ -80,7 +80,7 @@
     let mut p = plan(seed);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     for _ in 0..rng.u32(2..7) {
-        let at = SECOND * rng.u64(10..150) + MILLI * rng.u64(0..1000);
+        let at = SECOND * rng.u64(10..150) + MILLISECOND * rng.u64(0..1000);
         let long = SECOND * rng.u64(5..45);
         let i = rng.usize(0..3);
         let f = match rng.u32(0..8) {
@@ -94,7 +94,7 @@
         p.faults.push((at, f));
         // Twice in a row, the second time in the middle of the election.
         if matches!(f, Fault::Blink(_) | Fault::LeaderBlinks) && rng.bool() {
-            p.faults.push((at + rng.u64(300..2500) * MILLI, f));
+            p.faults.push((at + rng.u64(300..2500) * MILLISECOND, f));
         }
     }
     p
@@ -114,16 +114,19 @@
 #[test]
 fn guards_left_out_are_noticed() {
     for (guard, rules) in [
-        (Guard::Recovery, &["ran_twice"][..]),
+        (Safeguard::Recovery, &["ran_twice"][..]),
         (
-            Guard::AuthorityDeadline,
+            Safeguard::AuthorityDeadline,
             &["ran_twice", "ran_cancelled"][..],
         ),
-        (Guard::ReportOrder, &["ran_twice", "not_done", "quota"][..]),
+        (
+            Safeguard::ReportOrder,
+            &["ran_twice", "not_done", "quota"][..],
+        ),
     ] {
         let caught = (1..=200).any(|seed| {
             let mut p = harder(seed);
-            if guard != Guard::Recovery {
+            if guard != Safeguard::Recovery {
                 p.faults.push((40 * SECOND, Fault::Copies(100 * SECOND)));
                 p.faults
                     .push((60 * SECOND, Fault::Alone(0, 60 * SECOND, true)));
--- a/src/simulation/state_service.rs
+++ b/src/simulation/state_service.rs
@@ -41,7 +41,7 @@
                     let n = self.store.next_watch;
                     self.store.next_watch += 1;
                     self.store.watches.insert(n, (i, life, id, from));
-                    self.at(self.now + wait * MILLI, Event::WatchEnds(n));
+                    self.at(self.now + wait * MILLISECOND, Event::WatchEnds(n));
                     return;
                 }
                 self.changes(from)
@@ -50,7 +50,7 @@
             "/grants" => {
                 let g = self.store.next_lease;
                 self.store.next_lease += 1;
-                let life = body["lifeMs"].as_u64().unwrap() * MILLI;
+                let life = body["lifeMs"].as_u64().unwrap() * MILLISECOND;
                 self.store.leases.insert(g, (life, self.now + life));
                 reply(200, json!({ "tenure": g }))
             }
--- a/src/simulation/workers.rs
+++ b/src/simulation/workers.rs
@@ -33,7 +33,7 @@
                 v
             })
             .collect();
-        let body = json!({"tiller": name, "address": "x", "plot": w.flavor, "field": "a", "fallow": w.spot,
+        let body = json!({"tiller": name, "address": "x", "plot": w.machine_type, "field": "a", "fallow": w.spot,
             "season": w.season, "tally": w.tally, "brand": w.token, "reclaimS": null, "sheaves": tasks});
         let requester = Requester::Worker {
             machine: name.into(),
@@ -128,7 +128,7 @@
             let wait = match to {
                 Some(i) if r.status == 421 && i != w.at => {
                     w.at = i;
-                    100 * MILLI
+                    100 * MILLISECOND
                 }
                 _ => {
                     w.at = (w.at + 1) % 3;
@@ -198,8 +198,8 @@
                     let deaf = self.now < self.controllers[at].cut_mesh;
                     let way = match (held, deaf) {
                         (true, _) => 4 * SECOND,
-                        (_, true) => crate::state_store::FRESH_FOR + 100 * MILLI,
-                        _ => 100 * MILLI,
+                        (_, true) => crate::state_store::FRESH_FOR + 100 * MILLISECOND,
+                        _ => 100 * MILLISECOND,
                     };
                     self.seen.starts_after_cancel += u32::from(self.now > t + way);
                     if self.now > t + 41 * SECOND {
@@ -370,14 +370,14 @@
                     }
                     let last = j.done.len() as u32 == j.tasks;
                     if last && now < self.cancel_at_end && !j.cancel_asked {
-                        let soon = now + self.rng.u64(0..200) * MILLI;
+                        let soon = now + self.rng.u64(0..200) * MILLISECOND;
                         let id = job.to_owned();
                         self.at(soon, Event::User(id, Action::Abort));
                     }
                 }
             }
         }
-        self.at(now + 10 * MILLI, Event::Report(name.into(), timer));
+        self.at(now + 10 * MILLISECOND, Event::Report(name.into(), timer));
     }
 
     pub(super) fn check_quota(&mut self) {
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -21,19 +21,19 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-use crate::fault_injection::{is_left_out, Guard};
+use crate::fault_injection::{is_disabled, Safeguard};
 use crate::reactor::CallError;
 use crate::settings::Settings;
 use replica::Replica;
 use salttiller_protocol::http::Response;
 use salttiller_protocol::state_service::{self, encode, Changes, Granted, Page, Refused, Revision};
 use salttiller_records::key::{Key, PREFIX};
-use salttiller_records::units::{shrink, Micros, MILLI, SECOND};
+use salttiller_records::units::{subtract_drift, Micros, MILLISECOND, SECOND};
 use salttiller_recovery::{Finding, RecentChanges};
 
 /// A change of the records, all or nothing.
 #[derive(Debug, Clone, Default)]
-pub struct Txn {
+pub struct Transaction {
     /// Records it relies on, with the revision they must have (0: absent).
     pub when: Vec<(Key, u64)>,
     /// Puts and deletions.
@@ -44,9 +44,9 @@
 
 /// How a commit ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CommitOutcome {
     /// Carried out, with this revision.
-    Done(u64),
+    Committed(u64),
     /// A condition didn't hold: surely not carried out by this sending, but an
     /// earlier unanswered one may have been. The replica must reach the revision
     /// before anything is concluded.
@@ -59,7 +59,7 @@
 
 /// What the registry has to tell the other slices.
 #[derive(Debug)]
-pub enum RegistryEvent {
+pub enum StateStoreEvent {
     /// Records that changed.
     Changed(Vec<Key>),
     /// The whole replica was read anew.
@@ -69,7 +69,7 @@
     /// A read sent at this time failed.
     BarrierFailed(Micros),
     /// A commit ended.
-    Committed(u64, Outcome),
+    Committed(u64, CommitOutcome),
     /// The process's lease is gone, and all regions held under it.
     OwnerLeaseLost,
     /// The leader's lease is gone.
@@ -107,19 +107,19 @@
 
 /// How soon a commit matters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Urgency {
+pub enum CommitPriority {
     /// Users wait for it, or authority hangs on it.
-    First,
+    Urgent,
     /// Work waits for it.
-    Next,
+    Normal,
     /// Nothing does.
-    Later,
+    Background,
 }
 
 struct Commit {
     ticket: u64,
-    txn: Txn,
-    urgency: Urgency,
+    txn: Transaction,
+    urgency: CommitPriority,
     asked: Micros,
     give_up: Option<Micros>,
     not_before: Micros,
@@ -129,7 +129,7 @@
 
 /// One of the two leases a process may hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeaseName {
+pub enum LeaseRole {
     /// For regions.
     Owner,
     /// For leading.
@@ -142,7 +142,7 @@
     Wanted {
         not_before: Micros,
     },
-    Asking {
+    Acquiring {
         sent: Micros,
     },
     Held {
@@ -172,28 +172,28 @@
     compared: Option<RecentChanges>,
 }
 
-enum Op {
+enum Operation {
     Page { sent: Micros },
     Follow { from: u64 },
     Barrier { sent: Micros, watch: Watch },
-    Ask(LeaseName),
-    Renew(LeaseName),
+    AcquireLease(LeaseRole),
+    RenewLease(LeaseRole),
     Commit(Box<Commit>),
 }
 
 /// A bucket of permits that fills at a rate, holding at most a second's worth.
 #[derive(Debug)]
-struct Bucket {
+struct TokenBucket {
     rate: f64,
     level: f64,
     cap: f64,
     at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate: f64) -> Self {
         let cap = rate.max(2.0);
-        Bucket {
+        TokenBucket {
             rate,
             level: cap,
             cap,
@@ -214,12 +214,12 @@
         if lack <= 0.0 {
             0
         } else {
-            (lack / self.rate * 1e6) as Micros + MILLI
+            (lack / self.rate * 1e6) as Micros + MILLISECOND
         }
     }
 }
 
-enum Load {
+enum Loading {
     Needed {
         not_before: Micros,
     },
@@ -236,10 +236,10 @@
 }
 
 /// The registry's state.
-pub struct Registry {
+pub struct StateStore {
     /// The copy of the records.
     pub replica: Replica,
-    load: Load,
+    load: Loading,
     follow_busy: bool,
     follow_next: Micros,
     follow_gap: Micros,
@@ -253,12 +253,12 @@
     leader: Lease,
     /// Commits that wait to be sent, by urgency.
     queues: [VecDeque<Commit>; 3],
-    ops: BTreeMap<u64, Op>,
+    ops: BTreeMap<u64, Operation>,
     next_op: u64,
     next_ticket: u64,
     in_flight: usize,
-    requests: Bucket,
-    writes: Bucket,
+    requests: TokenBucket,
+    writes: TokenBucket,
     /// The lowest rate of changes that the state service will have for all controllers.
     writes_least: f64,
     /// How many controllers share it.
@@ -279,7 +279,7 @@
 
 /// How old the last complete read may be for us to take requests and start tasks.
 pub const FRESH_FOR: Micros = 3 * SECOND;
-const MARGIN: Micros = 300 * MILLI;
+const MARGIN: Micros = 300 * MILLISECOND;
 const COMMITS_AT_ONCE: usize = 6;
 /// The periodic read that keeps authority and readiness up.
 const SYNC_EVERY: Micros = SECOND;
@@ -295,7 +295,7 @@
     }
 }
 
-impl Registry {
+impl StateStore {
     /// A registry that knows nothing yet.
     pub fn new(s: &Settings) -> Self {
         let n = s.size() as f64;
@@ -303,15 +303,15 @@
         // More than an even share each, since not all have much to write at once;
         // when that is too much together, each comes down to its even share.
         let most = (0.95 / n).max(0.4);
-        Registry {
+        StateStore {
             replica: Replica::default(),
-            load: Load::Needed { not_before: 0 },
+            load: Loading::Needed { not_before: 0 },
             follow_busy: false,
             follow_next: 0,
-            follow_gap: ((1e6 / (share * 0.3)) as Micros).max(20 * MILLI),
+            follow_gap: ((1e6 / (share * 0.3)) as Micros).max(20 * MILLISECOND),
             barrier_busy: false,
             barrier_next: 0,
-            barrier_gap: ((1e6 / (share * 0.2)) as Micros).max(20 * MILLI),
+            barrier_gap: ((1e6 / (share * 0.2)) as Micros).max(20 * MILLISECOND),
             barrier_wanted: false,
             fresh_at: None,
             failing: false,
@@ -328,8 +328,8 @@
             next_op: 1,
             next_ticket: 1,
             in_flight: 0,
-            requests: Bucket::new(share * 0.95),
-            writes: Bucket::new(s.store_writes * most),
+            requests: TokenBucket::new(share * 0.95),
+            writes: TokenBucket::new(s.store_writes * most),
             writes_least: s.store_writes_least,
             controllers: n,
             write_most: s.store_writes * most,
@@ -345,7 +345,7 @@
 
     /// Whether the replica has been read.
     pub fn loaded(&self) -> bool {
-        matches!(self.load, Load::Done)
+        matches!(self.load, Loading::Done)
     }
 
     /// Send time of the last complete read, if there was one.
@@ -379,7 +379,7 @@
             _ => return 0,
         };
         match self.fresh_at {
-            Some(f) => (renewed.min(f) + shrink(self.owner.life)).saturating_sub(MARGIN),
+            Some(f) => (renewed.min(f) + subtract_drift(self.owner.life)).saturating_sub(MARGIN),
             None => 0,
         }
     }
@@ -388,7 +388,7 @@
     pub fn leader_until(&self) -> Micros {
         match self.leader.state {
             LeaseState::Held { renewed, .. } | LeaseState::Renewing { renewed, .. } => {
-                (renewed + shrink(self.leader.life)).saturating_sub(MARGIN)
+                (renewed + subtract_drift(self.leader.life)).saturating_sub(MARGIN)
             }
             _ => 0,
         }
@@ -401,7 +401,7 @@
 
     fn send(
         &mut self,
-        op: Op,
+        op: Operation,
         method: &'static str,
         target: String,
         body: Vec<u8>,
@@ -424,13 +424,13 @@
     pub fn pump(
         &mut self,
         now: Micros,
-        events: &mut Vec<RegistryEvent>,
+        events: &mut Vec<StateStoreEvent>,
     ) -> (Vec<StoreCall>, Micros) {
         self.now = now;
         self.requests.fill(now);
         self.writes.fill(now);
         let mut next = now + SECOND;
-        for name in [LeaseName::Owner, LeaseName::Leader] {
+        for name in [LeaseRole::Owner, LeaseRole::Leader] {
             self.pump_lease(name, now, &mut next);
         }
         self.pump_load(now, &mut next);
@@ -447,14 +447,14 @@
         op: u64,
         result: Result<Response, CallError>,
         now: Micros,
-        events: &mut Vec<RegistryEvent>,
+        events: &mut Vec<StateStoreEvent>,
     ) {
         let Some(op) = self.ops.remove(&op) else {
             return;
         };
         match op {
-            Op::Page { sent } => self.on_page(sent, result, now, events),
-            Op::Follow { from } => {
+            Operation::Page { sent } => self.on_page(sent, result, now, events),
+            Operation::Follow { from } => {
                 self.follow_busy = false;
                 self.follow_next = now + self.follow_gap;
                 let watch = Watch {
@@ -463,10 +463,10 @@
                 };
                 if !self.on_follow(watch, result, now, events) {
                     self.compare_next = true;
-                    self.follow_next = now + 500 * MILLI;
+                    self.follow_next = now + 500 * MILLISECOND;
                 }
             }
-            Op::Barrier { sent, watch } => {
+            Operation::Barrier { sent, watch } => {
                 self.barrier_busy = false;
                 if self.on_follow(watch, result, now, events) {
                     self.fresh_at = Some(self.fresh_at.unwrap_or(0).max(sent));
@@ -474,20 +474,20 @@
                         log::info!("registry: state service: answers again");
                     }
                     self.failing = false;
-                    events.push(RegistryEvent::Barrier(sent));
+                    events.push(StateStoreEvent::Barrier(sent));
                 } else {
                     if !self.failing && self.loaded() {
                         log::info!("registry: state service: read failed");
                     }
                     self.failing = true;
                     self.compare_next = true;
-                    self.barrier_next = now + 250 * MILLI;
-                    events.push(RegistryEvent::BarrierFailed(sent));
+                    self.barrier_next = now + 250 * MILLISECOND;
+                    events.push(StateStoreEvent::BarrierFailed(sent));
                 }
             }
-            Op::Ask(name) => self.on_ask(name, result, now),
-            Op::Renew(name) => self.on_renew(name, result, now, events),
-            Op::Commit(c) => self.on_commit(*c, result, now, events),
+            Operation::AcquireLease(name) => self.on_ask(name, result, now),
+            Operation::RenewLease(name) => self.on_renew(name, result, now, events),
+            Operation::Commit(c) => self.on_commit(*c, result, now, events),
         }
     }
 }
--- a/src/state_store/commits.rs
+++ b/src/state_store/commits.rs
@@ -2,9 +2,14 @@
 
 use super::*;
 
-impl Registry {
-    /// Queues a commit; its end comes as [`RegistryEvent::Committed`].
-    pub fn commit(&mut self, txn: Txn, urgency: Urgency, give_up: Option<Micros>) -> u64 {
+impl StateStore {
+    /// Queues a commit; its end comes as [`StateStoreEvent::Committed`].
+    pub fn commit(
+        &mut self,
+        txn: Transaction,
+        urgency: CommitPriority,
+        give_up: Option<Micros>,
+    ) -> u64 {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         let c = Commit {
@@ -33,7 +38,7 @@
     pub(super) fn pump_commits(
         &mut self,
         now: Micros,
-        events: &mut Vec<RegistryEvent>,
+        events: &mut Vec<StateStoreEvent>,
         next: &mut Micros,
     ) {
         for class in 0..self.queues.len() {
@@ -43,11 +48,11 @@
             while let Some(c) = queue.pop_front() {
                 if c.give_up.is_some_and(|g| now >= g) {
                     let end = if c.unsure {
-                        Outcome::Unknown
+                        CommitOutcome::Unknown
                     } else {
-                        Outcome::Refused
+                        CommitOutcome::Refused
                     };
-                    events.push(RegistryEvent::Committed(c.ticket, end));
+                    events.push(StateStoreEvent::Committed(c.ticket, end));
                     continue;
                 }
                 let cost = c.txn.apply.len() as f64;
@@ -75,10 +80,14 @@
                 self.writes.level -= c.txn.apply.len() as f64;
                 self.in_flight += 1;
                 let body = encode(&txn_value(&c.txn));
-                let timeout = if urgent { 1200 * MILLI } else { 2 * SECOND };
+                let timeout = if urgent {
+                    1200 * MILLISECOND
+                } else {
+                    2 * SECOND
+                };
                 self.commit_sent.insert(c.ticket, now);
                 self.send(
-                    Op::Commit(Box::new(c)),
+                    Operation::Commit(Box::new(c)),
                     "POST",
                     "/commit".into(),
                     body,
@@ -94,12 +103,12 @@
         mut c: Commit,
         result: Result<Response, CallError>,
         now: Micros,
-        events: &mut Vec<RegistryEvent>,
+        events: &mut Vec<StateStoreEvent>,
     ) {
         self.in_flight -= 1;
         match &result {
             Ok(r) if r.status == 429 => {
-                let leads = self.lease_id(LeaseName::Leader).is_some();
+                let leads = self.lease_id(LeaseRole::Leader).is_some();
                 let floor = write_floor(self.writes_least, self.controllers, leads);
                 self.writes.rate = (self.writes.rate * 0.7).max(floor);
             }
@@ -111,35 +120,35 @@
         let sent_at = self.commit_sent.remove(&c.ticket).unwrap_or(now);
         let end = match &result {
             Ok(r) if r.status == 200 => {
-                decode::<Revision>(&r.body).map(|a| Outcome::Done(a.revision))
+                decode::<Revision>(&r.body).map(|a| CommitOutcome::Committed(a.revision))
             }
             Ok(r) if r.status == 409 => {
-                decode::<Revision>(&r.body).map(|a| Outcome::Conflict(a.revision))
+                decode::<Revision>(&r.body).map(|a| CommitOutcome::Conflict(a.revision))
             }
             Ok(r) if r.status == 400 => {
                 log_refusal(&c.txn, &r.body);
                 Some(if c.unsure {
-                    Outcome::Unknown
+                    CommitOutcome::Unknown
                 } else {
-                    Outcome::Refused
+                    CommitOutcome::Refused
                 })
             }
             // Users are told at once when the state service can't be had.
             Ok(r) if r.status == 503 && c.give_up.is_some() => Some(if c.unsure {
-                Outcome::Unknown
+                CommitOutcome::Unknown
             } else {
-                Outcome::Refused
+                CommitOutcome::Refused
             }),
             _ => None,
         };
         if let Some(end) = end {
-            if let Outcome::Done(version) = end {
+            if let CommitOutcome::Committed(version) = end {
                 self.commit_times.push(now - sent_at);
                 log::debug!(
                     "registry: commit: {} changes, first {}, {} ms after it was asked for, {} waiting",
                     c.txn.apply.len(),
                     c.txn.apply.first().map_or_else(String::new, |(k, _)| k.text()),
-                    (now - c.asked) / MILLI,
+                    (now - c.asked) / MILLISECOND,
                     self.backlog()
                 );
                 let mut keys = Vec::new();
@@ -147,20 +156,20 @@
                     self.replica.own(&k, v, version);
                     keys.push(k);
                 }
-                events.push(RegistryEvent::Committed(c.ticket, end));
-                events.push(RegistryEvent::Changed(keys));
+                events.push(StateStoreEvent::Committed(c.ticket, end));
+                events.push(StateStoreEvent::Changed(keys));
             } else {
-                if matches!(end, Outcome::Conflict(_)) {
+                if matches!(end, CommitOutcome::Conflict(_)) {
                     self.barrier_wanted = true;
                 }
-                events.push(RegistryEvent::Committed(c.ticket, end));
+                events.push(StateStoreEvent::Committed(c.ticket, end));
             }
             return;
         }
         // 429 and 503 were not executed; silence may have been. Either way the
         // same conditions go out again.
         c.unsure |= matches!(result, Err(CallError::NoAnswer | CallError::TooLarge));
-        c.not_before = now + 100 * MILLI + fastrand::u64(0..150 * MILLI);
+        c.not_before = now + 100 * MILLISECOND + fastrand::u64(0..150 * MILLISECOND);
         self.queues[c.urgency as usize].push_front(c);
     }
 }
@@ -184,7 +193,7 @@
 
 /// A lease that ended is part of losing a region, and said there; anything else that is
 /// refused for good is a fault of ours. Neither is sent again.
-fn log_refusal(txn: &Txn, body: &[u8]) {
+fn log_refusal(txn: &Transaction, body: &[u8]) {
     let reason = rmp_serde::from_slice::<Refused>(body).map(|e| e.error);
     let reason = reason.unwrap_or_default();
     let first = txn
@@ -198,8 +207,8 @@
     }
 }
 
-fn txn_value(t: &Txn) -> Value {
-    let conditions: &[_] = if is_left_out(Guard::RevisionConditions) {
+fn txn_value(t: &Transaction) -> Value {
+    let conditions: &[_] = if is_disabled(Safeguard::RevisionConditions) {
         &[]
     } else {
         &t.when
--- a/src/state_store/history.rs
+++ b/src/state_store/history.rs
@@ -6,7 +6,7 @@
 /// How often the history is recognised without an interruption.
 const COMPARE_EVERY: Micros = 30 * SECOND;
 
-impl Registry {
+impl StateStore {
     /// What a barrier asks for: from our revision on, or from the last known changes on if the
     /// history is to be recognised.
     pub(super) fn barrier_watch(&mut self) -> Watch {
@@ -22,7 +22,7 @@
     /// What an answer shows against the history that we know, and notes its changes if nothing.
     pub(super) fn recognise(&mut self, watch: &Watch, answer: &Changes) -> Option<Finding> {
         let recent = self.recent.as_mut()?;
-        if is_left_out(Guard::KnownHistory) {
+        if is_disabled(Safeguard::KnownHistory) {
             return None;
         }
         // The revision asked from was shown by the state service itself, so a late answer
@@ -72,18 +72,21 @@
 
     /// The history that we knew is gone: reads all that there is, under new leases, and sends
     /// nothing that was meant for the old one. Returns the copy of what was.
-    pub fn forget_history(&mut self, events: &mut Vec<RegistryEvent>) -> Replica {
+    pub fn forget_history(&mut self, events: &mut Vec<StateStoreEvent>) -> Replica {
         // Late answers to these would mix what was with what is.
-        self.ops.retain(|_, op| matches!(op, Op::Commit(_)));
+        self.ops.retain(|_, op| matches!(op, Operation::Commit(_)));
         (self.follow_busy, self.barrier_busy) = (false, false);
         (self.follow_next, self.barrier_next) = (self.now, self.now);
-        self.load = Load::Needed { not_before: 0 };
+        self.load = Loading::Needed { not_before: 0 };
         self.fresh_at = None;
         self.recent = Some(RecentChanges::default());
         self.owner.state = LeaseState::Wanted { not_before: 0 };
         self.leader.state = LeaseState::Unwanted;
         for commit in self.queues.iter_mut().flat_map(std::mem::take) {
-            events.push(RegistryEvent::Committed(commit.ticket, Outcome::Refused));
+            events.push(StateStoreEvent::Committed(
+                commit.ticket,
+                CommitOutcome::Refused,
+            ));
         }
         std::mem::take(&mut self.replica)
     }
--- a/src/state_store/leases.rs
+++ b/src/state_store/leases.rs
@@ -2,19 +2,19 @@
 
 use super::*;
 
-impl Registry {
-    pub(super) fn lease(&mut self, name: LeaseName) -> &mut Lease {
+impl StateStore {
+    pub(super) fn lease(&mut self, name: LeaseRole) -> &mut Lease {
         match name {
-            LeaseName::Owner => &mut self.owner,
-            LeaseName::Leader => &mut self.leader,
+            LeaseRole::Owner => &mut self.owner,
+            LeaseRole::Leader => &mut self.leader,
         }
     }
 
     /// The lease's id, if it is held.
-    pub fn lease_id(&self, name: LeaseName) -> Option<u64> {
+    pub fn lease_id(&self, name: LeaseRole) -> Option<u64> {
         let g = match name {
-            LeaseName::Owner => &self.owner,
-            LeaseName::Leader => &self.leader,
+            LeaseRole::Owner => &self.owner,
+            LeaseRole::Leader => &self.leader,
         };
         match g.state {
             LeaseState::Held { id, .. } | LeaseState::Renewing { id, .. } => Some(id),
@@ -23,7 +23,7 @@
     }
 
     /// Asks for a lease and keeps it renewed from then on.
-    pub fn want_lease(&mut self, name: LeaseName) {
+    pub fn want_lease(&mut self, name: LeaseRole) {
         let g = self.lease(name);
         if g.state == LeaseState::Unwanted {
             g.state = LeaseState::Wanted { not_before: 0 };
@@ -31,17 +31,23 @@
     }
 
     /// Lets a lease run out.
-    pub fn drop_lease(&mut self, name: LeaseName) {
+    pub fn drop_lease(&mut self, name: LeaseRole) {
         self.lease(name).state = LeaseState::Unwanted;
     }
 
-    pub(super) fn pump_lease(&mut self, name: LeaseName, now: Micros, next: &mut Micros) {
+    pub(super) fn pump_lease(&mut self, name: LeaseRole, now: Micros, next: &mut Micros) {
         let life = self.lease(name).life;
         match self.lease(name).state {
             LeaseState::Wanted { not_before } if now >= not_before => {
-                self.lease(name).state = LeaseState::Asking { sent: now };
-                let body = encode(&json!({"lifeMs": life / MILLI}));
-                self.send(Op::Ask(name), "POST", "/grants".into(), body, 2 * SECOND);
+                self.lease(name).state = LeaseState::Acquiring { sent: now };
+                let body = encode(&json!({"lifeMs": life / MILLISECOND}));
+                self.send(
+                    Operation::AcquireLease(name),
+                    "POST",
+                    "/grants".into(),
+                    body,
+                    2 * SECOND,
+                );
             }
             LeaseState::Wanted { not_before } => *next = (*next).min(not_before),
             LeaseState::Held {
@@ -56,7 +62,13 @@
                 };
                 let target = format!("/grants/{id}/renew");
                 let timeout = (life / 4).min(2 * SECOND);
-                self.send(Op::Renew(name), "POST", target, encode(&json!({})), timeout);
+                self.send(
+                    Operation::RenewLease(name),
+                    "POST",
+                    target,
+                    encode(&json!({})),
+                    timeout,
+                );
             }
             LeaseState::Held { next: due, .. } => *next = (*next).min(due),
             _ => {}
@@ -65,11 +77,11 @@
 
     pub(super) fn on_ask(
         &mut self,
-        name: LeaseName,
+        name: LeaseRole,
         result: Result<Response, CallError>,
         now: Micros,
     ) {
-        let LeaseState::Asking { sent } = self.lease(name).state else {
+        let LeaseState::Acquiring { sent } = self.lease(name).state else {
             return;
         };
         let id = match result {
@@ -84,17 +96,17 @@
                 next: sent + life / 5,
             },
             None => LeaseState::Wanted {
-                not_before: now + 300 * MILLI,
+                not_before: now + 300 * MILLISECOND,
             },
         };
     }
 
     pub(super) fn on_renew(
         &mut self,
-        name: LeaseName,
+        name: LeaseRole,
         result: Result<Response, CallError>,
         now: Micros,
-        events: &mut Vec<RegistryEvent>,
+        events: &mut Vec<StateStoreEvent>,
     ) {
         let LeaseState::Renewing { id, renewed, sent } = self.lease(name).state else {
             return;
@@ -110,10 +122,10 @@
                 log::info!("registry: {name:?} lease {id}: ran out");
                 self.compare_next = true;
                 events.push(match name {
-                    LeaseName::Owner => RegistryEvent::OwnerLeaseLost,
-                    LeaseName::Leader => RegistryEvent::LeaderLeaseLost,
+                    LeaseRole::Owner => StateStoreEvent::OwnerLeaseLost,
+                    LeaseRole::Leader => StateStoreEvent::LeaderLeaseLost,
                 });
-                if name == LeaseName::Owner {
+                if name == LeaseRole::Owner {
                     LeaseState::Wanted { not_before: now }
                 } else {
                     LeaseState::Unwanted
@@ -122,7 +134,7 @@
             _ => LeaseState::Held {
                 id,
                 renewed,
-                next: now + 400 * MILLI,
+                next: now + 400 * MILLISECOND,
             },
         };
     }
--- a/src/state_store/pipelines.rs
+++ b/src/state_store/pipelines.rs
@@ -8,9 +8,9 @@
 use std::rc::Rc;
 
 use super::replica::Versioned;
-use crate::fault_injection::{is_left_out, Guard};
+use crate::fault_injection::{is_disabled, Safeguard};
 use salttiller_records::model::JobSpec;
-use salttiller_records::record::{JobRecord, Stage};
+use salttiller_records::record::{JobRecord, JobStage};
 use salttiller_records::units::Micros;
 
 /// Most jobs to which one change hands priority and deadline on; the rest follows with
@@ -84,22 +84,22 @@
 
     /// How a job stands towards those it needs.
     pub fn readiness(&self, spec: &JobSpec, jobs: &Jobs) -> Readiness {
-        if is_left_out(Guard::DependencyCheck) {
+        if is_disabled(Safeguard::DependencyCheck) {
             return Readiness::Ready;
         }
         let mut readiness = Readiness::Ready;
         for needed in &spec.needs {
             let stage = self.record(needed, jobs).map(|r| r.stage);
-            if is_left_out(Guard::UpstreamCancellation) && stage != Some(Stage::Done) {
+            if is_disabled(Safeguard::UpstreamCancellation) && stage != Some(JobStage::Done) {
                 return Readiness::Waiting;
             }
             match stage {
-                Some(Stage::Done) => {}
-                Some(Stage::Cancelled) => return Readiness::CancelledUpstream,
-                Some(Stage::Open) if self.cancelled_upstream.contains(needed) => {
+                Some(JobStage::Done) => {}
+                Some(JobStage::Cancelled) => return Readiness::CancelledUpstream,
+                Some(JobStage::Open) if self.cancelled_upstream.contains(needed) => {
                     return Readiness::CancelledUpstream
                 }
-                Some(Stage::Open) | None => readiness = Readiness::Waiting,
+                Some(JobStage::Open) | None => readiness = Readiness::Waiting,
             }
         }
         readiness
--- a/src/state_store/pipelines/tests.rs
+++ b/src/state_store/pipelines/tests.rs
@@ -5,7 +5,7 @@
 use super::MAX_STEPS_PER_CHANGE;
 use crate::state_store::replica::Replica;
 use salttiller_records::model::Priority;
-use salttiller_records::record::{value, Stage};
+use salttiller_records::record::{value, JobStage};
 
 /// A replica, written to as the state service's events would.
 #[derive(Default)]
@@ -42,11 +42,11 @@
     fn stand(&self, ids: &[&str]) -> String {
         let one = |id: &&str| match self.r.stage(id) {
             None => '-',
-            Some(Stage::Done) => 'd',
-            Some(Stage::Cancelled) => 'c',
-            Some(Stage::Open) if self.r.pipelines.waiting().contains(*id) => 'w',
-            Some(Stage::Open) if self.r.unbound.contains(*id) => 'r',
-            Some(Stage::Open) => '?',
+            Some(JobStage::Done) => 'd',
+            Some(JobStage::Cancelled) => 'c',
+            Some(JobStage::Open) if self.r.pipelines.waiting().contains(*id) => 'w',
+            Some(JobStage::Open) if self.r.unbound.contains(*id) => 'r',
+            Some(JobStage::Open) => '?',
         };
         ids.iter().map(one).collect()
     }
@@ -233,7 +233,7 @@
     let looked = lookups(&mut f, |f| f.cancelled("0"));
     assert!(looked <= 8 * LENGTH as u64, "{looked} lookups");
     for i in 1..LENGTH {
-        assert_eq!(f.r.stage(&i.to_string()), Some(Stage::Cancelled), "{i}");
+        assert_eq!(f.r.stage(&i.to_string()), Some(JobStage::Cancelled), "{i}");
     }
     assert_eq!(f.r.pipelines.cancelled_upstream().len(), LENGTH - 1);
 }
--- a/src/state_store/reads.rs
+++ b/src/state_store/reads.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-impl Registry {
+impl StateStore {
     pub(super) fn pump_load(&mut self, now: Micros, next: &mut Micros) {
-        if let Load::Needed { not_before } = self.load {
+        if let Loading::Needed { not_before } = self.load {
             if now < not_before {
                 *next = (*next).min(not_before);
                 return;
             }
-            self.load = Load::Reading {
+            self.load = Loading::Reading {
                 fresh: Box::default(),
                 from: None,
                 start: None,
@@ -18,7 +18,7 @@
                 known: self.replica.revision,
             };
         }
-        if let Load::Reading {
+        if let Loading::Reading {
             from,
             waiting,
             sent,
@@ -36,7 +36,7 @@
                 target.push_str(f);
             }
             self.send(
-                Op::Page { sent: now },
+                Operation::Page { sent: now },
                 "GET",
                 target,
                 Vec::new(),
@@ -60,7 +60,7 @@
                 let watch = self.barrier_watch();
                 let target = format!("/follow?under={PREFIX}&from={}&waitMs=0", watch.from);
                 self.send(
-                    Op::Barrier { sent: now, watch },
+                    Operation::Barrier { sent: now, watch },
                     "GET",
                     target,
                     Vec::new(),
@@ -75,10 +75,16 @@
                 self.follow_busy = true;
                 let target = format!(
                     "/follow?under={PREFIX}&from={from}&waitMs={}",
-                    FOLLOW_WAIT / MILLI
+                    FOLLOW_WAIT / MILLISECOND
                 );
                 let timeout = FOLLOW_WAIT + 3 * SECOND;
-                self.send(Op::Follow { from }, "GET", target, Vec::new(), timeout);
+                self.send(
+                    Operation::Follow { from },
+                    "GET",
+                    target,
+                    Vec::new(),
+                    timeout,
+                );
             } else {
                 *next = (*next).min(self.follow_next.max(now + self.requests.wait(1.0)));
             }
@@ -90,7 +96,7 @@
         _sent: Micros,
         result: Result<Response, CallError>,
         now: Micros,
-        events: &mut Vec<RegistryEvent>,
+        events: &mut Vec<StateStoreEvent>,
     ) {
         let page: Option<Page> = match result {
             Ok(r) if r.status == 200 => decode(&r.body),
@@ -103,7 +109,7 @@
                 None
             }
         };
-        let Load::Reading {
+        let Loading::Reading {
             fresh,
             from,
             start,
@@ -115,8 +121,8 @@
             return;
         };
         let Some(page) = page else {
-            let not_before = now + 300 * MILLI + fastrand::u64(0..200 * MILLI);
-            self.load = Load::Needed { not_before };
+            let not_before = now + 300 * MILLISECOND + fastrand::u64(0..200 * MILLISECOND);
+            self.load = Loading::Needed { not_before };
             return;
         };
         *waiting = false;
@@ -137,7 +143,7 @@
         let fresh = std::mem::take(fresh);
         let missing = self.missing_since(known, &fresh);
         self.replica = *fresh;
-        self.load = Load::Done;
+        self.load = Loading::Done;
         if self.recent.is_some() {
             self.recent = Some(RecentChanges::starting_at(self.replica.revision));
         }
@@ -151,8 +157,8 @@
             self.fresh_at = Some(self.fresh_at.unwrap_or(0).max(b));
         }
         self.failing = false;
-        events.push(RegistryEvent::Loaded);
-        events.extend(missing.map(RegistryEvent::RecordsLost));
+        events.push(StateStoreEvent::Loaded);
+        events.extend(missing.map(StateStoreEvent::RecordsLost));
     }
 
     pub(super) fn on_follow(
@@ -160,7 +166,7 @@
         watch: Watch,
         result: Result<Response, CallError>,
         now: Micros,
-        events: &mut Vec<RegistryEvent>,
+        events: &mut Vec<StateStoreEvent>,
     ) -> bool {
         let r = match result {
             Ok(r) => r,
@@ -168,7 +174,7 @@
                 // Guards against a controller that was away while so much changed that the
                 // answer is never read: pages are bounded.
                 log::info!("registry: watch: too many changes at once, reading all again");
-                self.load = Load::Needed { not_before: now };
+                self.load = Loading::Needed { not_before: now };
                 return false;
             }
             Err(e) => {
@@ -179,7 +185,7 @@
         if r.status == 410 {
             log::info!("registry: watch: revision too old, reading all again");
             if self.loaded() {
-                self.load = Load::Needed { not_before: now };
+                self.load = Loading::Needed { not_before: now };
             }
             return false;
         }
@@ -191,7 +197,7 @@
             return false;
         };
         if let Some(finding) = self.recognise(&watch, &f) {
-            events.push(RegistryEvent::RecordsLost(finding));
+            events.push(StateStoreEvent::RecordsLost(finding));
             return false;
         }
         let mut changed = Vec::new();
@@ -204,7 +210,7 @@
         }
         self.replica.reached(f.revision);
         if !changed.is_empty() {
-            events.push(RegistryEvent::Changed(changed));
+            events.push(StateStoreEvent::Changed(changed));
         }
         true
     }
