--- a/src/state_store/replica.rs
+++ b/src/state_store/replica.rs
@@ -9,12 +9,12 @@
 use super::pipelines::{PipelineEnd, Pipelines, Readiness};
 use salttiller_records::bitmap::{count_bits, read_bitmap};
 use salttiller_records::key::Key;
-use salttiller_records::model::{Flavor, JobSpec, RangeSet};
+use salttiller_records::model::{JobSpec, MachineType, RangeSet};
 use salttiller_records::record::{
-    HoldRecord, JobRecord, LeaderRecord, MachineBatchRecord, MachineRecord, OpenedRecord, Part,
-    QuotaRecord, RegionRecord, Stage,
+    ActivationRecord, DataLossHoldRecord, JobRecord, JobStage, LeaderRecord, MachineBatchRecord,
+    MachineRecord, QuotaRecord, RegionRecord, TaskRange,
 };
-use salttiller_records::Amount;
+use salttiller_records::QuotaAmount;
 
 /// A record with the revision of its last change.
 #[derive(Debug, Clone)]
@@ -36,7 +36,7 @@
     /// Last token.
     pub token: Option<Versioned<u64>>,
     /// That records were lost, and what operators decided.
-    pub hold: Option<Versioned<HoldRecord>>,
+    pub hold: Option<Versioned<DataLossHoldRecord>>,
     /// Regions' owners.
     pub regions: BTreeMap<String, Versioned<RegionRecord>>,
     /// Machines, of lots and with records of their own.
@@ -44,7 +44,7 @@
     /// Lots of machines.
     pub batches: BTreeMap<String, Versioned<MachineBatchRecord>>,
     /// Which machines of lots were opened.
-    pub opened: BTreeMap<(String, u32), Versioned<OpenedRecord>>,
+    pub opened: BTreeMap<(String, u32), Versioned<ActivationRecord>>,
     /// Machines by region, type, zone and kind, counted.
     pub stock: BTreeMap<String, BTreeMap<(String, String, bool), u32>>,
     /// Jobs.
@@ -56,13 +56,13 @@
     /// The level-one list: open jobs of each region.
     pub level_one: BTreeMap<String, u32>,
     /// Open jobs of each team by time of submission, with what they need.
-    pub teams: BTreeMap<String, BTreeMap<(u64, String), Amount>>,
+    pub teams: BTreeMap<String, BTreeMap<(u64, String), QuotaAmount>>,
     /// Finished tasks by job, region and chunk.
     pub progress: BTreeMap<String, BTreeMap<(String, u32), Versioned<String>>>,
     /// Shares of limits.
     pub quotas: BTreeMap<String, Versioned<QuotaRecord>>,
     /// Machine types.
-    pub flavors: BTreeMap<String, Versioned<Flavor>>,
+    pub machine_types: BTreeMap<String, Versioned<MachineType>>,
     /// Our own changes beyond `revision`: key and version (also of deletions), so
     /// that an older event that comes in later can't undo them.
     ahead: BTreeMap<Key, u64>,
@@ -111,7 +111,7 @@
                 .filter(|v| v.value.lot.is_none())
                 .map_or(0, |v| v.version),
             Key::MachineBatch(l) => self.batches.get(l).map_or(0, |v| v.version),
-            Key::Opened(r, n) => self.opened.get(&(r.clone(), *n)).map_or(0, |v| v.version),
+            Key::Activation(r, n) => self.opened.get(&(r.clone(), *n)).map_or(0, |v| v.version),
             Key::Job(j) => self.jobs.get(j).map_or(0, |v| v.version),
             Key::Progress(j, r, c) => self
                 .progress
@@ -119,8 +119,8 @@
                 .and_then(|p| p.get(&(r.clone(), *c)))
                 .map_or(0, |v| v.version),
             Key::Quota(t) => self.quotas.get(t).map_or(0, |v| v.version),
-            Key::Flavor(f) => self.flavors.get(f).map_or(0, |v| v.version),
-            Key::Hold => self.hold.as_ref().map_or(0, |v| v.version),
+            Key::MachineType(f) => self.machine_types.get(f).map_or(0, |v| v.version),
+            Key::DataLossHold => self.hold.as_ref().map_or(0, |v| v.version),
         }
     }
 
@@ -172,7 +172,7 @@
                 Some(v) => serde_json::from_value(v)
                     .map(|value| self.token = Some(Versioned { value, version })),
             },
-            Key::Hold => match value {
+            Key::DataLossHold => match value {
                 None => {
                     self.hold = None;
                     Ok(())
@@ -195,7 +195,7 @@
                 }
                 Err(e) => Err(e),
             },
-            Key::Opened(r, n) => {
+            Key::Activation(r, n) => {
                 let res = set(&mut self.opened, (r.clone(), *n), value, version);
                 if res.is_ok() {
                     self.enter_opened(r, *n);
@@ -220,7 +220,7 @@
                 res
             }
             Key::Quota(t) => set(&mut self.quotas, t.clone(), value, version),
-            Key::Flavor(f) => set(&mut self.flavors, f.clone(), value, version),
+            Key::MachineType(f) => set(&mut self.machine_types, f.clone(), value, version),
             Key::Progress(j, r, c) => {
                 let chunks = self.progress.entry(j.clone()).or_default();
                 let res = set(chunks, (r.clone(), *c), value, version);
@@ -237,7 +237,7 @@
         }
         if matches!(
             key,
-            Key::Machine(_) | Key::MachineBatch(_) | Key::Opened(..)
+            Key::Machine(_) | Key::MachineBatch(_) | Key::Activation(..)
         ) {
             if done.is_ok() {
                 self.unreadable.remove(key);
@@ -255,10 +255,10 @@
     }
 
     /// Where a job stands: as on record, or cancelled along with one that it needs.
-    pub fn stage(&self, id: &str) -> Option<Stage> {
+    pub fn stage(&self, id: &str) -> Option<JobStage> {
         let on_record = self.jobs.get(id)?.value.stage;
         if self.pipelines.cancelled_upstream().contains(id) {
-            return Some(Stage::Cancelled);
+            return Some(JobStage::Cancelled);
         }
         Some(on_record)
     }
@@ -314,7 +314,7 @@
     fn update_dependents(&mut self, id: &str) {
         let mut todo = vec![id.to_owned()];
         while let Some(id) = todo.pop() {
-            if self.stage(&id).is_none_or(|s| s == Stage::Open) {
+            if self.stage(&id).is_none_or(|s| s == JobStage::Open) {
                 continue;
             }
             let dependents: Vec<String> = self.pipelines.dependents(&id).cloned().collect();
@@ -326,7 +326,7 @@
                 }
                 self.count_job(&dependent, false);
                 self.count_job(&dependent, true);
-                if self.stage(&dependent) != Some(Stage::Open) {
+                if self.stage(&dependent) != Some(JobStage::Open) {
                     log::debug!("registry: {dependent}: cancelled along with {id}");
                     todo.push(dependent);
                 } else if self.open.contains(&dependent) {
@@ -363,7 +363,7 @@
         if let Some(old) = self.machines.remove(name) {
             let m = old.value;
             if let Some(kinds) = self.stock.get_mut(&m.region) {
-                let kind = (m.flavor, m.zone, m.spot);
+                let kind = (m.machine_type, m.zone, m.spot);
                 if let Some(n) = kinds.get_mut(&kind) {
                     *n -= 1;
                     if *n == 0 {
@@ -373,7 +373,7 @@
             }
         }
         if let Some(value) = rec {
-            let kind = (value.flavor.clone(), value.zone.clone(), value.spot);
+            let kind = (value.machine_type.clone(), value.zone.clone(), value.spot);
             let kinds = self.stock.entry(value.region.clone()).or_default();
             *kinds.entry(kind).or_default() += 1;
             self.machines
@@ -410,7 +410,7 @@
             }
             let value = MachineRecord {
                 region: rec.region.clone(),
-                flavor: rec.flavor.clone(),
+                machine_type: rec.machine_type.clone(),
                 zone: rec.zone.clone(),
                 spot: rec.spot,
                 opened: opened.contains(i as u32),
@@ -496,7 +496,12 @@
         };
         let key = (spec.submitted, id.to_owned());
         let need = spec.amount().times(spec.tasks as u64);
-        let mut regions: Vec<&str> = rec.value.parts.iter().map(|Part(_, _, r)| &**r).collect();
+        let mut regions: Vec<&str> = rec
+            .value
+            .parts
+            .iter()
+            .map(|TaskRange(_, _, r)| &**r)
+            .collect();
         regions.sort_unstable();
         regions.dedup();
         for r in regions {
--- a/src/state_store/tests.rs
+++ b/src/state_store/tests.rs
@@ -22,7 +22,7 @@
 fn refusals_lower_the_rate_to_its_least() {
     let settings = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
     let rate_after = |leads: bool| {
-        let mut registry = Registry::new(&settings);
+        let mut registry = StateStore::new(&settings);
         if leads {
             registry.leader.state = LeaseState::Held {
                 id: 1,
@@ -33,12 +33,12 @@
         for _ in 0..40 {
             let commit = Commit {
                 ticket: 1,
-                txn: Txn {
+                txn: Transaction {
                     when: Vec::new(),
                     apply: Vec::new(),
                     lease: None,
                 },
-                urgency: Urgency::Later,
+                urgency: CommitPriority::Background,
                 asked: 0,
                 give_up: None,
                 not_before: 0,
@@ -65,8 +65,8 @@
 #[test]
 fn a_watch_that_is_too_large_is_read_by_pages() {
     let settings = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
-    let mut registry = Registry::new(&settings);
-    registry.load = Load::Done;
+    let mut registry = StateStore::new(&settings);
+    registry.load = Loading::Done;
     let mut events = Vec::new();
     let (calls, _) = registry.pump(SECOND, &mut events);
     let watch = calls
@@ -94,7 +94,7 @@
         (11, 10, 9, true),
         (13, 10, 12, false),
     ] {
-        let mut registry = Registry::new(&settings);
+        let mut registry = StateStore::new(&settings);
         registry.replica.reached(known);
         let key = Key::Job("req-1".into());
         registry.replica.own(&key, Some(json!({"st": "o"})), job);
--- a/src/status.rs
+++ b/src/status.rs
@@ -8,9 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-use crate::peer_protocol::{AimLine, Status};
-use crate::state_store::pipelines::PipelineEnd;
+use crate::peer_protocol::{ObjectiveStatus, Status};
 use crate::settings::{Objective, Operator};
+use crate::state_store::pipelines::PipelineEnd;
 use conditions::{Condition, ConditionWatch};
 use pipelines::{expected_end, PipelineWatch, Step};
 use salttiller_records::model::JobSpec;
@@ -296,7 +296,7 @@
             .iter_mut()
             .map(|a| {
                 let (met, all) = a.window.counts(oldest);
-                AimLine {
+                ObjectiveStatus {
                     aim: a.name(),
                     met,
                     all,
--- a/src/status/conditions.rs
+++ b/src/status/conditions.rs
@@ -22,7 +22,7 @@
     /// Machines of a kind come up late or not at all.
     BadBoots {
         /// Type.
-        flavor: String,
+        machine_type: String,
         /// Zone.
         zone: String,
         /// Spot or ordinary.
@@ -67,10 +67,13 @@
     fn subject(&self) -> String {
         match self {
             Condition::BadBoots {
-                flavor, zone, spot, ..
+                machine_type,
+                zone,
+                spot,
+                ..
             } => {
                 let kind = if *spot { " spot" } else { "" };
-                format!("{flavor}{kind} machines in {zone} come up late or not at all")
+                format!("{machine_type}{kind} machines in {zone} come up late or not at all")
             }
             Condition::QuestionStorm { .. } => {
                 "many more questions about jobs than usual".to_owned()
--- a/src/status/conditions/tests.rs
+++ b/src/status/conditions/tests.rs
@@ -12,7 +12,7 @@
 
 fn boots(overdue: u32) -> Condition {
     Condition::BadBoots {
-        flavor: "big".into(),
+        machine_type: "big".into(),
         zone: "a".into(),
         spot: true,
         overdue,
--- a/src/worker_protocol.rs
+++ b/src/worker_protocol.rs
@@ -12,7 +12,7 @@
     use super::{Deserialize, Serialize};
 
     #[derive(Deserialize)]
-    pub struct Report {
+    pub struct Heartbeat {
         pub tiller: String,
         #[serde(default)]
         pub plot: String,
@@ -64,7 +64,7 @@
 
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum ExitReason {
     /// Completed.
     Done,
     /// Stopped by command.
@@ -73,32 +73,32 @@
         saved: bool,
     },
     /// Another task of its gang is gone.
-    MatesGone,
+    GangMemberLost,
     /// Its gang was not complete in time.
-    Incomplete,
+    GangIncomplete,
     /// Failed.
-    Error,
+    Failed,
     /// Refused: no room.
-    Full,
+    NoCapacity,
     /// Refused: another attempt is there.
-    Busy,
+    AttemptConflict,
     /// Refused: no such job or task.
-    Unknown,
+    UnknownTask,
 }
 
 /// What a task does on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OnMachine {
+pub enum ReportedState {
     /// Waits for its image.
     Fetching,
     /// Waits for its gang.
-    Gathering,
+    WaitingForGang,
     /// Runs.
     Running,
     /// Saves before it exits.
-    Saving,
+    Checkpointing,
     /// Is no longer on the machine.
-    Ended(End),
+    Ended(ExitReason),
 }
 
 /// A task in a report.
@@ -111,16 +111,16 @@
     /// Which start this is.
     pub attempt: u64,
     /// What it does.
-    pub stage: OnMachine,
+    pub stage: ReportedState,
 }
 
 /// A report.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Report {
+pub struct Heartbeat {
     /// Machine.
     pub machine: String,
     /// Type.
-    pub flavor: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot or ordinary.
@@ -136,8 +136,8 @@
 }
 
 /// Reads a report; `None` for anything that is not one.
-pub fn parse_report(body: &[u8]) -> Option<Report> {
-    let r: wire::Report = match rmp_serde::from_slice(body) {
+pub fn parse_heartbeat(body: &[u8]) -> Option<Heartbeat> {
+    let r: wire::Heartbeat = match rmp_serde::from_slice(body) {
         Ok(r) => r,
         Err(e) => {
             log::info!("workers: report: can't be read: {e}");
@@ -148,24 +148,24 @@
     for s in r.sheaves {
         let (job, task) = parse_task(&s.sheaf)?;
         let stage = match s.stage.as_str() {
-            "pulling" => OnMachine::Fetching,
-            "gathering" => OnMachine::Gathering,
-            "running" => OnMachine::Running,
-            "flushing" => OnMachine::Saving,
-            "ended" => OnMachine::Ended(match s.blight.as_deref() {
-                Some("done") => End::Done,
-                Some("stopped") => End::Stopped {
+            "pulling" => ReportedState::Fetching,
+            "gathering" => ReportedState::WaitingForGang,
+            "running" => ReportedState::Running,
+            "flushing" => ReportedState::Checkpointing,
+            "ended" => ReportedState::Ended(match s.blight.as_deref() {
+                Some("done") => ExitReason::Done,
+                Some("stopped") => ExitReason::Stopped {
                     saved: s.stored.unwrap_or(false),
                 },
-                Some("mates_gone") => End::MatesGone,
-                Some("incomplete") => End::Incomplete,
-                Some("full") => End::Full,
-                Some("busy") => End::Busy,
-                Some("unknown") => End::Unknown,
-                _ => End::Error,
+                Some("mates_gone") => ExitReason::GangMemberLost,
+                Some("incomplete") => ExitReason::GangIncomplete,
+                Some("full") => ExitReason::NoCapacity,
+                Some("busy") => ExitReason::AttemptConflict,
+                Some("unknown") => ExitReason::UnknownTask,
+                _ => ExitReason::Failed,
             }),
             // A stage we don't know is something on the machine: the safe reading.
-            _ => OnMachine::Running,
+            _ => ReportedState::Running,
         };
         tasks.push(ReportedTask {
             job: Rc::from(job),
@@ -174,9 +174,9 @@
             stage,
         });
     }
-    Some(Report {
+    Some(Heartbeat {
         machine: r.tiller,
-        flavor: r.plot,
+        machine_type: r.plot,
         zone: r.field,
         spot: r.fallow,
         order: (r.season, r.tally),
--- a/src/worker_protocol/tests.rs
+++ b/src/worker_protocol/tests.rs
@@ -10,12 +10,12 @@
         "sheaves":[{"sheaf":"req-1/3","sowing":2,"stage":"running"},
                    {"sheaf":"req-1/4","sowing":2,"stage":"brewing"},
                    {"sheaf":"req-2/0","sowing":1,"stage":"ended","blight":"stopped","stored":true}]});
-    let r = parse_report(&rmp_serde::to_vec(&good).unwrap()).unwrap();
+    let r = parse_heartbeat(&rmp_serde::to_vec(&good).unwrap()).unwrap();
     assert_eq!((r.order, r.token, r.notice), ((1, 8), 4, Some(2_500_000)));
-    assert_eq!(r.tasks[1].stage, OnMachine::Running);
+    assert_eq!(r.tasks[1].stage, ReportedState::Running);
     assert_eq!(
         r.tasks[2].stage,
-        OnMachine::Ended(End::Stopped { saved: true })
+        ReportedState::Ended(ExitReason::Stopped { saved: true })
     );
     for (field, value) in [
         ("tiller", json!(3)),
@@ -29,11 +29,11 @@
         let mut bad = good.clone();
         bad[field] = value;
         assert!(
-            parse_report(&rmp_serde::to_vec(&bad).unwrap()).is_none(),
+            parse_heartbeat(&rmp_serde::to_vec(&bad).unwrap()).is_none(),
             "{field}"
         );
     }
-    assert!(parse_report(b"\xc1nonsense").is_none());
+    assert!(parse_heartbeat(b"\xc1nonsense").is_none());
 }
 
 #[test]
