--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -13,10 +13,12 @@
 pub mod key;
 pub mod model;
 pub mod record;
+pub mod resources;
 pub mod units;
 
 pub use amount::QuotaAmount;
 pub use key::{Key, PREFIX};
+pub use resources::Resources;
 
 #[cfg(test)]
 mod tests;
--- a/crates/records/src/model.rs
+++ b/crates/records/src/model.rs
@@ -7,6 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::amount::QuotaAmount;
+use crate::resources::Resources;
 use crate::units::Micros;
 
 /// A job's name, as its user chose it.
@@ -83,7 +84,7 @@
     pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "n")]
-    pub tasks: u32,
+    pub task_count: u32,
     /// Processors of a task, millionths.
     #[serde(rename = "u")]
     pub cpus: u64,
@@ -92,22 +93,22 @@
     pub gpus: u64,
     /// Memory of a task, millionths of a GB.
     #[serde(rename = "m", default, skip_serializing_if = "is_zero")]
-    pub mem: u64,
+    pub memory: u64,
     /// Allowed machine types.
     #[serde(rename = "y", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    pub allowed_types: Option<Vec<String>>,
     /// The only allowed zone.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// All tasks in one zone.
     #[serde(rename = "o", default, skip_serializing_if = "is_false")]
-    pub one_zone: bool,
+    pub single_zone: bool,
     /// At most half of the tasks in one zone.
     #[serde(rename = "p", default, skip_serializing_if = "is_false")]
-    pub spread: bool,
+    pub spread_zones: bool,
     /// May run on spot machines.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
-    pub spot: bool,
+    pub allows_spot: bool,
     /// Image.
     #[serde(rename = "i")]
     pub image: String,
@@ -116,33 +117,33 @@
     pub image_size: u64,
     /// Estimated run time.
     #[serde(rename = "e", default, skip_serializing_if = "is_zero")]
-    pub estimate: Micros,
+    pub estimated_run_time: Micros,
     /// Checkpoint interval; 0: saves nothing.
     #[serde(rename = "x", default, skip_serializing_if = "is_zero")]
-    pub checkpoint: Micros,
+    pub checkpoint_interval: Micros,
     /// Time to save when stopped.
     #[serde(rename = "v", default, skip_serializing_if = "is_zero")]
-    pub save: Micros,
+    pub checkpoint_time: Micros,
     /// Time to be complete after submission.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Micros>,
     /// Time of day at submission; of a job that waited for others, as the replica shows
     /// it, that of the end of the last of them.
     #[serde(rename = "a")]
-    pub submitted: Micros,
+    pub submitted_at: Micros,
     /// Jobs that must be done before any task of this one starts. Left out where there
     /// are none, so that such a record is the same as those of versions before 0.3.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
-    pub needs: Vec<String>,
+    pub dependencies: Vec<String>,
     /// The job as it stands on record, if what is said here differs: priority and deadline
     /// that it has from jobs that need it, times from its readiness.
     #[serde(skip)]
-    pub recorded: Option<Rc<JobSpec>>,
+    pub stored_spec: Option<Rc<JobSpec>>,
 }
 
 impl JobSpec {
     /// Processors and cards of one task.
-    pub fn amount(&self) -> QuotaAmount {
+    pub fn quota_per_task(&self) -> QuotaAmount {
         QuotaAmount {
             cpus: self.cpus,
             gpus: self.gpus,
@@ -150,43 +151,57 @@
     }
 
     /// Whether a task may be on a machine of this type, zone and kind at all.
-    pub fn allows(&self, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
-        self.fits_type(machine_type)
-            && (!spot || self.spot)
+    pub fn permits_machine(&self, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
+        self.fits_machine_type(machine_type)
+            && (!spot || self.allows_spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
     }
 
     /// Whether an empty machine of this type could hold a task.
-    pub fn fits_type(&self, f: &MachineType) -> bool {
-        self.types.as_ref().is_none_or(|ts| ts.contains(&f.name))
-            && self.cpus <= f.cpus
-            && self.gpus <= f.gpus
-            && self.mem <= f.mem
+    pub fn fits_machine_type(&self, f: &MachineType) -> bool {
+        self.allowed_types
+            .as_ref()
+            .is_none_or(|ts| ts.contains(&f.name))
+            && self.task_fits_in(f.resources())
+    }
+
+    /// What one task takes of a machine.
+    pub fn resources_per_task(&self) -> Resources {
+        Resources {
+            cpus: self.cpus,
+            gpus: self.gpus,
+            memory: self.memory,
+        }
+    }
+
+    /// Whether one task fits into this free capacity.
+    pub fn task_fits_in(&self, free: Resources) -> bool {
+        self.resources_per_task().fits_in(free)
     }
 
     /// How many tasks an empty machine of this type holds.
-    pub fn per_machine(&self, f: &MachineType) -> u64 {
-        if !self.fits_type(f) {
+    pub fn tasks_per_machine(&self, machine_type: &MachineType) -> u64 {
+        if !self.fits_machine_type(machine_type) {
             return 0;
         }
-        self.count_in((f.cpus, f.gpus, f.mem))
+        self.tasks_fitting_in(machine_type.resources())
     }
 
-    /// How many tasks go into this much room (processors, cards, memory).
-    pub fn count_in(&self, room: (u64, u64, u64)) -> u64 {
-        let part = |room: u64, need: u64| room.checked_div(need).unwrap_or(u64::MAX);
-        part(room.0, self.cpus)
-            .min(part(room.1, self.gpus))
-            .min(part(room.2, self.mem))
-            .min(self.tasks as u64)
+    /// How many tasks fit into this free capacity, at most all of them.
+    pub fn tasks_fitting_in(&self, free: Resources) -> u64 {
+        let fitting = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
+        fitting(free.cpus, self.cpus)
+            .min(fitting(free.gpus, self.gpus))
+            .min(fitting(free.memory, self.memory))
+            .min(u64::from(self.task_count))
     }
 
     /// Whether type, zone and kind of a machine are allowed, whatever its size.
-    pub fn permits(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
-        (!spot || self.spot)
+    pub fn permits_placement(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
+        (!spot || self.allows_spot)
             && self.zone.as_deref().is_none_or(|z| z == zone)
             && self
-                .types
+                .allowed_types
                 .as_ref()
                 .is_none_or(|ts| ts.iter().any(|t| t == machine_type))
     }
@@ -202,20 +217,32 @@
     /// Cards, millionths.
     pub gpus: u64,
     /// Memory, millionths of a GB.
-    pub mem: u64,
+    #[serde(rename = "mem")]
+    pub memory: u64,
     /// Image fetch, millionths of a GB a second.
-    pub fetch: u64,
+    #[serde(rename = "fetch")]
+    pub fetch_rate: u64,
     /// Price an hour, millionths.
     pub price: u64,
     /// Spot price an hour, millionths.
     pub spot_price: u64,
     /// Nominal boot time.
-    pub boot: Micros,
+    #[serde(rename = "boot")]
+    pub boot_time: Micros,
     /// Zones where it may be had.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
+    /// What an empty machine of this type offers.
+    pub fn resources(&self) -> Resources {
+        Resources {
+            cpus: self.cpus,
+            gpus: self.gpus,
+            memory: self.memory,
+        }
+    }
+
     /// What a machine costs an hour, ordinary or spot.
     pub fn price_of(&self, spot: bool) -> u64 {
         if spot {
--- a/crates/records/src/record.rs
+++ b/crates/records/src/record.rs
@@ -47,11 +47,11 @@
     pub spot: bool,
     /// Set by the owner before it sends the first start: a machine without it
     /// has never been given a task by anyone.
-    #[serde(default)]
-    pub opened: bool,
+    #[serde(rename = "opened", default)]
+    pub activated: bool,
     /// The lot it is in, and its place there.
     #[serde(skip)]
-    pub lot: Option<(Rc<str>, usize)>,
+    pub batch_position: Option<(Rc<str>, usize)>,
 }
 
 /// `lot/ID`: machines of one type, zone and kind that were rented together and
@@ -102,16 +102,45 @@
     Cancelled,
 }
 
-/// Tasks bound to a region.
+/// Consecutive tasks of a job that are bound to one region. Stored as `[first, end, region]`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TaskRange(
+#[serde(from = "(u32, u32, String)", into = "(u32, u32, String)")]
+pub struct TaskRange {
     /// First task.
-    pub u32,
+    pub first: u32,
     /// One past the last.
-    pub u32,
-    /// Region.
-    pub String,
-);
+    pub end: u32,
+    /// Region; empty: bound to none.
+    pub region: String,
+}
+
+impl TaskRange {
+    /// The tasks from `first` up to, not including, `end`, bound to a region.
+    pub fn new(first: u32, end: u32, region: impl Into<String>) -> Self {
+        TaskRange {
+            first,
+            end,
+            region: region.into(),
+        }
+    }
+
+    /// Whether no region holds these tasks.
+    pub fn is_unbound(&self) -> bool {
+        self.region.is_empty()
+    }
+}
+
+impl From<(u32, u32, String)> for TaskRange {
+    fn from((first, end, region): (u32, u32, String)) -> Self {
+        TaskRange { first, end, region }
+    }
+}
+
+impl From<TaskRange> for (u32, u32, String) {
+    fn from(range: TaskRange) -> Self {
+        (range.first, range.end, range.region)
+    }
+}
 
 /// `job/ID`. Once over, what nobody needs any more is left out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -130,34 +159,47 @@
     pub spec: Option<Rc<JobSpec>>,
     /// Which regions hold which tasks; empty: not bound yet.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
-    pub parts: Vec<TaskRange>,
+    pub task_ranges: Vec<TaskRange>,
     /// Of a gang over several regions: the attempt that all parts start under,
     /// and the zone that all keep to if they must be together.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
-    pub joint: Option<MultiRegionAttempt>,
+    pub multi_region: Option<MultiRegionAttempt>,
     /// Of a done job: the time of day at which that was put on record. Jobs that need it
     /// count their times from there, under every leader alike.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
-    pub ended: Option<Micros>,
+    pub ended_at: Option<Micros>,
 }
 
 /// Writes a submission as it came: what the replica derives from other records is
 /// never put on record.
 fn as_recorded<S: serde::Serializer>(spec: &Option<Rc<JobSpec>>, s: S) -> Result<S::Ok, S::Error> {
     match spec {
-        Some(j) => j.recorded.as_ref().unwrap_or(j).serialize(s),
+        Some(j) => j.stored_spec.as_ref().unwrap_or(j).serialize(s),
         None => s.serialize_none(),
     }
 }
 
-/// What the parts of a gang over several regions have in common.
+/// What the parts of a gang over several regions have in common. Stored as `[attempt, zone]`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MultiRegionAttempt(
-    /// Attempt.
-    pub u64,
+#[serde(from = "(u64, Option<String>)", into = "(u64, Option<String>)")]
+pub struct MultiRegionAttempt {
+    /// Attempt number that every task of the gang starts under.
+    pub attempt: u64,
     /// Zone, if all tasks must be in one.
-    pub Option<String>,
-);
+    pub zone: Option<String>,
+}
+
+impl From<(u64, Option<String>)> for MultiRegionAttempt {
+    fn from((attempt, zone): (u64, Option<String>)) -> Self {
+        MultiRegionAttempt { attempt, zone }
+    }
+}
+
+impl From<MultiRegionAttempt> for (u64, Option<String>) {
+    fn from(joint: MultiRegionAttempt) -> Self {
+        (joint.attempt, joint.zone)
+    }
+}
 
 impl JobRecord {
     /// The record once it is cancelled: bound to nobody, the submission kept.
@@ -165,25 +207,23 @@
         JobRecord {
             stage: JobStage::Cancelled,
             spec: self.spec.clone(),
-            parts: Vec::new(),
-            joint: None,
-            ended: None,
+            task_ranges: Vec::new(),
+            multi_region: None,
+            ended_at: None,
         }
     }
 
     /// The tasks bound to a region.
     pub fn tasks_of(&self, region: &str) -> RangeSet {
         let mut s = RangeSet::default();
-        for TaskRange(a, b, r) in &self.parts {
-            if r == region {
-                s.add(*a, *b);
-            }
+        for range in self.task_ranges.iter().filter(|r| r.region == region) {
+            s.add(range.first, range.end);
         }
         s
     }
 
     /// The submission of a job that is not over.
-    pub fn open(&self) -> Option<&Rc<JobSpec>> {
+    pub fn open_spec(&self) -> Option<&Rc<JobSpec>> {
         if self.stage == JobStage::Open {
             self.spec.as_ref()
         } else {
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -115,37 +115,37 @@
                 "low" => Priority::Low,
                 _ => return None,
             },
-            tasks: u32::try_from(w.sheaves)
+            task_count: u32::try_from(w.sheaves)
                 .ok()
                 .filter(|n| (1..=100_000).contains(n))?,
             cpus: amount(w.cores)?,
             gpus: amount(w.cards)?,
-            mem: amount(w.memory)?,
+            memory: amount(w.memory)?,
             image_size: amount(w.size)?,
-            estimate: span(w.growth)?,
-            checkpoint: span(w.stook)?,
-            save: span(w.bind)?,
+            estimated_run_time: span(w.growth)?,
+            checkpoint_interval: span(w.stook)?,
+            checkpoint_time: span(w.bind)?,
             deadline: match w.harvest {
                 None => None,
                 Some(d) => Some(span(d)?),
             },
             class: w.crop.clone(),
             team: w.crew.clone(),
-            types: w.plots.clone(),
+            allowed_types: w.plots.clone(),
             zone: w.field.clone(),
-            one_zone: w.same_place,
-            spread: w.spread,
-            spot: w.fallow,
+            single_zone: w.same_place,
+            spread_zones: w.spread,
+            allows_spot: w.fallow,
             image: w.seed.clone(),
-            submitted: wall,
-            needs: {
+            submitted_at: wall,
+            dependencies: {
                 let needs: std::collections::BTreeSet<_> = w.trails.iter().flatten().collect();
                 if needs.iter().any(|n| !is_job_id(n) || **n == w.id) {
                     return None;
                 }
                 needs.into_iter().cloned().collect()
             },
-            recorded: None,
+            stored_spec: None,
         })
     };
     // Keys may not hold more than 200 bytes, nor the record more than a value.
@@ -160,19 +160,24 @@
     let Some(team) = settings.team(&spec.team) else {
         return Err(Refusal::Never("unknown team"));
     };
-    if !quota::can_ever(spec.kind, spec.tasks, spec.amount(), team.limit) {
+    if !quota::can_ever(
+        spec.kind,
+        spec.task_count,
+        spec.quota_per_task(),
+        team.limit,
+    ) {
         return Err(Refusal::Never("more than the team's limit"));
     }
     if replica.machine_types.is_empty() {
         return Err(Refusal::NotYet("machine types unknown"));
     }
     let types = || replica.machine_types.values().map(|f| &f.value);
-    if !types().any(|f| spec.fits_type(f)) {
+    if !types().any(|f| spec.fits_machine_type(f)) {
         return Err(Refusal::Never("a task fits no allowed machine type"));
     }
     // Types are sold by zone: one that fits but is not to be had in the only allowed
     // zone is as good as none.
-    let here = |z: &String| types().any(|f| spec.fits_type(f) && f.zones.contains(z));
+    let here = |z: &String| types().any(|f| spec.fits_machine_type(f) && f.zones.contains(z));
     if let Some(z) = &spec.zone {
         let known = settings.zones.contains(z) || types().any(|f| f.zones.contains(z));
         if !known {
@@ -182,8 +187,8 @@
             return Err(Refusal::Never("a task fits no machine type of its zone"));
         }
     }
-    if spec.spread && spec.tasks > 1 {
-        if spec.one_zone || spec.zone.is_some() {
+    if spec.spread_zones && spec.task_count > 1 {
+        if spec.single_zone || spec.zone.is_some() {
             return Err(Refusal::Never("it must be spread and in one zone at once"));
         }
         let zones: std::collections::BTreeSet<_> = types().flat_map(|f| &f.zones).collect();
@@ -193,9 +198,9 @@
     }
     let length = |s: &JobSpec| serde_json::to_string(s).map_or(usize::MAX, |t| t.len()) + 1024;
     if length(spec) > settings.value_bytes {
-        if !spec.needs.is_empty() {
+        if !spec.dependencies.is_empty() {
             let bare = length(&JobSpec {
-                needs: Vec::new(),
+                dependencies: Vec::new(),
                 ..spec.clone()
             });
             if let Some(room) = settings.value_bytes.checked_sub(bare) {
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -16,7 +16,7 @@
     let (id, s) = parse_submission(&bytes(&good()), 7).unwrap();
     assert_eq!(id, "req-000412");
     assert_eq!(
-        (s.tasks, s.cpus, s.gpus, s.submitted),
+        (s.task_count, s.cpus, s.gpus, s.submitted_at),
         (2, 4_000_000, 1_000_000, 7)
     );
     let mut cases: Vec<(&str, Value)> = vec![
@@ -69,7 +69,10 @@
     ] {
         let mut v = good();
         v["trails"] = trails;
-        assert_eq!(parse_submission(&bytes(&v), 0).unwrap().1.needs, needs);
+        assert_eq!(
+            parse_submission(&bytes(&v), 0).unwrap().1.dependencies,
+            needs
+        );
     }
     let mut missing = good();
     missing.as_object_mut().unwrap().remove("stookS");
@@ -106,14 +109,18 @@
     };
     assert_eq!(with(&|_| {}), Ok(()));
     assert_eq!(with(&|s| s.zone = Some("b".into())), Ok(()));
-    assert_eq!(with(&|s| (s.spread, s.tasks) = (true, 1)), Ok(()));
     assert_eq!(
-        with(&|s| (s.spread, s.one_zone) = (true, false)),
+        with(&|s| (s.spread_zones, s.task_count) = (true, 1)),
+        Ok(())
+    );
+    assert_eq!(
+        with(&|s| (s.spread_zones, s.single_zone) = (true, false)),
         Ok(()),
         "two zones"
     );
     // A list that no record holds: 400, with the bound.
-    let many = |n: usize| with(&|s| s.needs = (0..n).map(|i| format!("req-{i:06}")).collect());
+    let many =
+        |n: usize| with(&|s| s.dependencies = (0..n).map(|i| format!("req-{i:06}")).collect());
     assert_eq!(many(100), Ok(()));
     let Err(Refusal::Needs(bound)) = many(400) else {
         panic!("taken");
@@ -121,18 +128,18 @@
     assert!(many(bound).is_ok() && bound > 100, "{bound}");
     for (what, res) in [
         ("team", with(&|s| s.team = "green".into())),
-        ("type", with(&|s| s.types = Some(vec!["x".into()]))),
-        ("no type", with(&|s| s.types = Some(vec![]))),
+        ("type", with(&|s| s.allowed_types = Some(vec!["x".into()]))),
+        ("no type", with(&|s| s.allowed_types = Some(vec![]))),
         ("cpus", with(&|s| s.cpus = 9_000_000)),
-        ("mem", with(&|s| s.mem = 65_000_000)),
-        ("limit", with(&|s| s.tasks = 3)),
+        ("mem", with(&|s| s.memory = 65_000_000)),
+        ("limit", with(&|s| s.task_count = 3)),
         ("zone", with(&|s| s.zone = Some("q".into()))),
         ("length", with(&|s| s.class = "x".repeat(5000))),
-        ("spread in one zone", with(&|s| s.spread = true)),
+        ("spread in one zone", with(&|s| s.spread_zones = true)),
         (
             "spread in a named zone",
             with(&|s| {
-                (s.spread, s.one_zone, s.zone) = (true, false, Some("b".into()));
+                (s.spread_zones, s.single_zone, s.zone) = (true, false, Some("b".into()));
             }),
         ),
     ] {
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -434,11 +434,11 @@
         name: p.label,
         cpus: units::room(p.cores),
         gpus: units::room(p.cards),
-        mem: units::room(p.memory),
-        fetch: units::room(p.fetch),
+        memory: units::room(p.memory),
+        fetch_rate: units::room(p.fetch),
         price: units::room(p.price),
         spot_price: units::room(p.spot_price),
-        boot: units::secs(p.boot),
+        boot_time: units::secs(p.boot),
         zones: p.fields,
     }
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -192,13 +192,13 @@
 macro_rules! context {
     ($s:ident) => {
         SchedulingContext {
-            starts: $s.may_start(),
+            may_start: $s.may_start(),
             reported_cancelled: &$s.reported_cancelled,
             replica: &$s.registry.replica,
             settings: &$s.settings,
             now: $s.now,
             wall: $s.reactor.wall(),
-            short: &$s.short,
+            quota_blocked_teams: &$s.short,
         }
     };
 }
@@ -596,7 +596,7 @@
                 }
                 Key::MachineType(_) => {
                     for r in self.regions.values_mut() {
-                        r.on_flavors(&context);
+                        r.on_machine_types_changed(&context);
                     }
                 }
                 Key::Progress(id, ..) => {
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -120,7 +120,7 @@
         }
         // A record once seen stays; that one is missing can only be said after a read.
         let jobs = &self.registry.replica.jobs;
-        if !spec.needs.iter().all(|n| jobs.contains_key(n)) {
+        if !spec.dependencies.iter().all(|n| jobs.contains_key(n)) {
             self.waiting.push(PendingRequest {
                 conn,
                 ask: ClientRequest::Submit {
@@ -143,13 +143,13 @@
         let rec = JobRecord {
             stage: JobStage::Open,
             spec: Some(std::rc::Rc::new(spec)),
-            parts: Vec::new(),
-            joint: None,
-            ended: None,
+            task_ranges: Vec::new(),
+            multi_region: None,
+            ended_at: None,
         };
         let txn = Transaction {
-            when: vec![(key.clone(), 0)],
-            apply: vec![(key, Some(value(&rec)))],
+            conditions: vec![(key.clone(), 0)],
+            changes: vec![(key, Some(value(&rec)))],
             lease: None,
         };
         let t = self
@@ -207,9 +207,9 @@
                 Some(own) => own.running(id),
                 // Owners list their jobs by name.
                 None => r
-                    .counts
+                    .running_tasks
                     .binary_search_by(|c| c.job.as_str().cmp(id))
-                    .map_or(0, |at| r.counts[at].running),
+                    .map_or(0, |at| r.running_tasks[at].running),
             };
         }
         let done = self.registry.replica.done_count(id);
@@ -251,7 +251,7 @@
                     // All that came before the read was sent is in the replica: what is
                     // not there now was never accepted.
                     let jobs = &self.registry.replica.jobs;
-                    if let Some(n) = spec.needs.iter().find(|n| !jobs.contains_key(*n)) {
+                    if let Some(n) = spec.dependencies.iter().find(|n| !jobs.contains_key(*n)) {
                         log::info!("intake: {id}: needs {n}, which was never accepted");
                         self.reactor.respond(w.conn, Response::new(422, Vec::new()));
                     } else {
@@ -274,8 +274,8 @@
         let key = Key::Job(id.clone());
         let rec = r.value.cancelled();
         let txn = Transaction {
-            when: vec![(key.clone(), r.version)],
-            apply: vec![(key, Some(value(&rec)))],
+            conditions: vec![(key.clone(), r.version)],
+            changes: vec![(key, Some(value(&rec)))],
             lease: None,
         };
         let t = self
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -226,8 +226,8 @@
             accepted: None,
         };
         let txn = Transaction {
-            when: vec![(Key::DataLossHold, replica.version(&Key::DataLossHold))],
-            apply: vec![(Key::DataLossHold, Some(value(&record)))],
+            conditions: vec![(Key::DataLossHold, replica.version(&Key::DataLossHold))],
+            changes: vec![(Key::DataLossHold, Some(value(&record)))],
             lease: None,
         };
         held.record_claim = Some(Acquisition::Committing);
@@ -366,7 +366,7 @@
         on_machine
             .filter(|t| self.is_known_cancelled(&t.job))
             .take(worker_protocol::MAX_COMMANDS)
-            .map(|t| Command::Stop(t.job.clone(), t.task, t.attempt, 0))
+            .map(|t| Command::stop(t.job.clone(), t.task, t.attempt, 0))
             .collect()
     }
 
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -62,8 +62,8 @@
             return;
         };
         let txn = Transaction {
-            when: vec![(Key::Leader, version)],
-            apply: vec![(
+            conditions: vec![(Key::Leader, version)],
+            changes: vec![(
                 Key::Leader,
                 Some(value(&LeaderRecord {
                     holder: self.settings.name.clone(),
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -212,10 +212,10 @@
             .iter()
             .filter_map(|(name, news)| Some((self.regions.get(name)?, news)))
             .filter(|(r, news)| {
-                let opened = r.opened_machines();
+                let opened = r.activated_machines();
                 opened >= LEAST_MACHINES
                     && news.machines * 2 >= opened
-                    && r.hears_few(able_since, &context)
+                    && r.hears_from_few(able_since, &context)
             })
             .filter(|(r, _)| self.releases.may_release(&r.name, now))
             .map(|(r, _)| (r.name.clone(), r.version))
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -20,7 +20,7 @@
         self.short.clear();
         for (name, (r, _)) in &self.reports {
             if !self.regions.contains_key(name) {
-                for (team, at) in &r.short {
+                for (team, at) in &r.quota_blocked_teams {
                     let e = self.short.entry(team.clone()).or_insert(*at);
                     *e = (*e).min(*at);
                 }
@@ -135,7 +135,7 @@
                 }
                 let context = context!(self);
                 if let Some(r) = self.regions.get_mut(&from) {
-                    r.give(&job, &to, count, &context);
+                    r.hand_over_tasks(&job, &to, count, &context);
                 }
             }
             Message::AskStatus | Message::Status(_) => {}
@@ -178,7 +178,7 @@
             } => {
                 let context = context!(self);
                 if let Some(r) = self.regions.get_mut(&region) {
-                    r.close((&machine_type, &zone, spot), count, &context);
+                    r.cordon_surplus((&machine_type, &zone, spot), count, &context);
                 }
             }
             Message::Go {
@@ -188,7 +188,7 @@
             } => {
                 let context = context!(self);
                 if let Some(r) = self.regions.get_mut(&region) {
-                    r.go(&job, attempt, &context);
+                    r.start_gang_part(&job, attempt, &context);
                 }
             }
         }
--- a/src/controller/regions.rs
+++ b/src/controller/regions.rs
@@ -108,11 +108,11 @@
             held,
         };
         Transaction {
-            when: vec![
+            conditions: vec![
                 (key.clone(), replica.version(&key)),
                 (Key::Token, replica.version(&Key::Token)),
             ],
-            apply: vec![
+            changes: vec![
                 (Key::Token, Some(value(&token))),
                 (key.clone(), Some(value(&owner))),
             ],
@@ -135,7 +135,7 @@
         }
         let now = self.now;
         let back = self.regions.values().find(|r| {
-            r.tidy(now)
+            r.is_ready_to_hand_over(now)
                 && r.name != self.settings.name
                 && !self.releases.is_kept(&r.name, now)
                 && self.is_well(&r.name)
@@ -157,8 +157,8 @@
         self.claims.insert(name.clone(), Acquisition::Committing);
         let key = Key::Region(name.clone());
         let txn = Transaction {
-            when: vec![(key.clone(), version)],
-            apply: vec![(key, None)],
+            conditions: vec![(key.clone(), version)],
+            changes: vec![(key, None)],
             lease: None,
         };
         let t = self.registry.commit(txn, CommitPriority::Urgent, None);
@@ -181,7 +181,7 @@
                 region::Action::Commit(txn, urgency, kind) => {
                     let t = self.registry.commit(txn, urgency, None);
                     if let Some(r) = self.regions.get_mut(&name) {
-                        r.sent(t, kind);
+                        r.commit_sent(t, kind);
                     }
                 }
                 region::Action::Release(names) => self.cloud_client.release(names),
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -6,7 +6,7 @@
 impl<N: Net> Controller<N> {
     /// What is wrong just now, the gravest first.
     pub(super) fn cause(&self) -> &'static str {
-        let unsettled = |(r, _): &(peer_protocol::RegionReport, Micros)| !r.settled;
+        let unsettled = |(r, _): &(peer_protocol::RegionReport, Micros)| !r.reconciled;
         if self.held.is_some() {
             "state service lost records"
         } else if self.registry.failing() {
@@ -24,7 +24,7 @@
             .is_some_and(|l| !l.boots.in_trouble().is_empty())
         {
             "machines come up late or not at all"
-        } else if self.regions.values().any(Region::short_of_quota) {
+        } else if self.regions.values().any(Region::is_quota_blocked) {
             "quota"
         } else {
             "backlog"
@@ -45,7 +45,7 @@
         let running: BTreeSet<&str> = self
             .reports
             .values()
-            .flat_map(|(r, _)| r.counts.iter().map(|c| c.job.as_str()))
+            .flat_map(|(r, _)| r.running_tasks.iter().map(|c| c.job.as_str()))
             .collect();
         let replica = &self.registry.replica;
         let open = replica.open_jobs().map(|(id, _, spec)| signals::Seen {
@@ -53,7 +53,7 @@
             spec,
             guaranteed: last
                 .get(spec.team.as_str())
-                .is_some_and(|l| (spec.submitted, id) <= (l.0, &l.1)),
+                .is_some_and(|l| (spec.submitted_at, id) <= (l.0, &l.1)),
             started: running.contains(id.as_str()) || replica.progress.contains_key(id),
             pipeline: replica.pipeline_end(id),
         });
@@ -92,13 +92,13 @@
             }));
         }
         found.extend(self.unreached_owners());
-        let waits = self.reports.values().flat_map(|(r, _)| &r.waits);
-        for w in waits.filter(|w| w.stuck) {
+        let waits = self.reports.values().flat_map(|(r, _)| &r.pending_jobs);
+        for w in waits.filter(|w| w.needs_new_attempt) {
             let record = self.registry.replica.jobs.get(&w.job).map(|r| &r.value);
-            let Some(record) = record.filter(|r| r.joint.is_none()) else {
+            let Some(record) = record.filter(|r| r.multi_region.is_none()) else {
                 continue;
             };
-            if let Some(spec) = record.open() {
+            if let Some(spec) = record.open_spec() {
                 found.push(Condition::JobFails {
                     job: w.job.clone(),
                     team: spec.team.clone(),
@@ -125,9 +125,9 @@
         let r = &self.registry.replica;
         let mut waiting: BTreeMap<String, u32> = BTreeMap::new();
         for (rep, _) in self.reports.values() {
-            for w in &rep.waits {
-                if let Some(s) = r.jobs.get(&w.job).and_then(|j| j.value.open()) {
-                    *waiting.entry(s.class.clone()).or_default() += w.waiting;
+            for w in &rep.pending_jobs {
+                if let Some(s) = r.jobs.get(&w.job).and_then(|j| j.value.open_spec()) {
+                    *waiting.entry(s.class.clone()).or_default() += w.pending_tasks;
                 }
             }
         }
@@ -148,13 +148,13 @@
             peer_protocol::StatusRegion {
                 owner: rec.map(|r| r.owner.clone()),
                 token: rec.map_or(0, |r| r.token),
-                settled: rep.is_some_and(|r| r.settled),
+                settled: rep.is_some_and(|r| r.reconciled),
                 machines: r.stock.get(&name).map_or(0, |kinds| kinds.values().sum()),
                 live: rep.map_or(0, |r| {
-                    let live = r.rooms.iter().filter(|l| l.live);
+                    let live = r.capacity.iter().filter(|l| l.available);
                     live.map(|l| l.machines).sum()
                 }),
-                waiting: rep.map_or(0, |r| r.waits.iter().map(|w| w.waiting).sum()),
+                waiting: rep.map_or(0, |r| r.pending_jobs.iter().map(|w| w.pending_tasks).sum()),
                 region: name,
             }
         });
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -20,6 +20,7 @@
     value, JobRecord, MachineBatchRecord, MultiRegionAttempt, TaskRange, MAX_BATCH,
 };
 use salttiller_records::units::{to_secs, Micros, MILLISECOND, SECOND};
+use salttiller_records::Resources;
 
 pub use provisioning::ProvisioningReports;
 
@@ -88,10 +89,10 @@
     machine_type: String,
     zone: String,
     spot: bool,
-    free: (u64, u64, u64),
-    cap: (u64, u64, u64),
+    free: Resources,
+    cap: Resources,
     live: bool,
-    kept: Option<(u64, u64, u64)>,
+    reserved: Option<Resources>,
     /// How many there are.
     all: f64,
     /// How many are not spoken for yet; parts of machines are, while planning.
@@ -114,16 +115,14 @@
         (self.takes_in(self.cap, s, narrow) as f64 * self.all + 1e-6) as u64
     }
 
-    fn takes_in(&self, mut free: (u64, u64, u64), s: &JobSpec, narrow: bool) -> u64 {
-        if !s.permits(&self.machine_type, &self.zone, self.spot) {
+    fn takes_in(&self, mut free: Resources, s: &JobSpec, narrow: bool) -> u64 {
+        if !s.permits_placement(&self.machine_type, &self.zone, self.spot) {
             return 0;
         }
-        if let (Some(k), false, false) = (self.kept, narrow, self.spot) {
-            free.0 = free.0.min(self.cap.0.saturating_sub(k.0));
-            free.1 = free.1.min(self.cap.1.saturating_sub(k.1));
-            free.2 = free.2.min(self.cap.2.saturating_sub(k.2));
+        if let (Some(k), false, false) = (self.reserved, narrow, self.spot) {
+            free = free.min_each(self.cap.minus(k));
         }
-        s.count_in(free)
+        s.tasks_fitting_in(free)
     }
 
     /// Speaks for up to `n` tasks' room; returns for how many it was there.
@@ -138,9 +137,9 @@
 
     /// Processors that work of the one or the other kind may use, in all.
     fn processors(&self, narrow: bool) -> f64 {
-        let cap = match (narrow, self.kept, self.spot) {
-            (false, Some(k), false) => self.cap.0.saturating_sub(k.0),
-            _ => self.cap.0,
+        let cap = match (narrow, self.reserved, self.spot) {
+            (false, Some(k), false) => self.cap.cpus.saturating_sub(k.cpus),
+            _ => self.cap.cpus,
         };
         cap as f64 * self.all
     }
@@ -168,7 +167,7 @@
 
 /// Whether a job's tasks stay in one region as long as one can hold them.
 fn keeps_together(s: &JobSpec) -> bool {
-    s.kind == JobKind::Gang || s.one_zone || s.spread
+    s.kind == JobKind::Gang || s.single_zone || s.spread_zones
 }
 
 /// Work that came in over the last while, in slices.
@@ -277,8 +276,8 @@
             let keys: Vec<Key> = chunk.iter().map(|(k, ..)| k.clone()).collect();
             self.writing.extend(keys.iter().cloned());
             let txn = Transaction {
-                when,
-                apply: chunk
+                conditions: when,
+                changes: chunk
                     .iter()
                     .map(|(k, _, val)| (k.clone(), Some(val.clone())))
                     .collect(),
@@ -353,7 +352,7 @@
         let narrow = &self.narrow;
         let room = |region: &str, machine_type: &str, zone: &str, spot, free, live, n: f64| {
             let f = &context.replica.machine_types.get(machine_type)?.value;
-            let cap = (f.cpus, f.gpus, f.mem);
+            let cap = f.resources();
             Some(PlannedCapacity {
                 region: region.to_owned(),
                 machine_type: machine_type.to_owned(),
@@ -362,22 +361,22 @@
                 free: if live { free } else { cap },
                 cap,
                 live,
-                kept: narrow.kept_for(machine_type, context.now),
+                reserved: narrow.reserved_on(machine_type, context.now),
                 all: n,
                 machines: n,
             })
         };
         let mut rooms = Vec::new();
         for (r, _) in reports.values() {
-            for l in &r.rooms {
+            for l in &r.capacity {
                 let n = l.machines as f64;
                 rooms.extend(room(
                     &r.region,
                     &l.machine_type,
                     &l.zone,
                     l.spot,
-                    l.free,
-                    l.live,
+                    l.free.into(),
+                    l.available,
                     n,
                 ));
             }
@@ -397,7 +396,7 @@
                 &o.machine_type,
                 &o.zone,
                 o.spot,
-                (0, 0, 0),
+                Resources::ZERO,
                 false,
                 n,
             ));
@@ -409,7 +408,7 @@
                 &o.machine_type,
                 &o.zone,
                 o.spot,
-                (0, 0, 0),
+                Resources::ZERO,
                 false,
                 n,
             ));
@@ -428,21 +427,24 @@
         self.look_at_rooms(context, reports, cloud_client);
         self.lead_joint(context, reports);
         // What one region has found of a job holds for its tasks in all others.
-        let lines = reports.values().flat_map(|(r, _)| &r.waits);
-        let failing: BTreeSet<&str> = lines.filter(|w| w.stuck).map(|w| w.job.as_str()).collect();
+        let lines = reports.values().flat_map(|(r, _)| &r.pending_jobs);
+        let failing: BTreeSet<&str> = lines
+            .filter(|w| w.needs_new_attempt)
+            .map(|w| w.job.as_str())
+            .collect();
         let mut waits: Vec<UnplacedJob> = Vec::new();
         for (r, at) in reports.values() {
             if context.now > at + 3 * SECOND {
                 continue;
             }
-            for w in &r.waits {
+            for w in &r.pending_jobs {
                 let Some(rec) = context.replica.jobs.get(&w.job) else {
                     continue;
                 };
-                let Some(spec) = rec.value.open() else {
+                let Some(spec) = rec.value.open_spec() else {
                     continue;
                 };
-                if rec.value.joint.is_some() {
+                if rec.value.multi_region.is_some() {
                     continue;
                 }
                 self.narrow.note(spec, context.replica, context.now);
@@ -450,10 +452,10 @@
                     id: w.job.clone(),
                     region: r.region.clone(),
                     spec: spec.clone(),
-                    count: w.waiting as u64,
+                    count: w.pending_tasks as u64,
                     since: w.since_us,
                     narrow: only_fitting_type(spec, context.replica),
-                    short: r.short.iter().any(|(t, _)| *t == spec.team),
+                    short: r.quota_blocked_teams.iter().any(|(t, _)| *t == spec.team),
                     suspect: failing.contains(w.job.as_str()),
                 });
             }
@@ -485,7 +487,7 @@
     let mut left = 120 * SECOND;
     // An aim that is out of reach, or past, is no reason to hurry.
     let mut aim = |span: Micros| {
-        if s.submitted + span > context.wall {
+        if s.submitted_at + span > context.wall {
             left = left.min(span);
         }
     };
@@ -499,7 +501,8 @@
     let k = &known.value;
     let far = |a: u64, b: u64| a.abs_diff(b) * 10 > b.max(1);
     k.zones != f.zones
-        || (k.cpus, k.gpus, k.mem, k.boot, k.fetch) != (f.cpus, f.gpus, f.mem, f.boot, f.fetch)
+        || (k.cpus, k.gpus, k.memory, k.boot_time, k.fetch_rate)
+            != (f.cpus, f.gpus, f.memory, f.boot_time, f.fetch_rate)
         || far(k.price, f.price)
         || far(k.spot_price, f.spot_price)
 }
--- a/src/leader/binding.rs
+++ b/src/leader/binding.rs
@@ -35,13 +35,13 @@
             .filter(|id| !self.writing.contains(&Key::Job((*id).clone())))
             .filter_map(|id| {
                 let r = context.replica.jobs.get(id)?;
-                Some((r.value.open()?.clone(), id, r))
+                Some((r.value.open_spec()?.clone(), id, r))
             })
             .collect();
         if unbound.is_empty() {
             return;
         }
-        unbound.sort_by_key(|(s, id, _)| (s.submitted, (*id).clone()));
+        unbound.sort_by_key(|(s, id, _)| (s.submitted_at, (*id).clone()));
         let mut level_one: BTreeMap<String, u32> = context
             .settings
             .regions()
@@ -56,18 +56,20 @@
             self.narrow.note(&spec, context.replica, context.now);
             let narrow = only_fitting_type(&spec, context.replica);
             if narrow.is_none() {
-                let size = spec.cpus as f64 * spec.tasks as f64;
-                let ago = context.wall.saturating_sub(spec.submitted);
-                self.inflow
-                    .add(size * spec.estimate as f64, context.now.saturating_sub(ago));
+                let size = spec.cpus as f64 * spec.task_count as f64;
+                let ago = context.wall.saturating_sub(spec.submitted_at);
+                self.inflow.add(
+                    size * spec.estimated_run_time as f64,
+                    context.now.saturating_sub(ago),
+                );
                 self.job_size += (size - self.job_size) * 0.1;
             }
             let bound = match self.joint(&spec, narrow.is_some(), context) {
                 Some((parts, joint)) => {
                     log::info!("leader: {id}: too large for a region, over several: {parts:?}");
                     JobRecord {
-                        parts,
-                        joint: Some(joint),
+                        task_ranges: parts,
+                        multi_region: Some(joint),
                         ..rec.value.clone()
                     }
                 }
@@ -77,8 +79,8 @@
                     *level_one.entry(region.clone()).or_default() += 1;
                     log::debug!("leader: {id}: bound to {region}");
                     JobRecord {
-                        parts: vec![TaskRange(0, spec.tasks, region)],
-                        joint: None,
+                        task_ranges: vec![TaskRange::new(0, spec.task_count, region)],
+                        multi_region: None,
                         ..rec.value.clone()
                     }
                 }
@@ -100,10 +102,10 @@
         for r in self.rooms.iter().filter(|r| r.region == region) {
             *by_zone.entry(&r.zone).or_default() += of(r);
         }
-        if s.one_zone {
+        if s.single_zone {
             by_zone.into_values().max().unwrap_or(0)
-        } else if s.spread {
-            let half = s.tasks.div_ceil(2) as u64;
+        } else if s.spread_zones {
+            let half = s.task_count.div_ceil(2) as u64;
             by_zone.into_values().map(|n| n.min(half)).sum()
         } else {
             by_zone.into_values().sum()
@@ -118,7 +120,11 @@
         context: &SchedulingContext<'_>,
     ) -> Option<String> {
         let is_narrow = narrow.is_some();
-        let need = if keeps_together(s) { s.tasks as u64 } else { 1 };
+        let need = if keeps_together(s) {
+            s.task_count as u64
+        } else {
+            1
+        };
         let mut now = BTreeSet::new();
         let mut able = BTreeSet::new();
         for r in level_one.keys() {
@@ -131,7 +137,7 @@
                         .replica
                         .machine_types
                         .get(f)
-                        .is_some_and(|f| s.allows(&f.value, z, *spot))
+                        .is_some_and(|f| s.permits_machine(&f.value, z, *spot))
                 })
             });
             let holds = |x: &PlannedCapacity| x.at_most(s, is_narrow);
@@ -147,7 +153,7 @@
                     .machine_types
                     .get(&o.machine_type)
                     .map(|f| &f.value);
-                if f.is_some_and(|f| s.allows(f, &o.zone, o.spot))
+                if f.is_some_and(|f| s.permits_machine(f, &o.zone, o.spot))
                     && !self.refusals.closed(&o, context.now)
                 {
                     able.insert(self.region_for(&o, context));
@@ -172,7 +178,7 @@
             .or_else(|| best(&|r| owned(r)))
             .or_else(|| best(&|_| true))?;
         if keeps_together(s) {
-            let mut left = s.tasks as u64;
+            let mut left = s.task_count as u64;
             for r in self
                 .rooms
                 .iter_mut()
--- a/src/leader/demand.rs
+++ b/src/leader/demand.rs
@@ -15,14 +15,14 @@
         // Owners' estimates may be off by half, all in one direction: what finished
         // lately tells. Little of it says nothing.
         let sum = |of: fn(&RegionReport) -> f64| reports.values().map(|(r, _)| of(r)).sum::<f64>();
-        let (said, took) = (sum(|r| r.said), sum(|r| r.took));
+        let (said, took) = (sum(|r| r.estimated), sum(|r| r.actual));
         if said > 20.0 * SECOND as f64 * self.job_size {
             self.truth = (took / said).clamp(0.3, 3.0);
         }
         let wide = || self.rooms.iter().filter(|r| r.processors(false) > 0.0);
         let used: f64 = wide()
-            .filter(|r| r.live && (r.spot || r.kept.is_none()))
-            .map(|r| (r.cap.0 - r.free.0) as f64 * r.all)
+            .filter(|r| r.live && (r.spot || r.reserved.is_none()))
+            .map(|r| (r.cap.cpus - r.free.cpus) as f64 * r.all)
             .sum();
         if self.usual == 0.0 {
             self.usual = used;
@@ -34,7 +34,7 @@
             .filter(|w| w.narrow.is_none() && !w.whole() && !w.suspect)
         {
             // No more than all at once.
-            let span = self.truth * w.spec.estimate.max(SECOND) as f64;
+            let span = self.truth * w.spec.estimated_run_time.max(SECOND) as f64;
             let part = span / horizon(&w.spec, context) as f64;
             backlog += (w.count * w.spec.cpus) as f64 * part.min(1.0);
         }
@@ -58,7 +58,7 @@
         let Some(came) = self.inflow.rate(context.now) else {
             return;
         };
-        let open = || self.rooms.iter().filter(|r| r.spot || r.kept.is_none());
+        let open = || self.rooms.iter().filter(|r| r.spot || r.reserved.is_none());
         let cap: f64 = open().map(|r| r.processors(false)).sum();
         let mut spare = cap - self.keep;
         let mut vain: Vec<(f64, &PlannedCapacity)> = open()
@@ -70,7 +70,10 @@
                     .get(&r.machine_type)?
                     .value
                     .per_cpu(r.spot);
-                Some((price * (0.5 + r.free.0 as f64 / r.cap.0.max(1) as f64), r))
+                Some((
+                    price * (0.5 + r.free.cpus as f64 / r.cap.cpus.max(1) as f64),
+                    r,
+                ))
             })
             .collect();
         vain.sort_by(|a, b| b.0.total_cmp(&a.0));
@@ -79,7 +82,7 @@
         let mut most = (machines / 20.0).max(1.0);
         let mut closing: BTreeMap<(&str, &str, &str, bool), u32> = BTreeMap::new();
         for (_, r) in vain {
-            let each = r.cap.0.max(1) as f64;
+            let each = r.cap.cpus.max(1) as f64;
             let count = (spare / each).floor().min(r.all).min(most.floor());
             if count >= 1.0 {
                 spare -= count * each;
--- a/src/leader/machine_assignment.rs
+++ b/src/leader/machine_assignment.rs
@@ -13,14 +13,14 @@
         let scarce = !offer.spot
             && (self
                 .narrow
-                .kept_for(&offer.machine_type, context.now)
+                .reserved_on(&offer.machine_type, context.now)
                 .is_some()
                 || machine_type(&offer.machine_type).is_some_and(|f| {
                     context.replica.machine_types.len() > 1
                         && context.replica.machine_types.values().all(|o| {
                             o.value.name == f.name
                                 || (o.value.cpus < f.cpus
-                                    || o.value.mem < f.mem
+                                    || o.value.memory < f.memory
                                     || o.value.gpus < f.gpus)
                         })
                 }));
@@ -35,9 +35,9 @@
             if let Some(f) = machine_type(kind.0) {
                 let kept = self
                     .narrow
-                    .kept_for(kind.0, context.now)
+                    .reserved_on(kind.0, context.now)
                     .filter(|_| !kind.2);
-                let cpus = f.cpus.saturating_sub(kept.map_or(0, |k| k.0));
+                let cpus = f.cpus.saturating_sub(kept.map_or(0, |k| k.cpus));
                 *l += cpus as f64 * n as f64;
             }
             if kind.0 == offer.machine_type && kind.1 == offer.zone && kind.2 == offer.spot {
@@ -58,7 +58,7 @@
             );
         }
         if scarce {
-            let most = (4 * self.narrow.largest(&offer.machine_type))
+            let most = (4 * self.narrow.largest_gang(&offer.machine_type))
                 .max(all / regions.len() as u32)
                 .max(8);
             let together = same
--- a/src/leader/multi_region_gangs.rs
+++ b/src/leader/multi_region_gangs.rs
@@ -11,11 +11,11 @@
         narrow: bool,
         context: &SchedulingContext<'_>,
     ) -> Option<(Vec<TaskRange>, MultiRegionAttempt)> {
-        if s.kind != JobKind::Gang || s.tasks < 2 || context.now < self.began + 2 * SECOND {
+        if s.kind != JobKind::Gang || s.task_count < 2 || context.now < self.began + 2 * SECOND {
             return None;
         }
         let regions = context.settings.regions();
-        let n = s.tasks as u64;
+        let n = s.task_count as u64;
         let most = |r: &PlannedCapacity| r.at_most(s, narrow);
         if regions.iter().any(|r| self.in_region(s, r, most) >= n) {
             return None;
@@ -26,7 +26,7 @@
                 .machine_types
                 .get(&o.machine_type)
                 .map(|f| &f.value);
-            f.is_some_and(|f| s.allows(f, &o.zone, o.spot))
+            f.is_some_and(|f| s.permits_machine(f, &o.zone, o.spot))
                 && !self.refusals.closed(&o, context.now)
         });
         if for_rent {
@@ -40,10 +40,10 @@
                 *zone.entry(&r.region).or_default() += m;
             }
         }
-        let half = s.tasks.div_ceil(2) as u64;
+        let half = s.task_count.div_ceil(2) as u64;
         let mut share: BTreeMap<&str, u64> = BTreeMap::new();
         let mut zone = None;
-        if s.one_zone {
+        if s.single_zone {
             let (z, rs) = by_zone
                 .iter()
                 .max_by_key(|(_, rs)| rs.values().sum::<u64>())?;
@@ -53,7 +53,7 @@
             // Of each zone no more than its half, if it must be spread; the regions
             // see to that among their own machines.
             for rs in by_zone.values() {
-                let mut left = if s.spread { half } else { n };
+                let mut left = if s.spread_zones { half } else { n };
                 for (r, m) in rs {
                     let take = left.min(*m);
                     left -= take;
@@ -69,16 +69,22 @@
         for (m, r) in share {
             let take = (m.min(n - at as u64)) as u32;
             if take > 0 {
-                parts.push(TaskRange(at, at + take, r.to_owned()));
+                parts.push(TaskRange::new(at, at + take, r));
                 at += take;
             }
         }
-        if at < s.tasks || parts.len() > 12 || (s.spread && parts.len() > 1) {
+        if at < s.task_count || parts.len() > 12 || (s.spread_zones && parts.len() > 1) {
             // A spread gang over several regions would need one bound per zone over
             // all of them: it waits for a region that can hold it.
             return None;
         }
-        Some((parts, MultiRegionAttempt(self.next_attempt(), zone)))
+        Some((
+            parts,
+            MultiRegionAttempt {
+                attempt: self.next_attempt(),
+                zone,
+            },
+        ))
     }
 
     /// An attempt that no owner and no other term ever uses.
@@ -97,29 +103,32 @@
             let Some(rec) = context.replica.jobs.get(id) else {
                 continue;
             };
-            let Some(MultiRegionAttempt(attempt, zone)) = &rec.value.joint else {
+            let Some(MultiRegionAttempt { attempt, zone }) = &rec.value.multi_region else {
                 continue;
             };
-            let parts = &rec.value.parts;
-            let given_up = parts.iter().any(|p| p.2.is_empty());
+            let parts = &rec.value.task_ranges;
+            let given_up = parts.iter().any(TaskRange::is_unbound);
             let (mut ready, mut idle, mut stuck) = (true, true, false);
-            for TaskRange(a, b, region) in parts {
+            for TaskRange { first, end, region } in parts {
                 let Some((r, _)) = reports.get(region) else {
                     (ready, idle) = (false, false);
                     continue;
                 };
-                let has_room = r.ready.iter().any(|(j, n)| j == id && n == attempt);
-                let wait = r.waits.iter().find(|w| w.job == *id);
-                let waits = wait.is_some_and(|w| w.waiting == b - a);
+                let has_room = r
+                    .gang_parts_ready
+                    .iter()
+                    .any(|(j, n)| j == id && n == attempt);
+                let wait = r.pending_jobs.iter().find(|w| w.job == *id);
+                let waits = wait.is_some_and(|w| w.pending_tasks == end - first);
                 ready &= has_room;
                 idle &= has_room || waits;
-                stuck |= wait.is_some_and(|w| w.stuck);
+                stuck |= wait.is_some_and(|w| w.needs_new_attempt);
                 if waits && (given_up || wait.is_some_and(|w| w.since_us > PART_PATIENCE)) {
                     self.out.push(Action::Tell(Message::Move {
                         job: id.clone(),
                         from: region.clone(),
                         to: String::new(),
-                        count: b - a,
+                        count: end - first,
                     }));
                 }
             }
@@ -127,7 +136,7 @@
                 continue;
             }
             if ready {
-                for TaskRange(_, _, region) in parts {
+                for TaskRange { region, .. } in parts {
                     self.out.push(Action::Tell(Message::Go {
                         job: id.clone(),
                         attempt: *attempt,
@@ -141,10 +150,13 @@
         let changes = changes
             .into_iter()
             .map(|(id, rec, zone)| {
-                let joint = Some(MultiRegionAttempt(self.next_attempt(), zone));
+                let joint = Some(MultiRegionAttempt {
+                    attempt: self.next_attempt(),
+                    zone,
+                });
                 log::info!("leader: {id}: tried in vain, another attempt");
                 let new = JobRecord {
-                    joint,
+                    multi_region: joint,
                     ..rec.value.clone()
                 };
                 (Key::Job(id), rec.version, value(&new))
--- a/src/leader/rebinding.rs
+++ b/src/leader/rebinding.rs
@@ -57,7 +57,11 @@
             if w.suspect && rooms.iter().any(holds) {
                 continue;
             }
-            if w.count == 0 || patient || *most == 0 || (whole && w.count != w.spec.tasks as u64) {
+            if w.count == 0
+                || patient
+                || *most == 0
+                || (whole && w.count != w.spec.task_count as u64)
+            {
                 continue;
             }
             let mut per_region: BTreeMap<&str, (BTreeMap<&str, u64>, f64)> = BTreeMap::new();
@@ -65,11 +69,11 @@
                 let n = r.takes(&w.spec, narrow);
                 let e = per_region.entry(&r.region).or_default();
                 *e.0.entry(&r.zone).or_default() += n;
-                e.1 += r.free.0 as f64 * r.machines;
+                e.1 += r.free.cpus as f64 * r.machines;
             }
-            let need = if whole { w.spec.tasks as u64 } else { 1 };
+            let need = if whole { w.spec.task_count as u64 } else { 1 };
             let room = |zones: &BTreeMap<&str, u64>| {
-                if w.spec.one_zone {
+                if w.spec.single_zone {
                     zones.values().copied().max().unwrap_or(0)
                 } else {
                     zones.values().sum()
--- a/src/leader/scale_out.rs
+++ b/src/leader/scale_out.rs
@@ -43,7 +43,7 @@
         for (narrow, list) in groups {
             let Some(first) = list.first() else { continue };
             let mut tasks = uncovered.get(&narrow).copied().unwrap_or(0);
-            let spot = list.iter().any(|w| w.spec.spot);
+            let spot = list.iter().any(|w| w.spec.allows_spot);
             // Capacity at hand or on its way, and what there should be.
             let mut have: f64 = rooms
                 .iter()
@@ -55,7 +55,9 @@
                 Some(_) => list
                     .iter()
                     .map(|w| {
-                        w.count as f64 * w.spec.cpus as f64 * w.spec.estimate.max(SECOND) as f64
+                        w.count as f64
+                            * w.spec.cpus as f64
+                            * w.spec.estimated_run_time.max(SECOND) as f64
                             / horizon(&w.spec, context) as f64
                     })
                     .sum(),
@@ -117,10 +119,10 @@
         cloud_client: &mut CloudClient,
     ) -> bool {
         let (s, narrow) = (&w.spec, w.narrow.is_some());
-        let need = s.tasks as u64;
+        let need = s.task_count as u64;
         // A zone, or all of them if it may be anywhere.
         let mut places: BTreeSet<Option<String>> = BTreeSet::new();
-        if s.one_zone {
+        if s.single_zone {
             let zones = context
                 .replica
                 .machine_types
@@ -204,7 +206,7 @@
             job: w.id.clone(),
             from: w.region.clone(),
             to,
-            count: s.tasks,
+            count: s.task_count,
         }));
         false
     }
@@ -246,21 +248,27 @@
             else {
                 continue;
             };
-            if !s.allows(f, &o.zone, o.spot)
+            if !s.permits_machine(f, &o.zone, o.spot)
                 || self.refusals.closed(&o, context.now)
                 || zone.is_some_and(|z| z != o.zone)
             {
                 continue;
             }
-            if !narrow && !o.spot && self.narrow.kept_for(&o.machine_type, context.now).is_some() {
+            if !narrow
+                && !o.spot
+                && self
+                    .narrow
+                    .reserved_on(&o.machine_type, context.now)
+                    .is_some()
+            {
                 continue;
             }
-            let per = s.per_machine(f);
+            let per = s.tasks_per_machine(f);
             if per == 0 {
                 continue;
             }
             let cost = f.price_of(o.spot) as f64 / (per * s.cpus).max(1) as f64
-                * (1.0 + to_secs(f.boot) / 100.0)
+                * (1.0 + to_secs(f.boot_time) / 100.0)
                 * self.boots.penalty(&o);
             if best.as_ref().is_none_or(|(c, ..)| cost < *c) {
                 best = Some((cost, o, per));
--- a/src/peer_protocol.rs
+++ b/src/peer_protocol.rs
@@ -18,7 +18,7 @@
     /// Spot or ordinary.
     pub spot: bool,
     /// Heard from and open to placing; if not, it is expected to come up.
-    pub live: bool,
+    pub available: bool,
     /// Free processors, cards and memory of each, rounded down.
     pub free: (u64, u64, u64),
     /// How many.
@@ -31,12 +31,12 @@
     /// Job.
     pub job: String,
     /// Tasks that wait and could be started or moved.
-    pub waiting: u32,
+    pub pending_tasks: u32,
     /// How long the oldest has waited for room.
     pub since_us: u64,
     /// Tried in vain: part of a gang over several regions whose attempt failed, or a job
     /// that failed on several machines without a result.
-    pub stuck: bool,
+    pub needs_new_attempt: bool,
 }
 
 /// Counts of a job for display.
@@ -56,23 +56,23 @@
     /// The owner's token.
     pub token: u64,
     /// Whether all machines are accounted for.
-    pub settled: bool,
+    pub reconciled: bool,
     /// Room on machines.
-    pub rooms: Vec<PoolCapacity>,
+    pub capacity: Vec<PoolCapacity>,
     /// Waiting work, the most urgent first.
-    pub waits: Vec<PendingJob>,
+    pub pending_jobs: Vec<PendingJob>,
     /// Running tasks by job.
-    pub counts: Vec<RunningTasks>,
+    pub running_tasks: Vec<RunningTasks>,
     /// Teams whose limit other regions' shares leave too little of, and the turn (priority,
     /// then age) of the first job that lacks some.
-    pub short: Vec<(String, u64)>,
+    pub quota_blocked_teams: Vec<(String, u64)>,
     /// Parts of gangs over several regions for which room is held, by attempt.
-    pub ready: Vec<(String, u64)>,
+    pub gang_parts_ready: Vec<(String, u64)>,
     /// Processors times time: what the owners of lately finished tasks that fit many
     /// types had said, and what they took.
-    pub said: f64,
+    pub estimated: f64,
     /// See `said`.
-    pub took: f64,
+    pub actual: f64,
 }
 
 /// How machines of one kind come up in a region.
--- a/src/peer_protocol/tests.rs
+++ b/src/peer_protocol/tests.rs
@@ -11,29 +11,29 @@
         regions: vec![RegionReport {
             region: "t-0".into(),
             token: 9,
-            settled: true,
-            rooms: vec![PoolCapacity {
+            reconciled: true,
+            capacity: vec![PoolCapacity {
                 machine_type: "g8".into(),
                 zone: "a".into(),
                 spot: false,
-                live: true,
+                available: true,
                 free: (1, 2, 3),
                 machines: 4,
             }],
-            waits: vec![PendingJob {
+            pending_jobs: vec![PendingJob {
                 job: "req-1".into(),
-                waiting: 5,
+                pending_tasks: 5,
                 since_us: 6,
-                stuck: false,
+                needs_new_attempt: false,
             }],
-            counts: vec![RunningTasks {
+            running_tasks: vec![RunningTasks {
                 job: "req-1".into(),
                 running: 2,
             }],
-            short: vec![("red".into(), 5)],
-            ready: vec![("req-2".into(), 7)],
-            said: 1.5,
-            took: 0.5,
+            quota_blocked_teams: vec![("red".into(), 5)],
+            gang_parts_ready: vec![("req-2".into(), 7)],
+            estimated: 1.5,
+            actual: 0.5,
         }],
     }
 }
--- a/src/region/constrained_types.rs
+++ b/src/region/constrained_types.rs
@@ -1,48 +1,69 @@
-//! Machine types that some jobs depend on: what is kept clear on them.
+//! Machine types that some jobs depend on: capacity that is reserved for those jobs.
 
 use super::*;
 
-/// Which machine types are kept clear, and for how much: those that are the only
-/// ones on which some recent job fits. Jobs that fit elsewhere may have the rest.
+/// How long a type stays reserved for jobs that fit nowhere else, after the last of them was
+/// seen.
+const CONSTRAINED_TYPE_TTL: Micros = 180 * SECOND;
+
+/// What recent jobs that fit on one machine type only ask of it.
+#[derive(Debug, Clone, Copy)]
+struct Demand {
+    /// The most that one task takes, each amount by itself.
+    per_task: Resources,
+    last_seen: Micros,
+    largest_gang: u32,
+}
+
+impl Demand {
+    fn is_recent(&self, now: Micros) -> bool {
+        now < self.last_seen + CONSTRAINED_TYPE_TTL
+    }
+}
+
+/// The machine types that are the only ones on which some recent job fits, with the capacity
+/// that is reserved on each of their machines. Flexible jobs, which fit elsewhere too, may use
+/// the rest.
 #[derive(Debug, Default)]
 pub struct ConstrainedTypes {
-    types: BTreeMap<String, (Room, Micros, u32)>,
+    types: BTreeMap<String, Demand>,
 }
 
 impl ConstrainedTypes {
-    /// Remembers a job, if it is one that fits on one type only. Returns whether
-    /// something else is to be kept clear now.
-    pub fn note(&mut self, spec: &JobSpec, r: &Replica, now: Micros) -> bool {
-        let Some(f) = only_fitting_type(spec, r) else {
+    /// Notes a job, if it is one that fits on one type only. Returns whether the capacity to
+    /// reserve has changed.
+    pub fn note(&mut self, spec: &JobSpec, replica: &Replica, now: Micros) -> bool {
+        let Some(machine_type) = only_fitting_type(spec, replica) else {
             return false;
         };
-        let gang = if spec.kind == JobKind::Gang {
-            spec.tasks
-        } else {
-            1
+        let gang_size = match spec.kind {
+            JobKind::Gang => spec.task_count,
+            JobKind::Array | JobKind::Service => 1,
         };
-        let new = !self.types.contains_key(&f);
-        let e = self.types.entry(f).or_insert(((0, 0, 0), now, 1));
-        let was = (e.0, now < e.1 + CONSTRAINED_TYPE_TTL);
-        e.0 .0 = e.0 .0.max(spec.cpus);
-        e.0 .1 = e.0 .1.max(spec.gpus);
-        e.0 .2 = e.0 .2.max(spec.mem);
-        e.1 = now;
-        e.2 = e.2.max(gang);
-        new || was != (e.0, true)
+        let is_new = !self.types.contains_key(&machine_type);
+        let demand = self.types.entry(machine_type).or_insert(Demand {
+            per_task: Resources::ZERO,
+            last_seen: now,
+            largest_gang: 1,
+        });
+        let (reserved_before, was_recent) = (demand.per_task, demand.is_recent(now));
+        demand.per_task = demand.per_task.max_each(spec.resources_per_task());
+        demand.last_seen = now;
+        demand.largest_gang = demand.largest_gang.max(gang_size);
+        is_new || !was_recent || reserved_before != demand.per_task
     }
 
-    /// What is kept clear on machines of a type.
-    pub fn kept_for(&self, machine_type: &str, now: Micros) -> Option<Room> {
-        self.types
-            .get(machine_type)
-            .filter(|(_, seen, _)| now < seen + CONSTRAINED_TYPE_TTL)
-            .map(|(n, ..)| *n)
+    /// What is reserved on each machine of a type for the jobs that depend on it.
+    pub fn reserved_on(&self, machine_type: &str, now: Micros) -> Option<Resources> {
+        let demand = self.types.get(machine_type)?;
+        demand.is_recent(now).then_some(demand.per_task)
     }
 
     /// The largest gang seen that fits on this type only.
-    pub fn largest(&self, machine_type: &str) -> u32 {
-        self.types.get(machine_type).map_or(0, |t| t.2)
+    pub fn largest_gang(&self, machine_type: &str) -> u32 {
+        self.types
+            .get(machine_type)
+            .map_or(0, |demand| demand.largest_gang)
     }
 }
 
@@ -52,13 +73,9 @@
         .machine_types
         .values()
         .map(|f| &f.value)
-        .filter(|f: &&MachineType| s.fits_type(f));
+        .filter(|f: &&MachineType| s.fits_machine_type(f));
     match (fit.next(), fit.next()) {
         (Some(f), None) if r.machine_types.len() > 1 => Some(f.name.clone()),
         _ => None,
     }
 }
-
-/// How long a type is kept clear for jobs that fit nowhere else, after the last
-/// of them was seen.
-const CONSTRAINED_TYPE_TTL: Micros = 180 * SECOND;
--- a/src/region/failure_attribution.rs
+++ b/src/region/failure_attribution.rs
@@ -136,16 +136,16 @@
         let suspect = job.failures.is_suspect();
         let delay = job.failures.delay();
         if turned {
-            self.on_suspect(id);
+            self.on_job_suspected(id);
         } else if !suspect {
-            self.blame_machine(machine, id, has_results, context);
+            self.note_machine_failure(machine, id, has_results, context);
         }
         delay
     }
 
     /// A job has turned out to be suspect: its failures no longer speak against machines,
     /// and no places are kept for it.
-    fn on_suspect(&mut self, id: &JobId) {
+    fn on_job_suspected(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -157,19 +157,19 @@
             job.failures.machines.len()
         );
         for name in job.failures.machines.clone() {
-            if let Some(m) = self.machines.get_mut(&name) {
+            if let Some(m) = self.inventory.machines.get_mut(&name) {
                 m.failures.forgive(id);
             }
         }
-        if self.hold.as_ref().is_some_and(|h| h.job == *id) {
-            self.hold = None;
-            self.dirty_all = true;
+        if self.reservation.as_ref().is_some_and(|h| h.job == *id) {
+            self.reservation = None;
+            self.triggers.all = true;
         }
     }
 
     /// Takes back what was assigned of a suspect array and not sent yet: it is tried a
     /// task at a time.
-    pub(super) fn withdraw_unsent(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+    pub(super) fn withdraw_undispatched(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -177,14 +177,15 @@
             return;
         }
         let unsent: Vec<u32> = job
-            .out
+            .on_machines
             .iter()
             .filter(|(n, name)| {
                 let held = self
+                    .inventory
                     .machines
                     .get(*name)
                     .and_then(|m| m.tasks.get(&(id.clone(), **n)));
-                held.is_some_and(|h| h.place == TaskState::Assigned)
+                held.is_some_and(|h| h.state == TaskState::Assigned)
             })
             .map(|(n, _)| *n)
             .collect();
@@ -193,20 +194,20 @@
         }
     }
 
-    fn blame_machine(
+    fn note_machine_failure(
         &mut self,
         machine: &str,
         id: &JobId,
         has_results: bool,
         context: &SchedulingContext<'_>,
     ) {
-        let Some(m) = self.machines.get_mut(machine) else {
+        let Some(m) = self.inventory.machines.get_mut(machine) else {
             return;
         };
         m.failures.failed(id, has_results);
-        if m.failures.is_faulty() && m.closed.is_none() {
+        if m.failures.is_faulty() && m.cordoned.is_none() {
             log::info!("region: {machine}: closed, its tasks keep failing");
-            m.closed = Some("faulty");
+            m.cordoned = Some("faulty");
             self.revisit_at(machine, context.now);
         }
     }
--- a/src/region/failure_attribution/tests.rs
+++ b/src/region/failure_attribution/tests.rs
@@ -12,8 +12,8 @@
 }
 
 fn closed(shop: &Shop) -> Vec<&str> {
-    let machines = shop.r.machines.iter();
-    let closed = machines.filter(|(_, m)| m.closed == Some("faulty"));
+    let machines = shop.r.inventory.machines.iter();
+    let closed = machines.filter(|(_, m)| m.cordoned == Some("faulty"));
     closed.map(|(name, _)| &**name).collect()
 }
 
@@ -92,7 +92,10 @@
         .into_iter()
         .find(|w| w.job == "req-1");
     let line = line.expect("still known");
-    assert!(line.stuck && line.waiting <= 1, "{line:?}");
+    assert!(
+        line.needs_new_attempt && line.pending_tasks <= 1,
+        "{line:?}"
+    );
     // The mistake is mended: all of it is served.
     shop.broken.clear();
     play(&mut shop, now, 900);
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -13,33 +13,33 @@
         let Some(job) = self.jobs.get(id) else { return };
         let spec = job.spec.clone();
         // Of a gang over several regions, only this region's part is placed here.
-        let n = job.mine.len();
-        let whole = n == spec.tasks || job.joint.is_some();
-        if job.breaking
-            || !job.out.is_empty()
-            || job.waiting.len() != n
+        let n = job.bound.len();
+        let whole = n == spec.task_count || job.multi_region.is_some();
+        if job.restarting_gang
+            || !job.on_machines.is_empty()
+            || job.pending.len() != n
             || !whole
-            || job.stuck()
-            || job.given_up
+            || job.needs_new_attempt()
+            || job.has_unbound_part
         {
             return;
         }
-        let need = spec.amount().times(n as u64);
-        let half = spec.tasks.div_ceil(2);
-        let tasks: Vec<u32> = job.waiting.numbers().collect();
-        let (since, joint) = (job.wait_since, job.joint.clone());
-        for zone in self.zones_for(job) {
-            if self.room_for(id, zone.as_deref(), n as u64, context) < n as u64 {
+        let need = spec.quota_per_task().times(n as u64);
+        let half = spec.task_count.div_ceil(2);
+        let tasks: Vec<u32> = job.pending.numbers().collect();
+        let (since, joint) = (job.pending_since, job.multi_region.clone());
+        for zone in self.candidate_zones(job) {
+            if self.tasks_placeable_now(id, zone.as_deref(), n as u64, context) < n as u64 {
                 continue;
             }
-            if !need.within(self.headroom(&spec.team, context)) {
+            if !need.within(self.quota_headroom(&spec.team, context)) {
                 if let Some(j) = self.jobs.get_mut(id) {
-                    j.short = true;
+                    j.quota_blocked = true;
                 }
                 return;
             }
             let attempt = match &joint {
-                Some(j) => j.0,
+                Some(j) => j.attempt,
                 None => self.next_attempt(),
             };
             let mut per_zone: BTreeMap<String, u32> = BTreeMap::new();
@@ -49,12 +49,12 @@
                 let Some(name) = self.best_machine(id, zone.as_deref(), &full, context) else {
                     break;
                 };
-                if spec.spread {
-                    if let Some(m) = self.machines.get(&name) {
-                        let c = per_zone.entry(m.rec.zone.clone()).or_default();
+                if spec.spread_zones {
+                    if let Some(m) = self.inventory.machines.get(&name) {
+                        let c = per_zone.entry(m.record.zone.clone()).or_default();
                         *c += 1;
                         if *c >= half {
-                            full.insert(m.rec.zone.clone());
+                            full.insert(m.record.zone.clone());
                         }
                     }
                 }
@@ -71,56 +71,65 @@
                 for t in &tasks[..placed] {
                     self.transition(id, *t, TaskState::Pending, None, context.now);
                 }
-                self.dirty_jobs.remove(id);
+                self.triggers.jobs.remove(id);
                 if let Some(j) = self.jobs.get_mut(id) {
-                    j.wait_since = since;
+                    j.pending_since = since;
                 }
                 continue;
             }
-            if self.hold.as_ref().is_some_and(|h| h.job == *id) {
-                self.hold = None;
-                self.dirty_all = true;
+            if self.reservation.as_ref().is_some_and(|h| h.job == *id) {
+                self.reservation = None;
+                self.triggers.all = true;
             }
             if joint.is_some() {
                 log::info!("region: {id}: room held for our part, attempt {attempt}");
                 if let Some(j) = self.jobs.get_mut(id) {
-                    j.held_since = Some(context.now);
+                    j.barrier_since = Some(context.now);
                 }
-                self.wake
+                self.queue
+                    .wakeups
                     .insert((context.now + context.settings.gang_wait, id.clone()));
             }
             return;
         }
-        self.hold_for(id, context);
+        self.reserve_for_gang(id, context);
     }
 
     /// Parts of gangs over several regions for which room is held here.
-    pub(super) fn ready_parts(&self) -> impl Iterator<Item = (&JobId, u64)> {
+    pub(super) fn gang_parts_ready(&self) -> impl Iterator<Item = (&JobId, u64)> {
         self.jobs.iter().filter_map(|(id, j)| {
-            let joint = j.joint.as_ref()?;
-            j.held_since.map(|_| (id, joint.0))
+            let joint = j.multi_region.as_ref()?;
+            j.barrier_since.map(|_| (id, joint.attempt))
         })
     }
 
     /// All parts of a gang over several regions have room: start ours.
-    pub fn go(&mut self, id: &str, attempt: u64, context: &SchedulingContext<'_>) {
+    pub fn start_gang_part(&mut self, id: &str, attempt: u64, context: &SchedulingContext<'_>) {
         let Some((id, job)) = self.jobs.get_key_value(id) else {
             return;
         };
         let id = id.clone();
-        let held = job.held_since.is_some() && job.joint.as_ref().is_some_and(|j| j.0 == attempt);
-        if !held || job.over {
+        let held = job.barrier_since.is_some()
+            && job
+                .multi_region
+                .as_ref()
+                .is_some_and(|j| j.attempt == attempt);
+        if !held || job.is_over {
             return;
         }
         log::info!("region: {id}: all parts have room, attempt {attempt} starts");
-        let out: Vec<(u32, Rc<str>)> = job.out.iter().map(|(n, m)| (*n, m.clone())).collect();
+        let out: Vec<(u32, Rc<str>)> = job
+            .on_machines
+            .iter()
+            .map(|(n, m)| (*n, m.clone()))
+            .collect();
         if let Some(j) = self.jobs.get_mut(&id) {
-            j.held_since = None;
-            j.tried = attempt;
+            j.barrier_since = None;
+            j.last_multi_region_attempt = attempt;
         }
         for (n, name) in out {
-            if let Some(h) = self.held_mut(&id, n, &name) {
-                h.wait_go = false;
+            if let Some(h) = self.assignment_mut(&id, n, &name) {
+                h.awaits_start_barrier = false;
                 h.since = context.now;
             }
         }
@@ -128,8 +137,8 @@
 
     /// A gang finds no room: if it is the first in line to wait, the places that
     /// fall free are kept for it.
-    pub(super) fn hold_for(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
-        if self.hold.is_some() {
+    pub(super) fn reserve_for_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+        if self.reservation.is_some() {
             return;
         }
         let Some(job) = self.jobs.get(id) else { return };
@@ -137,22 +146,26 @@
             return;
         }
         // Since its submission: it may have been moved here.
-        let age = context.wall.saturating_sub(job.spec.submitted);
+        let age = context.wall.saturating_sub(job.spec.submitted_at);
         if age < HOLD_AFTER {
-            self.wake
+            self.queue
+                .wakeups
                 .insert((context.now + HOLD_AFTER - age, id.clone()));
             return;
         }
-        let n = job.mine.len() as u64;
-        let wide = job.narrow_to.is_none();
+        let n = job.bound.len() as u64;
+        let wide = job.only_type.is_none();
         let best = self
-            .zones_for(job)
+            .candidate_zones(job)
             .into_iter()
             .map(|zone| {
-                let could = self.list.potential(&job.spec, wide, |k| {
-                    job.spec.permits(&k.0, &k.1, k.2) && zone.as_ref().is_none_or(|z| *z == k.1)
-                });
-                let room = self.room_for(id, zone.as_deref(), n, context);
+                let could = self
+                    .inventory
+                    .index
+                    .tasks_fitting_when_empty(&job.spec, wide, |k| {
+                        k.permits(&job.spec) && zone.as_ref().is_none_or(|z| *z == k.zone)
+                    });
+                let room = self.tasks_placeable_now(id, zone.as_deref(), n, context);
                 (could >= n, room, zone)
             })
             .max();
@@ -160,56 +173,58 @@
             return;
         };
         log::info!("region: {id}: places are kept for it, {room} of {n} free");
-        self.hold = Some(GangReservation {
+        self.reservation = Some(GangReservation {
             job: id.clone(),
             priority: job.spec.priority,
             team: job.spec.team.clone(),
-            short: false,
+            quota_blocked: false,
             outranked: false,
             zone,
-            until: 0,
-            looked: 0,
+            filled_at: 0,
+            updated_at: 0,
         });
-        self.watch_hold(context);
+        self.update_reservation(context);
     }
 
     /// Looks whether places must still be held, and until when they will fill.
-    pub(super) fn watch_hold(&mut self, context: &SchedulingContext<'_>) {
-        let Some(h) = &self.hold else { return };
-        let stays = self
-            .jobs
-            .get(&h.job)
-            .filter(|j| !j.over && j.key.is_some() && !j.stuck() && !j.writing);
+    pub(super) fn update_reservation(&mut self, context: &SchedulingContext<'_>) {
+        let Some(h) = &self.reservation else { return };
+        let stays = self.jobs.get(&h.job).filter(|j| {
+            !j.is_over && j.queue_key.is_some() && !j.needs_new_attempt() && !j.commit_in_flight
+        });
         let Some(job) = stays else {
-            self.hold = None;
-            self.dirty_all = true;
+            self.reservation = None;
+            self.triggers.all = true;
             return;
         };
-        if context.now < h.looked + 2 * SECOND {
+        if context.now < h.updated_at + 2 * SECOND {
             return;
         }
-        let short = job.short;
+        let short = job.quota_blocked;
         let priority = job.spec.priority;
-        let next = self.ready.values().take(AHEAD);
+        let next = self.queue.ready.values().take(AHEAD);
         let outranked = next
             .filter_map(|id| self.jobs.get(id))
-            .any(|j| j.spec.priority > priority && !j.short);
-        let n = job.mine.len() as u64;
+            .any(|j| j.spec.priority > priority && !j.quota_blocked);
+        let n = job.bound.len() as u64;
         // When each machine will have been left by all that is on it now.
         let mut free_at: Vec<(Micros, u64)> = Vec::new();
-        for (k, g) in &self.list.groups {
-            if !job.spec.permits(&k.0, &k.1, k.2) || h.zone.as_ref().is_some_and(|z| *z != k.1) {
+        for (k, g) in &self.inventory.index.pools {
+            if !k.permits(&job.spec) || h.zone.as_ref().is_some_and(|z| *z != k.zone) {
                 continue;
             }
-            let each = job.spec.count_in(g.cap);
-            for m in g.names().filter_map(|n| self.machines.get(n)) {
+            let each = job.spec.tasks_fitting_in(g.capacity);
+            for m in g
+                .available_machines()
+                .filter_map(|n| self.inventory.machines.get(n))
+            {
                 let ends = m
                     .tasks
                     .iter()
-                    .filter(|(_, t)| t.narrow || g.kept.is_none())
+                    .filter(|(_, t)| t.constrained || g.reserved.is_none())
                     .filter_map(|((id, _), t)| {
-                        let est = self.jobs.get(id)?.spec.estimate;
-                        Some(t.ran_at.unwrap_or(context.now) + est)
+                        let est = self.jobs.get(id)?.spec.estimated_run_time;
+                        Some(t.running_since.unwrap_or(context.now) + est)
                     })
                     .max();
                 free_at.push((ends.unwrap_or(0).max(context.now), each));
@@ -221,12 +236,12 @@
             have += each;
             (have >= n).then_some(*at)
         });
-        if let Some(h) = &mut self.hold {
-            h.until = until.unwrap_or(0);
-            h.looked = context.now;
-            h.short = short;
+        if let Some(h) = &mut self.reservation {
+            h.filled_at = until.unwrap_or(0);
+            h.updated_at = context.now;
+            h.quota_blocked = short;
             h.outranked = outranked;
         }
-        self.dirty_all = true;
+        self.triggers.all = true;
     }
 }
--- a/src/region/job_lifecycle.rs
+++ b/src/region/job_lifecycle.rs
@@ -10,13 +10,13 @@
             return;
         };
         if let Some(s) = &rec.spec {
-            self.stale_teams.insert(s.team.clone());
+            self.queue.stale_teams.insert(s.team.clone());
         } else if let Some(j) = self.jobs.get(id) {
-            self.stale_teams.insert(j.spec.team.clone());
+            self.queue.stale_teams.insert(j.spec.team.clone());
         }
         let mine = rec.tasks_of(&self.name);
         let key = self.jobs.get_key_value(id).map(|(k, _)| k.clone());
-        if context.over(id) {
+        if context.is_job_over(id) {
             if let Some(id) = key {
                 self.end_job(&id, context);
             }
@@ -33,8 +33,12 @@
             }
             return;
         }
-        if self.narrow.note(spec, context.replica, context.now) {
-            self.keep_clear(context);
+        if self
+            .inventory
+            .constrained_types
+            .note(spec, context.replica, context.now)
+        {
+            self.update_reserved_capacity(context);
         }
         if key.is_none() && mine.is_empty() {
             return;
@@ -48,54 +52,54 @@
         if job.spec != *spec {
             // Another job that needs this one came or went.
             job.spec = spec.clone();
-            self.rekey(&id, context);
+            self.update_queue_position(&id, context);
         }
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         // A part of it is with nobody: it is to be bound anew.
-        let given_up = rec.parts.iter().any(|p| p.2.is_empty());
-        if job.joint != rec.joint || job.given_up != given_up {
-            job.joint.clone_from(&rec.joint);
-            job.given_up = given_up;
+        let given_up = rec.task_ranges.iter().any(TaskRange::is_unbound);
+        if job.multi_region != rec.multi_region || job.has_unbound_part != given_up {
+            job.multi_region.clone_from(&rec.multi_region);
+            job.has_unbound_part = given_up;
             // What was held for another attempt is let go.
-            let assigned = job.held_since.take().is_some();
+            let assigned = job.barrier_since.take().is_some();
             if assigned {
                 self.break_gang(&id, context);
             }
-            self.dirty_jobs.insert(id.clone());
+            self.triggers.jobs.insert(id.clone());
         }
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         let mut fresh = mine.clone();
-        fresh.remove_all(&job.mine);
-        let mut lost = job.mine.clone();
+        fresh.remove_all(&job.bound);
+        let mut lost = job.bound.clone();
         lost.remove_all(&mine);
         if fresh.is_empty() && lost.is_empty() {
-            self.after_out(&id);
+            self.after_tasks_left(&id);
             return;
         }
-        job.mine = mine;
+        job.bound = mine;
         let done = context.replica.done_tasks(&id);
         job.done.add_all(&done);
         fresh.remove_all(&job.done);
         if taking {
-            job.unsettled.add_all(&fresh);
+            job.unreconciled.add_all(&fresh);
         } else {
             // Bound here after we took the region: nobody else can have
             // started it under this region's name.
-            if job.waiting.is_empty() {
-                job.wait_since = context.now;
+            if job.pending.is_empty() {
+                job.pending_since = context.now;
             }
-            job.waiting.add_all(&fresh);
-        }
-        job.waiting.remove_all(&lost);
-        job.moving.remove_all(&lost);
-        job.unsettled.remove_all(&lost);
-        self.dirty_jobs.insert(id.clone());
-        self.rekey(&id, context);
-        self.after_out(&id);
+            job.pending.add_all(&fresh);
+        }
+        job.pending.remove_all(&lost);
+        job.rebinding.remove_all(&lost);
+        job.unreconciled.remove_all(&lost);
+        self.triggers.jobs.insert(id.clone());
+        self.update_queue_position(&id, context);
+        self.after_tasks_left(&id);
     }
 
     /// A job is cancelled, as another controller has it from the state service.
@@ -110,49 +114,59 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.over = true;
-        job.waiting = RangeSet::default();
-        job.unsettled = RangeSet::default();
-        job.moving = RangeSet::default();
+        job.is_over = true;
         job.pending = RangeSet::default();
-        let out: Vec<(u32, Rc<str>)> = job.out.iter().map(|(n, m)| (*n, m.clone())).collect();
+        job.unreconciled = RangeSet::default();
+        job.rebinding = RangeSet::default();
+        job.unrecorded_done = RangeSet::default();
+        let out: Vec<(u32, Rc<str>)> = job
+            .on_machines
+            .iter()
+            .map(|(n, m)| (*n, m.clone()))
+            .collect();
         for (n, m) in out {
-            match self.held_mut(id, n, &m) {
-                Some(h) if h.place != TaskState::Assigned => h.stop = Some(0),
+            match self.assignment_mut(id, n, &m) {
+                Some(h) if h.state != TaskState::Assigned => h.stop_grace = Some(0),
                 _ => self.transition(id, n, TaskState::Done, None, context.now),
             }
         }
-        self.unwritten.remove(id);
-        self.rekey(id, context);
-        self.after_out(id);
+        self.unrecorded_jobs.remove(id);
+        self.update_queue_position(id, context);
+        self.after_tasks_left(id);
     }
 
     /// A task on a machine is there no more and isn't done.
-    pub(super) fn lost(&mut self, id: &JobId, n: u32, why: &str, context: &SchedulingContext<'_>) {
+    pub(super) fn return_to_pending(
+        &mut self,
+        id: &JobId,
+        n: u32,
+        why: &str,
+        context: &SchedulingContext<'_>,
+    ) {
         log::debug!("region: {id}/{n}: back to waiting, {why}");
         self.transition(id, n, TaskState::Pending, None, context.now);
-        self.rekey(id, context);
+        self.update_queue_position(id, context);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.spec.kind == JobKind::Gang && !job.over && !job.out.is_empty() {
+        if job.spec.kind == JobKind::Gang && !job.is_over && !job.on_machines.is_empty() {
             self.break_gang(id, context);
         }
-        self.after_out(id);
+        self.after_tasks_left(id);
     }
 
     /// A job that is over leaves once nothing of it is out; a broken gang may
     /// then start anew.
-    pub(super) fn after_out(&mut self, id: &JobId) {
+    pub(super) fn after_tasks_left(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
-            if job.out.is_empty() {
-                job.breaking = false;
-                job.held_since = None;
-                if job.over || job.mine.is_empty() {
-                    if let Some(key) = job.key.take() {
-                        self.ready.remove(&key);
+            if job.on_machines.is_empty() {
+                job.restarting_gang = false;
+                job.barrier_since = None;
+                if job.is_over || job.bound.is_empty() {
+                    if let Some(key) = job.queue_key.take() {
+                        self.queue.ready.remove(&key);
                     }
-                    self.unwritten.remove(id);
+                    self.unrecorded_jobs.remove(id);
                     self.jobs.remove(id);
                 }
             }
@@ -165,31 +179,35 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.breaking = true;
-        let out: Vec<(u32, Rc<str>)> = job.out.iter().map(|(n, m)| (*n, m.clone())).collect();
+        job.restarting_gang = true;
+        let out: Vec<(u32, Rc<str>)> = job
+            .on_machines
+            .iter()
+            .map(|(n, m)| (*n, m.clone()))
+            .collect();
         for (n, m) in out {
-            match self.held_mut(id, n, &m) {
-                Some(h) if h.place == TaskState::Assigned => {
+            match self.assignment_mut(id, n, &m) {
+                Some(h) if h.state == TaskState::Assigned => {
                     self.transition(id, n, TaskState::Pending, None, context.now)
                 }
                 // One that is told to save already may finish that.
                 Some(h) => {
-                    h.stop.get_or_insert(0);
+                    h.stop_grace.get_or_insert(0);
                 }
                 None => {}
             }
         }
-        self.rekey(id, context);
-        self.after_out(id);
+        self.update_queue_position(id, context);
+        self.after_tasks_left(id);
     }
 
     /// Nothing is on this machine any more.
-    pub(super) fn clear_machine(&mut self, name: &str, context: &SchedulingContext<'_>) {
-        let Some(m) = self.machines.get_mut(name) else {
+    pub(super) fn machine_is_empty(&mut self, name: &str, context: &SchedulingContext<'_>) {
+        let Some(m) = self.inventory.machines.get_mut(name) else {
             return;
         };
-        m.standing = MachineState::LeaseExpired;
-        m.greeted = 0;
+        m.state = MachineState::LeaseExpired;
+        m.unconfirmed_answers = 0;
         let held: Vec<(JobId, u32)> = m.tasks.keys().cloned().collect();
         if !held.is_empty() {
             log::info!(
@@ -198,9 +216,9 @@
             );
         }
         for (id, n) in held {
-            self.lost(&id, n, "machine gone", context);
+            self.return_to_pending(&id, n, "machine gone", context);
         }
-        self.awaited.remove(name);
-        self.relist(name);
+        self.reconciliation.unreconciled.remove(name);
+        self.reindex(name);
     }
 }
--- a/src/region/machine.rs
+++ b/src/region/machine.rs
@@ -15,57 +15,60 @@
 
 #[derive(Debug)]
 pub(super) struct Machine {
-    pub(super) rec: MachineRecord,
-    pub(super) group: GroupKey,
-    pub(super) cap: Room,
-    pub(super) used: Room,
+    pub(super) record: MachineRecord,
+    pub(super) pool: MachinePool,
+    pub(super) capacity: Resources,
+    pub(super) used: Resources,
     /// Of these, by tasks that fit on other types too.
-    pub(super) wide: Room,
-    pub(super) listed: IndexEntry,
-    pub(super) standing: MachineState,
-    pub(super) order: (u64, u64),
+    pub(super) used_by_flexible: Resources,
+    pub(super) index_entry: IndexEntry,
+    pub(super) state: MachineState,
+    pub(super) last_heartbeat: HeartbeatId,
     /// Our last 200 to it, or the last time a former owner may have sent one.
-    pub(super) last_ok: Micros,
+    pub(super) last_answered_at: Micros,
     /// The last newer report under our token, or when we came to know of it.
-    pub(super) heard_at: Micros,
+    pub(super) last_heartbeat_at: Micros,
     /// Since when its reports come and are answered without a break.
-    pub(super) answered_since: Micros,
+    pub(super) answered_without_gap_since: Micros,
     /// Answers to reports that didn't carry our token, since one did.
-    pub(super) greeted: u32,
+    pub(super) unconfirmed_answers: u32,
     pub(super) reachability: Reachability,
-    pub(super) dealt_at: Micros,
-    pub(super) boot: Micros,
-    pub(super) notice: Option<Micros>,
+    pub(super) assigned_at: Micros,
+    pub(super) boot_time: Micros,
+    pub(super) interruption_at: Option<Micros>,
     pub(super) tasks: BTreeMap<(JobId, u32), Assignment>,
     pub(super) idle_since: Micros,
     pub(super) failures: MachineFailures,
     pub(super) images: BTreeSet<String>,
-    pub(super) closed: Option<&'static str>,
+    pub(super) cordoned: Option<&'static str>,
     pub(super) releasing: bool,
-    pub(super) gone: bool,
+    pub(super) is_gone: bool,
     /// Should have been up by now.
-    pub(super) late: bool,
+    pub(super) is_overdue: bool,
     /// When it is looked at next.
-    pub(super) due: Micros,
+    pub(super) next_check_at: Micros,
 }
 
 impl Machine {
-    pub(super) fn free(&self) -> Room {
-        machine_index::less(self.cap, self.used)
+    pub(super) fn free(&self) -> Resources {
+        self.capacity.minus(self.used)
     }
 
     /// Whether the level-two list may name it, now or once it is up.
-    pub(super) fn usable(&self) -> bool {
-        self.closed.is_none() && self.notice.is_none() && !self.gone && self.cap != (0, 0, 0)
+    pub(super) fn is_usable(&self) -> bool {
+        self.cordoned.is_none()
+            && self.interruption_at.is_none()
+            && !self.is_gone
+            && self.capacity != Resources::ZERO
     }
 
     /// Whether it holds work of the kind that it is there for: on a type that is kept
     /// for some jobs, theirs.
-    pub(super) fn serves(&self, kept: bool) -> bool {
-        self.tasks.values().any(|h| h.narrow || !kept)
+    pub(super) fn serves_its_purpose(&self, kept: bool) -> bool {
+        self.tasks.values().any(|h| h.constrained || !kept)
     }
 
-    pub(super) fn open(&self) -> bool {
-        self.standing == MachineState::Ready && self.rec.opened && self.usable()
+    pub(super) fn accepts_tasks(&self) -> bool {
+        self.state == MachineState::Ready && self.record.activated && self.is_usable()
     }
 }
--- a/src/region/machine_activation.rs
+++ b/src/region/machine_activation.rs
@@ -3,46 +3,71 @@
 use super::*;
 use salttiller_records::record::MachineBatchRecord;
 
+/// Changes of machines' records that are to be committed, and those in flight.
+#[derive(Debug, Default)]
+pub(super) struct MachineRecordChanges {
+    /// Machines to be recorded as activated before their first start.
+    pub(super) to_activate: BTreeSet<Rc<str>>,
+    pub(super) activation_in_flight: bool,
+    pub(super) next_activation_at: Micros,
+    /// Machines that are proven gone and whose record is to be removed.
+    pub(super) to_remove: BTreeSet<Rc<str>>,
+    pub(super) removal_in_flight: bool,
+    pub(super) next_removal_at: Micros,
+}
+
 impl Region {
     /// Puts machines on the roll before their first starts, and takes machines
     /// that are proved gone off the records; the changes of a moment go together.
-    pub(super) fn write_machines(&mut self, context: &SchedulingContext<'_>) {
+    pub(super) fn commit_machine_records(&mut self, context: &SchedulingContext<'_>) {
         let n = context.settings.size() as f64;
-        self.open_ahead(context);
-        if !self.rolling && !self.to_open.is_empty() && context.now >= self.roll_next {
-            self.roll_next =
+        self.activate_ahead(context);
+        if !self.machine_records.activation_in_flight
+            && !self.machine_records.to_activate.is_empty()
+            && context.now >= self.machine_records.next_activation_at
+        {
+            self.machine_records.next_activation_at =
                 context.now + (n / (context.settings.store_writes * 0.4) * 1e6) as Micros;
-            self.write_roll(context);
+            self.commit_activations(context);
         }
-        if !self.forgetting && !self.to_forget.is_empty() && context.now >= self.forget_next {
-            self.forget_next =
+        if !self.machine_records.removal_in_flight
+            && !self.machine_records.to_remove.is_empty()
+            && context.now >= self.machine_records.next_removal_at
+        {
+            self.machine_records.next_removal_at =
                 context.now + (n / (context.settings.store_writes * 0.1) * 1e6) as Micros;
-            self.write_gone(context);
+            self.commit_removals(context);
         }
     }
 
     /// Puts machines on the roll before they are up, when so many are coming that
     /// opening each as it reports would cost more changes than there are. The price
     /// is that a taker waits for them all, so it isn't done for a few.
-    pub(super) fn open_ahead(&mut self, context: &SchedulingContext<'_>) {
+    pub(super) fn activate_ahead(&mut self, context: &SchedulingContext<'_>) {
         const MANY: usize = 40;
-        let booting: usize = self.list.groups.values().map(|g| g.booting.len()).sum();
-        if booting < MANY || self.rolling {
+        let booting: usize = self
+            .inventory
+            .index
+            .pools
+            .values()
+            .map(|g| g.provisioning.len())
+            .sum();
+        if booting < MANY || self.machine_records.activation_in_flight {
             return;
         }
-        for g in self.list.groups.values() {
-            for name in &g.booting {
-                let Some(m) = self.machines.get(name) else {
+        for g in self.inventory.index.pools.values() {
+            for name in &g.provisioning {
+                let Some(m) = self.inventory.machines.get(name) else {
                     continue;
                 };
-                if !m.rec.opened && context.now > m.dealt_at + m.boot * 2 / 5 {
-                    self.to_open.insert(name.clone());
+                if !m.record.activated && context.now > m.assigned_at + m.boot_time * 2 / 5 {
+                    self.machine_records.to_activate.insert(name.clone());
                 }
             }
         }
     }
 
-    pub(super) fn write_roll(&mut self, context: &SchedulingContext<'_>) {
+    pub(super) fn commit_activations(&mut self, context: &SchedulingContext<'_>) {
         let mut rolls: BTreeMap<u32, ActivationRecord> = BTreeMap::new();
         let mine = (self.name.clone(), 0)..=(self.name.clone(), u32::MAX);
         let mut on_record: BTreeMap<u32, ActivationRecord> = context
@@ -53,17 +78,17 @@
             .collect();
         let mut names = Vec::new();
         let mut apply = Vec::new();
-        let mut when = self.when();
+        let mut when = self.ownership_condition();
         let most = context.settings.txn_ops.saturating_sub(1).max(1);
-        for name in &self.to_open {
-            let Some(m) = self.machines.get(name) else {
+        for name in &self.machine_records.to_activate {
+            let Some(m) = self.inventory.machines.get(name) else {
                 continue;
             };
-            let Some((lot, place)) = &m.rec.lot else {
+            let Some((lot, place)) = &m.record.batch_position else {
                 // As an earlier version kept it.
                 if apply.len() + rolls.len() < most {
-                    let mut rec = m.rec.clone();
-                    rec.opened = true;
+                    let mut rec = m.record.clone();
+                    rec.activated = true;
                     let key = Key::Machine(name.to_string());
                     when.push((key.clone(), context.replica.version(&key)));
                     apply.push((key, Some(value(&rec))));
@@ -107,7 +132,7 @@
         if names.is_empty() {
             return;
         }
-        self.rolling = true;
+        self.machine_records.activation_in_flight = true;
         self.commit(
             when,
             apply,
@@ -116,17 +141,17 @@
         );
     }
 
-    pub(super) fn write_gone(&mut self, context: &SchedulingContext<'_>) {
+    pub(super) fn commit_removals(&mut self, context: &SchedulingContext<'_>) {
         let mut lots: BTreeMap<Rc<str>, MachineBatchRecord> = BTreeMap::new();
-        let mut when = self.when();
+        let mut when = self.ownership_condition();
         let mut apply = Vec::new();
         let mut names = Vec::new();
         let most = context.settings.txn_ops.saturating_sub(1).max(1);
-        for name in &self.to_forget {
-            let Some(m) = self.machines.get(name) else {
+        for name in &self.machine_records.to_remove {
+            let Some(m) = self.inventory.machines.get(name) else {
                 continue;
             };
-            match &m.rec.lot {
+            match &m.record.batch_position {
                 None if apply.len() + lots.len() < most => {
                     let key = Key::Machine(name.to_string());
                     when.push((key.clone(), context.replica.version(&key)));
@@ -157,7 +182,7 @@
         if names.is_empty() {
             return;
         }
-        self.forgetting = true;
+        self.machine_records.removal_in_flight = true;
         self.commit(
             when,
             apply,
--- a/src/region/machine_index.rs
+++ b/src/region/machine_index.rs
@@ -6,51 +6,31 @@
 use std::rc::Rc;
 
 use salttiller_records::model::JobSpec;
-use salttiller_records::QuotaAmount;
+use salttiller_records::{QuotaAmount, Resources};
 
-/// Processors, cards and memory, in millionths.
-pub type Room = (u64, u64, u64);
-
-/// Type, zone, and whether spot.
-pub type GroupKey = (Rc<str>, Rc<str>, bool);
-
-/// What is left of `a` without `b`.
-pub fn less(a: Room, b: Room) -> Room {
-    (
-        a.0.saturating_sub(b.0),
-        a.1.saturating_sub(b.1),
-        a.2.saturating_sub(b.2),
-    )
-}
-
-/// Both together.
-pub fn sum(a: Room, b: Room) -> Room {
-    (a.0 + b.0, a.1 + b.1, a.2 + b.2)
-}
-
-/// The smaller of each.
-pub fn least(a: Room, b: Room) -> Room {
-    (a.0.min(b.0), a.1.min(b.1), a.2.min(b.2))
-}
-
-/// Whether a task goes into this much room.
-pub fn fits(free: Room, s: &JobSpec) -> bool {
-    s.cpus <= free.0 && s.gpus <= free.1 && s.mem <= free.2
-}
+use super::machine_pool::MachinePool;
 
 /// Room in steps of a 32nd of the machine: machines in the same step stand
 /// together in the list.
 type Step = (u8, u8, u8);
 
-fn step(free: Room, cap: Room) -> Step {
+fn step(free: Resources, cap: Resources) -> Step {
     let one = |f: u64, c: u64| (f * 32).checked_div(c).unwrap_or(32).min(32) as u8;
-    (one(free.0, cap.0), one(free.1, cap.1), one(free.2, cap.2))
+    (
+        one(free.cpus, cap.cpus),
+        one(free.gpus, cap.gpus),
+        one(free.memory, cap.memory),
+    )
 }
 
 /// The least room that a machine in this step has.
-fn floor(s: Step, cap: Room) -> Room {
+fn floor(s: Step, cap: Resources) -> Resources {
     let one = |s: u8, c: u64| (c * s as u64).div_ceil(32);
-    (one(s.0, cap.0), one(s.1, cap.1), one(s.2, cap.2))
+    Resources {
+        cpus: one(s.0, cap.cpus),
+        gpus: one(s.1, cap.gpus),
+        memory: one(s.2, cap.memory),
+    }
 }
 
 /// How a machine stands in the list.
@@ -64,9 +44,9 @@
     /// Open to placing.
     Available {
         /// Free room.
-        free: Room,
+        free: Resources,
         /// Free room for tasks that fit on other types too.
-        wide: Room,
+        wide: Resources,
         /// Tasks held.
         held: u32,
     },
@@ -74,7 +54,7 @@
 
 impl IndexEntry {
     /// Free room of an open machine, for tasks that fit on other types too if `wide`.
-    pub fn room(self, for_wide: bool) -> Option<Room> {
+    pub fn free_for(self, for_wide: bool) -> Option<Resources> {
         match self {
             IndexEntry::Available { wide, .. } if for_wide => Some(wide),
             IndexEntry::Available { free, .. } => Some(free),
@@ -89,15 +69,15 @@
 #[derive(Debug, Default)]
 pub struct PoolIndex {
     /// What each has in all.
-    pub cap: Room,
+    pub capacity: Resources,
     /// Kept clear on each for tasks that fit nowhere else.
-    pub kept: Option<Room>,
-    open: Steps,
-    wide: Steps,
+    pub reserved: Option<Resources>,
+    by_free_capacity: Steps,
+    by_flexible_capacity: Steps,
     /// Expected to come up.
-    pub booting: BTreeSet<Rc<str>>,
+    pub provisioning: BTreeSet<Rc<str>>,
     /// How many are open.
-    pub up: u32,
+    pub available_count: u32,
 }
 
 fn put(steps: &mut Steps, s: Step, held: u32, name: &Rc<str>) {
@@ -115,30 +95,32 @@
 
 impl PoolIndex {
     fn steps(&self, wide: bool) -> &Steps {
-        if wide && self.kept.is_some() {
-            &self.wide
+        if wide && self.reserved.is_some() {
+            &self.by_flexible_capacity
         } else {
-            &self.open
+            &self.by_free_capacity
         }
     }
 
     /// Machines by step, with the least room that each has.
-    pub fn rooms(&self) -> impl Iterator<Item = (Room, u32)> + '_ {
-        self.open
+    pub fn free_capacity_steps(&self) -> impl Iterator<Item = (Resources, u32)> + '_ {
+        self.by_free_capacity
             .iter()
-            .map(|(s, set)| (floor(*s, self.cap), set.len() as u32))
+            .map(|(s, set)| (floor(*s, self.capacity), set.len() as u32))
     }
 
     /// How many open machines hold no task.
-    pub fn idle(&self) -> usize {
-        let top = self.open.get(&step(self.cap, self.cap));
+    pub fn idle_count(&self) -> usize {
+        let top = self
+            .by_free_capacity
+            .get(&step(self.capacity, self.capacity));
         let set = top.into_iter().flatten();
         set.take_while(|(held, _)| *held == 0).count()
     }
 
     /// All open machines, those with the fewest tasks of each step first.
-    pub fn names(&self) -> impl Iterator<Item = &Rc<str>> + '_ {
-        self.open.values().flatten().map(|(_, n)| n)
+    pub fn available_machines(&self) -> impl Iterator<Item = &Rc<str>> + '_ {
+        self.by_free_capacity.values().flatten().map(|(_, n)| n)
     }
 }
 
@@ -146,61 +128,71 @@
 #[derive(Debug, Default)]
 pub struct MachineIndex {
     /// By type, zone and kind.
-    pub groups: BTreeMap<GroupKey, PoolIndex>,
+    pub pools: BTreeMap<MachinePool, PoolIndex>,
 }
 
 impl MachineIndex {
     /// All processors and cards of the machines that are up or coming up.
-    pub fn capacity(&self) -> QuotaAmount {
+    pub fn total_quota(&self) -> QuotaAmount {
         let mut sum = QuotaAmount::default();
-        for g in self.groups.values() {
+        for g in self.pools.values() {
             let each = QuotaAmount {
-                cpus: g.cap.0,
-                gpus: g.cap.1,
+                cpus: g.capacity.cpus,
+                gpus: g.capacity.gpus,
             };
-            sum = sum.plus(each.times(u64::from(g.up) + g.booting.len() as u64));
+            sum = sum.plus(each.times(u64::from(g.available_count) + g.provisioning.len() as u64));
         }
         sum
     }
 
     /// What is kept clear on machines of a group for jobs that fit nowhere else.
-    pub fn kept(&self, key: &GroupKey) -> Option<Room> {
-        self.groups.get(key)?.kept
+    pub fn reserved(&self, key: &MachinePool) -> Option<Resources> {
+        self.pools.get(key)?.reserved
     }
 
     /// Changes how a machine stands.
-    pub fn change(
+    pub fn update(
         &mut self,
-        key: &GroupKey,
-        cap: Room,
+        key: &MachinePool,
+        cap: Resources,
         name: &Rc<str>,
         was: IndexEntry,
         now: IndexEntry,
     ) {
-        let g = self.groups.entry(key.clone()).or_default();
+        let g = self.pools.entry(key.clone()).or_default();
         match was {
             IndexEntry::Unlisted => {}
             IndexEntry::Provisioning => {
-                g.booting.remove(name);
+                g.provisioning.remove(name);
             }
             IndexEntry::Available { free, wide, held } => {
-                g.up -= 1;
-                take(&mut g.open, step(free, g.cap), held, name);
-                take(&mut g.wide, step(wide, g.cap), held, name);
+                g.available_count -= 1;
+                take(&mut g.by_free_capacity, step(free, g.capacity), held, name);
+                take(
+                    &mut g.by_flexible_capacity,
+                    step(wide, g.capacity),
+                    held,
+                    name,
+                );
             }
         }
-        if g.up == 0 {
-            g.cap = cap;
+        if g.available_count == 0 {
+            g.capacity = cap;
         }
         match now {
             IndexEntry::Unlisted => {}
             IndexEntry::Provisioning => {
-                g.booting.insert(name.clone());
+                g.provisioning.insert(name.clone());
             }
             IndexEntry::Available { free, wide, held } => {
-                g.up += 1;
-                put(&mut g.open, step(free, g.cap), held, name);
-                put(&mut g.wide, step(wide, g.cap), held, name);
+                g.available_count += 1;
+                put(&mut g.by_free_capacity, step(free, g.capacity), held, name);
+                put(
+                    &mut g.by_flexible_capacity,
+                    step(wide, g.capacity),
+                    held,
+                    name,
+                );
             }
         }
     }
@@ -208,20 +200,20 @@
     /// The fitting machine with the lowest priority: the groups are those that
     /// `allowed` names, and `priority` orders their machines (`None`: does not fit).
     /// Of each step only the machines with the fewest tasks are looked at.
-    pub fn best<K: Ord>(
+    pub fn best_machine<K: Ord>(
         &self,
         s: &JobSpec,
         wide: bool,
-        allowed: impl Fn(&GroupKey) -> bool,
-        priority: impl Fn(&GroupKey, u32, &Rc<str>) -> Option<K>,
+        allowed: impl Fn(&MachinePool) -> bool,
+        priority: impl Fn(&MachinePool, u32, &Rc<str>) -> Option<K>,
     ) -> Option<Rc<str>> {
         const LOOK: usize = 6;
         let mut best: Option<(K, &Rc<str>)> = None;
-        for (key, g) in &self.groups {
-            if g.up == 0 || !fits(g.cap, s) || !allowed(key) {
+        for (key, g) in &self.pools {
+            if g.available_count == 0 || !s.task_fits_in(g.capacity) || !allowed(key) {
                 continue;
             }
-            let need = step((s.cpus, s.gpus, s.mem), g.cap);
+            let need = step(s.resources_per_task(), g.capacity);
             for (st, set) in g.steps(wide).range((need.0, 0, 0)..) {
                 if st.1 < need.1 || st.2 < need.2 {
                     continue;
@@ -246,26 +238,29 @@
 
     /// How many tasks of a job the open machines of the allowed groups take now,
     /// at least; counted up to `most`.
-    pub fn count(
+    pub fn tasks_fitting_now(
         &self,
         s: &JobSpec,
         wide: bool,
-        allowed: impl Fn(&GroupKey) -> bool,
-        free: impl Fn(&str) -> Room,
+        allowed: impl Fn(&MachinePool) -> bool,
+        free: impl Fn(&str) -> Resources,
         most: u64,
     ) -> u64 {
         let mut n = 0u64;
-        for (key, g) in &self.groups {
-            if g.up == 0 || !fits(g.cap, s) || !allowed(key) {
+        for (key, g) in &self.pools {
+            if g.available_count == 0 || !s.task_fits_in(g.capacity) || !allowed(key) {
                 continue;
             }
-            let need = step((s.cpus, s.gpus, s.mem), g.cap);
+            let need = step(s.resources_per_task(), g.capacity);
             for (st, set) in g.steps(wide).range((need.0, 0, 0)..) {
-                let each = s.count_in(floor(*st, g.cap));
+                let each = s.tasks_fitting_in(floor(*st, g.capacity));
                 if each > 0 {
                     n += each * set.len() as u64;
                 } else if st.1 >= need.1 && st.2 >= need.2 {
-                    n += set.iter().map(|(_, m)| s.count_in(free(m))).sum::<u64>();
+                    n += set
+                        .iter()
+                        .map(|(_, m)| s.tasks_fitting_in(free(m)))
+                        .sum::<u64>();
                 }
                 if n >= most {
                     return most;
@@ -277,16 +272,21 @@
 
     /// How many tasks of a job the machines of the allowed groups would take with
     /// nothing else on them, those that are expected included.
-    pub fn potential(&self, s: &JobSpec, wide: bool, allowed: impl Fn(&GroupKey) -> bool) -> u64 {
-        self.groups
+    pub fn tasks_fitting_when_empty(
+        &self,
+        s: &JobSpec,
+        wide: bool,
+        allowed: impl Fn(&MachinePool) -> bool,
+    ) -> u64 {
+        self.pools
             .iter()
-            .filter(|(k, g)| fits(g.cap, s) && allowed(k))
+            .filter(|(k, g)| s.task_fits_in(g.capacity) && allowed(k))
             .map(|(_, g)| {
-                let room = match g.kept {
-                    Some(k) if wide => less(g.cap, k),
-                    _ => g.cap,
+                let room = match g.reserved {
+                    Some(k) if wide => g.capacity.minus(k),
+                    _ => g.capacity,
                 };
-                s.count_in(room) * (g.up as u64 + g.booting.len() as u64)
+                s.tasks_fitting_in(room) * (g.available_count as u64 + g.provisioning.len() as u64)
             })
             .sum()
     }
--- a/src/region/provisioning.rs
+++ b/src/region/provisioning.rs
@@ -44,18 +44,26 @@
 }
 
 impl Region {
-    fn boot_history(&mut self, group: &GroupKey, now: Micros) -> &mut ProvisioningHistory {
-        let history = self.boots.entry(group.clone()).or_default();
+    fn provisioning_history(
+        &mut self,
+        group: &MachinePool,
+        now: Micros,
+    ) -> &mut ProvisioningHistory {
+        let history = self
+            .inventory
+            .provisioning
+            .entry(group.clone())
+            .or_default();
         history.expire(now);
         history
     }
 
     /// A machine that was rented for us has come up.
-    pub(super) fn note_arrival(&mut self, name: &Rc<str>, now: Micros) {
-        let Some(group) = self.machines.get(name).map(|m| m.group.clone()) else {
+    pub(super) fn note_provisioned(&mut self, name: &Rc<str>, now: Micros) {
+        let Some(group) = self.inventory.machines.get(name).map(|m| m.pool.clone()) else {
             return;
         };
-        let history = self.boot_history(&group, now);
+        let history = self.provisioning_history(&group, now);
         history.overdue.remove(name);
         if history.arrivals.len() == MAX_ARRIVALS {
             history.arrivals.pop_front();
@@ -65,43 +73,47 @@
 
     /// A machine should have come up by now.
     pub(super) fn note_overdue(&mut self, name: &Rc<str>, now: Micros) {
-        let Some(group) = self.machines.get(name).map(|m| m.group.clone()) else {
+        let Some(group) = self.inventory.machines.get(name).map(|m| m.pool.clone()) else {
             return;
         };
-        let history = self.boot_history(&group, now);
+        let history = self.provisioning_history(&group, now);
         let was = history.in_trouble();
         history.overdue.entry(name.clone()).or_insert(now);
         if !was && history.in_trouble() {
             log::info!(
                 "region: {}: {} {} in {}: overdue, its kind comes up badly",
                 self.name,
-                self.boots[&group].overdue.len(),
-                group.0,
-                group.1
+                self.inventory.provisioning[&group].overdue.len(),
+                group.machine_type,
+                group.zone
             );
         }
     }
 
     /// A machine is no more waited for.
-    pub(super) fn forget_boot(&mut self, name: &str) {
-        let group = self.machines.get(name).map(|m| m.group.clone());
-        if let Some(history) = group.and_then(|g| self.boots.get_mut(&g)) {
+    pub(super) fn forget_provisioning(&mut self, name: &str) {
+        let group = self.inventory.machines.get(name).map(|m| m.pool.clone());
+        if let Some(history) = group.and_then(|g| self.inventory.provisioning.get_mut(&g)) {
             history.overdue.remove(name);
         }
     }
 
     /// Whether machines of this kind come up late or never just now.
-    pub(super) fn boots_badly(&self, group: &GroupKey) -> bool {
+    pub(super) fn is_provisioning_in_trouble(&self, group: &MachinePool) -> bool {
         !is_disabled(Safeguard::BootTrouble)
-            && self.boots.get(group).is_some_and(|h| h.in_trouble())
+            && self
+                .inventory
+                .provisioning
+                .get(group)
+                .is_some_and(|h| h.in_trouble())
     }
 
     /// How long a machine may take to come up before it is returned. While its whole kind
     /// boots badly a new one would be no sooner, so it is waited for longer.
-    pub(super) fn boot_patience(&self, m: &Machine) -> Micros {
-        let usual = 3 * m.boot + 30 * SECOND;
-        if self.boots_badly(&m.group) {
-            usual.max((BAD_BOOTS * m.boot).min(MAX_PATIENCE))
+    pub(super) fn provisioning_timeout(&self, m: &Machine) -> Micros {
+        let usual = 3 * m.boot_time + 30 * SECOND;
+        if self.is_provisioning_in_trouble(&m.pool) {
+            usual.max((BAD_BOOTS * m.boot_time).min(MAX_PATIENCE))
         } else {
             usual
         }
@@ -110,16 +122,16 @@
     /// What the leader is told of boots here.
     pub fn provisioning_health(&mut self, now: Micros) -> Vec<ProvisioningHealth> {
         let mut lines = Vec::new();
-        for ((machine_type, zone, spot), history) in &mut self.boots {
+        for (pool, history) in &mut self.inventory.provisioning {
             history.expire(now);
             if history.overdue.is_empty() {
                 continue;
             }
             let first = history.overdue.values().min().copied().unwrap_or(now);
             lines.push(ProvisioningHealth {
-                machine_type: machine_type.to_string(),
-                zone: zone.to_string(),
-                spot: *spot,
+                machine_type: pool.machine_type.to_string(),
+                zone: pool.zone.to_string(),
+                spot: pool.spot,
                 overdue: history.overdue.len() as u32,
                 arrived: history.arrivals.len() as u32,
                 since_us: now - first,
--- a/src/region/reachability.rs
+++ b/src/region/reachability.rs
@@ -23,9 +23,14 @@
 }
 
 impl Region {
-    pub(super) fn ask_open(&mut self, name: &Rc<str>) {
-        if self.machines.get(name).is_some_and(|m| !m.rec.opened) {
-            self.to_open.insert(name.clone());
+    pub(super) fn request_activation(&mut self, name: &Rc<str>) {
+        if self
+            .inventory
+            .machines
+            .get(name)
+            .is_some_and(|m| !m.record.activated)
+        {
+            self.machine_records.to_activate.insert(name.clone());
         }
     }
 
@@ -35,69 +40,74 @@
     /// learns our token. Guards against a machine that never does, because our
     /// answers don't reach it or all we get are copies: each answer might renew its
     /// lease, so after a few there are none, and its lease runs out for sure.
-    pub(super) fn greet(
+    pub(super) fn acknowledge_outdated_token(
         &mut self,
         name: &Rc<str>,
         context: &SchedulingContext<'_>,
     ) -> HeartbeatOutcome {
-        let Some(m) = self.machines.get_mut(name) else {
+        let Some(m) = self.inventory.machines.get_mut(name) else {
             return HeartbeatOutcome::UnknownMachine;
         };
-        if m.greeted >= GREETINGS || m.closed.is_some() {
+        if m.unconfirmed_answers >= GREETINGS || m.cordoned.is_some() {
             return HeartbeatOutcome::Stale;
         }
-        m.greeted += 1;
-        m.last_ok = context.now;
-        self.ask_open(name);
+        m.unconfirmed_answers += 1;
+        m.last_answered_at = context.now;
+        self.request_activation(name);
         HeartbeatOutcome::Accepted(Vec::new())
     }
 
     /// Notes a newer report under our token. Returns whether it shows that our
     /// answers don't arrive: the session rose although we had answered.
-    pub(super) fn listen(
+    pub(super) fn record_heartbeat(
         &mut self,
         name: &Rc<str>,
         r: &Heartbeat,
         context: &SchedulingContext<'_>,
     ) -> bool {
-        self.ask_open(name);
-        let Some(m) = self.machines.get_mut(name) else {
+        self.request_activation(name);
+        let Some(m) = self.inventory.machines.get_mut(name) else {
             return false;
         };
-        let rose = m.order.0 != 0 && r.order.0 > m.order.0;
+        let rose =
+            m.last_heartbeat.incarnation != 0 && r.id.incarnation > m.last_heartbeat.incarnation;
         // Answered without a break for the better part of a lease: one answer alone
         // may have been to a report that came late.
-        if context.now > m.last_ok + 2 * context.settings.report + SECOND {
-            m.answered_since = context.now;
+        if context.now > m.last_answered_at + 2 * context.settings.report + SECOND {
+            m.answered_without_gap_since = context.now;
         }
-        let answered = context.now > m.answered_since + context.settings.lease * 3 / 4;
-        if m.rec.opened {
-            self.heard.remove(&(m.heard_at, name.clone()));
-            self.heard.insert((context.now, name.clone()));
+        let answered = context.now > m.answered_without_gap_since + context.settings.lease * 3 / 4;
+        if m.record.activated {
+            self.inventory
+                .by_last_heartbeat
+                .remove(&(m.last_heartbeat_at, name.clone()));
+            self.inventory
+                .by_last_heartbeat
+                .insert((context.now, name.clone()));
         }
-        m.order = r.order;
-        m.heard_at = context.now;
-        m.last_ok = context.now;
-        m.greeted = 0;
-        m.standing = MachineState::Ready;
-        m.notice = r.notice.map(|n| context.now + n);
-        if m.notice.is_some() {
-            self.noticed.insert(name.clone());
+        m.last_heartbeat = r.id;
+        m.last_heartbeat_at = context.now;
+        m.last_answered_at = context.now;
+        m.unconfirmed_answers = 0;
+        m.state = MachineState::Ready;
+        m.interruption_at = r.interruption_in.map(|n| context.now + n);
+        if m.interruption_at.is_some() {
+            self.inventory.interrupted.insert(name.clone());
         } else {
-            self.noticed.remove(name);
+            self.inventory.interrupted.remove(name);
         }
         rose && answered
     }
 
     /// Judges from a report whether our answers reach the machine.
-    pub(super) fn judge_hearing(
+    pub(super) fn update_reachability(
         &mut self,
         name: &Rc<str>,
         rose: bool,
         heeded: Option<bool>,
         context: &SchedulingContext<'_>,
     ) {
-        let Some(m) = self.machines.get_mut(name) else {
+        let Some(m) = self.inventory.machines.get_mut(name) else {
             return;
         };
         let bad = rose || heeded == Some(false);
@@ -124,22 +134,22 @@
         let was = std::mem::replace(&mut m.reachability, next);
         if let Reachability::Unreachable { times, .. } = next {
             log::info!("region: {name}: deaf, our answers don't arrive, time {times}");
-            if times >= DEAF_TIMES && m.closed.is_none() {
-                m.closed = Some("deaf");
+            if times >= DEAF_TIMES && m.cordoned.is_none() {
+                m.cordoned = Some("deaf");
             }
             let meant: Vec<(JobId, u32)> = m
                 .tasks
                 .iter()
-                .filter(|(_, h)| h.place == TaskState::Assigned)
+                .filter(|(_, h)| h.state == TaskState::Assigned)
                 .map(|(k, _)| k.clone())
                 .collect();
             for (id, n) in meant {
-                self.lost(&id, n, "its machine is deaf", context);
+                self.return_to_pending(&id, n, "its machine is deaf", context);
             }
             self.revisit_at(name, context.now);
         } else if matches!(was, Reachability::Unreachable { .. }) {
             log::info!("region: {name}: hears us again");
-            self.dirty_machines.insert(name.clone());
+            self.triggers.machines.insert(name.clone());
         }
     }
 }
--- a/src/region/reservation.rs
+++ b/src/region/reservation.rs
@@ -11,14 +11,14 @@
     pub priority: salttiller_records::model::Priority,
     pub team: String,
     /// It has room, but its team's share here is too small.
-    pub short: bool,
+    pub quota_blocked: bool,
     /// Work of higher priority waits: what falls free goes to that first.
     pub outranked: bool,
     /// Only machines of this zone are held, if the gang must be in one.
     pub zone: Option<Rc<str>>,
     /// When the last of the places is expected to be free.
-    pub until: Micros,
-    pub looked: Micros,
+    pub filled_at: Micros,
+    pub updated_at: Micros,
 }
 
 /// For how long a gang that lacks a share of its team's limit keeps a job of the same team
@@ -38,7 +38,7 @@
     hold: Option<&GangReservation>,
     id: &JobId,
     job: &Job,
-    key: &GroupKey,
+    key: &MachinePool,
     g: &PoolIndex,
     context: &SchedulingContext<'_>,
 ) -> bool {
@@ -47,18 +47,18 @@
     let Some(h) = hold.filter(|h| h.job != *id && h.priority >= job.spec.priority) else {
         return false;
     };
-    if h.zone.as_ref().is_some_and(|z| **z != *key.1) {
+    if h.zone.as_ref().is_some_and(|z| **z != *key.zone) {
         return false;
     }
     // Guards against machines that stand idle for a gang whose team's limit is used up
     // elsewhere: others take them, those of its own team leave it the share.
-    if h.short && h.team != job.spec.team {
+    if h.quota_blocked && h.team != job.spec.team {
         return false;
     }
     // Guards against a job that waits without end beside free machines while the gang
     // gathers its team's share from other regions: one task at a time may pass.
     let waited = context.now.saturating_sub(job.last_assigned);
-    if h.short && waited > SHARE_HOLD_LIMIT && !is_disabled(Safeguard::ShareHoldLimit) {
+    if h.quota_blocked && waited > SHARE_HOLD_LIMIT && !is_disabled(Safeguard::ShareHoldLimit) {
         return false;
     }
     // Nor for one that work of higher priority goes before again and again.
@@ -66,9 +66,9 @@
         return false;
     }
     // What is kept clear for narrow tasks is out of the others' reach anyway.
-    if g.kept.is_some() && job.narrow_to.is_none() {
+    if g.reserved.is_some() && job.only_type.is_none() {
         return false;
     }
     // Work that ends in time may run in the meantime.
-    context.now + job.spec.estimate * 3 / 2 + BACKFILL_SLACK > h.until
+    context.now + job.spec.estimated_run_time * 3 / 2 + BACKFILL_SLACK > h.filled_at
 }
--- a/src/region/runtime_estimates.rs
+++ b/src/region/runtime_estimates.rs
@@ -6,8 +6,8 @@
 /// what is older weighs less.
 #[derive(Debug, Default)]
 pub(super) struct RuntimeEstimates {
-    pub(super) said: f64,
-    pub(super) took: f64,
+    pub(super) estimated: f64,
+    pub(super) actual: f64,
     pub(super) at: Micros,
 }
 
@@ -15,10 +15,10 @@
     /// How fast it forgets.
     const SPAN: f64 = 90.0 * SECOND as f64;
 
-    pub(super) fn add(&mut self, s: &JobSpec, took: Micros, now: Micros) {
+    pub(super) fn record(&mut self, s: &JobSpec, took: Micros, now: Micros) {
         let fade = (-(now.saturating_sub(self.at) as f64) / Self::SPAN).exp();
         self.at = now;
-        self.said = self.said * fade + (s.cpus * s.estimate) as f64;
-        self.took = self.took * fade + (s.cpus * took) as f64;
+        self.estimated = self.estimated * fade + (s.cpus * s.estimated_run_time) as f64;
+        self.actual = self.actual * fade + (s.cpus * took) as f64;
     }
 }
--- a/src/region/task.rs
+++ b/src/region/task.rs
@@ -25,28 +25,32 @@
 #[derive(Debug, Clone)]
 pub(super) struct Assignment {
     pub(super) attempt: u64,
-    pub(super) place: TaskState,
-    pub(super) need: QuotaAmount,
-    pub(super) mem: u64,
+    pub(super) state: TaskState,
+    pub(super) quota: QuotaAmount,
+    pub(super) memory: u64,
     pub(super) team: Rc<str>,
     /// Fits no other type of machine.
-    pub(super) narrow: bool,
+    pub(super) constrained: bool,
     /// Started under our own token.
-    pub(super) fresh: bool,
+    pub(super) started_by_us: bool,
     /// Of a gang over several regions: not before all parts have room.
-    pub(super) wait_go: bool,
+    pub(super) awaits_start_barrier: bool,
     /// Its machine was not known to have the image.
-    pub(super) brings: bool,
+    pub(super) image_missing: bool,
     /// Must go: with this grace.
-    pub(super) stop: Option<Micros>,
+    pub(super) stop_grace: Option<Micros>,
     /// When it was meant for the machine, sent, or found.
     pub(super) since: Micros,
     /// When it was first reported as running.
-    pub(super) ran_at: Option<Micros>,
+    pub(super) running_since: Option<Micros>,
 }
 
 impl Assignment {
-    pub(super) fn room(&self) -> Room {
-        (self.need.cpus, self.need.gpus, self.mem)
+    pub(super) fn resources(&self) -> Resources {
+        Resources {
+            cpus: self.quota.cpus,
+            gpus: self.quota.gpus,
+            memory: self.memory,
+        }
     }
 }
--- a/src/region/tests.rs
+++ b/src/region/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of region.
 
 use super::*;
-use crate::worker_protocol::ReportedTask;
+use crate::worker_protocol::{CommandKind, ReportedTask};
 use serde_json::json;
 
 struct Fixture {
@@ -53,8 +53,8 @@
             settings: &self.settings,
             now,
             wall: now,
-            short: &self.short,
-            starts: self.starts,
+            quota_blocked_teams: &self.short,
+            may_start: self.starts,
             reported_cancelled: &self.reported_cancelled,
         }
     }
@@ -69,9 +69,12 @@
         machine_type: "box".into(),
         zone: "a".into(),
         spot: false,
-        order: (1, tally),
+        id: HeartbeatId {
+            incarnation: 1,
+            sequence: tally,
+        },
         token,
-        notice: None,
+        interruption_in: None,
         tasks: tasks
             .iter()
             .map(|(j, n, a)| ReportedTask {
@@ -86,9 +89,7 @@
 
 fn starts(v: &HeartbeatOutcome) -> usize {
     match v {
-        HeartbeatOutcome::Accepted(c) => {
-            c.iter().filter(|c| matches!(c, Command::Start(..))).count()
-        }
+        HeartbeatOutcome::Accepted(c) => c.iter().filter(|c| c.kind == CommandKind::Start).count(),
         _ => 0,
     }
 }
@@ -113,7 +114,7 @@
         starts(&r.on_heartbeat(&report("m-1", 2, 7, &[]), &at(3))),
         0
     );
-    assert!(!r.settled());
+    assert!(!r.is_reconciled());
     assert_eq!(
         r.on_heartbeat(&report("m-1", 2, 7, &[]), &at(4)),
         HeartbeatOutcome::Stale
@@ -128,7 +129,7 @@
     );
     // The other machine has task 1 of the old owner: it stays, task 0 starts.
     r.on_heartbeat(&report("m-2", 1, 7, &[("req-1", 1, 5)]), &at(5));
-    assert!(r.settled());
+    assert!(r.is_reconciled());
     assert_eq!(r.running("req-1"), 2);
     assert_eq!(
         starts(&r.on_heartbeat(&report("m-1", 4, 7, &[]), &at(6))),
@@ -186,13 +187,13 @@
             .into_iter()
             .any(|e| matches!(e, Action::Release(names) if names == ["m-3"]));
         assert_eq!(got, released, "{reporting:?}");
-        assert!(!r.settled());
+        assert!(!r.is_reconciled());
         if released {
             r.on_released(&["m-3".into()], true, &f.context(17 * SECOND));
         }
-        assert_eq!(r.settled(), released);
+        assert_eq!(r.is_reconciled(), released);
         r.tick(&f.context(19 * SECOND));
-        assert!(r.settled(), "past the lease all is clear");
+        assert!(r.is_reconciled(), "past the lease all is clear");
     }
 }
 
@@ -240,16 +241,16 @@
         }
         if let HeartbeatOutcome::Accepted(c) = r.on_heartbeat(&rep, &v) {
             for c in c {
-                if let Command::Start(id, n, a) = c {
-                    out.push(id.to_string());
-                    begun.insert((id, n), a);
+                if c.kind == CommandKind::Start {
+                    out.push(c.job.to_string());
+                    begun.insert((c.job, c.task), c.attempt);
                 }
             }
         }
         r.tick(&v);
         for e in r.take_actions() {
             if let Action::Commit(_, _, kind) = e {
-                r.concluded(kind, true, &v);
+                r.conclude_commit(kind, true, &v);
             }
         }
         if s == 70 {
@@ -323,7 +324,7 @@
         r.on_heartbeat(&report("m-1", 1, 7, &[]), &f.context(2 * SECOND));
         f.job("req-2", "red", "x", "1", 1, 0);
         r.on_job("req-2", &f.context(3 * SECOND), false);
-        r.place(&f.context(3 * SECOND));
+        r.place_pending(&f.context(3 * SECOND));
         let first = r.on_heartbeat(&report("m-2", 2, 7, had), &f.context(at * MILLISECOND));
         let then = r.on_heartbeat(&report("m-1", 2, 7, &[]), &f.context(at * MILLISECOND + 1));
         assert_eq!(
@@ -331,7 +332,7 @@
             (drawn.into(), (!drawn).into()),
             "{busy} {at}"
         );
-        assert!(r.unsent.is_empty());
+        assert!(r.undispatched.is_empty());
     }
 }
 
@@ -347,7 +348,7 @@
     f.job("req-1", "red", "x", "1", 2, 0);
     f.share("red", 4_000_000);
     r.on_job("req-1", &f.context(2 * SECOND), false);
-    r.place(&f.context(2 * SECOND));
+    r.place_pending(&f.context(2 * SECOND));
     assert_eq!(r.running("req-1"), 2);
     f.job("req-2", "blue", "x", "1", 1, 0);
     r.on_job("req-2", &f.context(3 * SECOND), false);
@@ -379,8 +380,13 @@
     }
     let mut r = f.take(7, SECOND);
     let v = f.context(SECOND);
-    r.place(&v);
-    let order: Vec<String> = r.report(&v).waits.into_iter().map(|w| w.job).collect();
+    r.place_pending(&v);
+    let order: Vec<String> = r
+        .report(&v)
+        .pending_jobs
+        .into_iter()
+        .map(|w| w.job)
+        .collect();
     assert_eq!(order, ["req-1", "req-4", "req-3", "req-2", "req-5"]);
 }
 
@@ -452,7 +458,7 @@
 
     /// The region's waiting jobs as told to the other controllers.
     pub(super) fn waits(&self, now: Micros) -> Vec<PendingJob> {
-        self.r.report(&self.f.context(now)).waits
+        self.r.report(&self.f.context(now)).pending_jobs
     }
 
     /// More small work of a team than goes in, in this second.
@@ -519,10 +525,11 @@
                 continue;
             }
             for c in commands {
-                if let Command::Start(j, n, a) = c {
-                    self.began.entry((j.to_string(), n)).or_insert(now);
-                    *self.starts.entry(j.to_string()).or_default() += 1;
-                    tasks.insert((j.to_string(), n, a), now + 4 * SECOND);
+                if c.kind == CommandKind::Start {
+                    let job = c.job.to_string();
+                    self.began.entry((job.clone(), c.task)).or_insert(now);
+                    *self.starts.entry(job.clone()).or_default() += 1;
+                    tasks.insert((job, c.task, c.attempt), now + 4 * SECOND);
                 }
             }
         }
@@ -531,7 +538,7 @@
             let Action::Commit(txn, _, kind) = e else {
                 continue;
             };
-            for (k, v) in txn.apply {
+            for (k, v) in txn.changes {
                 match v {
                     Some(v) => self.f.put(&k.text(), v),
                     None => drop(self.f.replica.event(&k.text(), None, self.f.rev + 1)),
@@ -540,7 +547,7 @@
                     self.r.on_job(id, &self.f.context(now), false);
                 }
             }
-            self.r.concluded(kind, true, &self.f.context(now));
+            self.r.conclude_commit(kind, true, &self.f.context(now));
         }
     }
 }
@@ -656,8 +663,11 @@
     for s in 2..8 {
         shop.second(s * SECOND, Some("m-0"));
     }
-    assert_eq!(shop.r.machines["m-0"].listed, IndexEntry::Unlisted);
-    assert!(shop.r.machines["m-0"].tasks.is_empty());
+    assert_eq!(
+        shop.r.inventory.machines["m-0"].index_entry,
+        IndexEntry::Unlisted
+    );
+    assert!(shop.r.inventory.machines["m-0"].tasks.is_empty());
     for s in 8..16 {
         shop.second(s * SECOND, Some("m-0"));
     }
@@ -666,7 +676,7 @@
         shop.second(s * SECOND, None);
     }
     assert!(matches!(
-        shop.r.machines["m-0"].listed,
+        shop.r.inventory.machines["m-0"].index_entry,
         IndexEntry::Available { .. }
     ));
 }
@@ -684,19 +694,19 @@
     for s in 2..30u64 {
         let v = f.context(s * SECOND);
         let got = r.on_heartbeat(&report("m-1", s, 6, &[]), &v);
-        if !r.settled() {
+        if !r.is_reconciled() {
             answered += u32::from(matches!(got, HeartbeatOutcome::Accepted(_)));
         }
         r.tick(&v);
-        assert!(!r.settled() || s > 17, "settled after {s} s");
+        assert!(!r.is_reconciled() || s > 17, "settled after {s} s");
     }
     assert_eq!(answered, 4);
-    assert!(r.settled(), "its lease is over since the last answer");
+    assert!(r.is_reconciled(), "its lease is over since the last answer");
     // Nothing of the session that is over counts any more.
     let late = report("m-1", 99, 7, &[("req-1", 0, 5)]);
     let v = f.context(31 * SECOND);
     r.on_heartbeat(&report("m-1", 40, 7, &[]), &v);
-    r.clear_machine("m-1", &v);
+    r.machine_is_empty("m-1", &v);
     assert_eq!(r.on_heartbeat(&late, &v), HeartbeatOutcome::Stale);
 }
 
--- a/src/simulation.rs
+++ b/src/simulation.rs
@@ -224,7 +224,7 @@
     done_told: bool,
     told_at: Micros,
     done: BTreeSet<u32>,
-    over: bool,
+    is_over: bool,
     /// When a question about it was answered last.
     answered: Micros,
     accepted_at: Micros,
@@ -252,7 +252,7 @@
             done_told: false,
             told_at: 0,
             done: BTreeSet::new(),
-            over: false,
+            is_over: false,
             answered: 0,
             accepted_at: 0,
             starts: 0,
--- a/src/simulation/lost_records.rs
+++ b/src/simulation/lost_records.rs
@@ -361,7 +361,7 @@
             let told = job.done_told || job.cancel_told.is_some();
             if record.is_none() && job.accepted || is_open && told {
                 let cancelled = is_open && job.cancel_told.is_some() && again == CancelAgain::Yes;
-                (job.over, job.accepted) = (!cancelled, cancelled);
+                (job.is_over, job.accepted) = (!cancelled, cancelled);
                 (job.done_told, job.cancel_told, job.told_at) = (false, None, 0);
                 cancel_again.extend(cancelled.then(|| id.clone()));
             }
@@ -401,7 +401,7 @@
     assert_eq!(world.commit(&commit).status, 200);
     let world = play_in(&plan, world);
     let open = world.left_open().into_iter();
-    let open: Vec<&String> = open.filter(|id| !world.jobs[*id].over).collect();
+    let open: Vec<&String> = open.filter(|id| !world.jobs[*id].is_over).collect();
     if world.broken.is_empty() && open.is_empty() {
         return Ok(());
     }
--- a/src/simulation/users.rs
+++ b/src/simulation/users.rs
@@ -5,8 +5,8 @@
 impl World {
     pub(super) fn user(&mut self, id: String, what: Action) {
         let j = &self.jobs[&id];
-        if j.over || (what != Action::Submit && !j.accepted) {
-            if what == Action::Abort && !j.over {
+        if j.is_over || (what != Action::Submit && !j.accepted) {
+            if what == Action::Abort && !j.is_over {
                 self.at(self.now + SECOND, Event::User(id, what));
             }
             return;
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -35,9 +35,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
     /// Records it relies on, with the revision they must have (0: absent).
-    pub when: Vec<(Key, u64)>,
+    pub conditions: Vec<(Key, u64)>,
     /// Puts and deletions.
-    pub apply: Vec<(Key, Option<Value>)>,
+    pub changes: Vec<(Key, Option<Value>)>,
     /// Attach the puts of this key to this lease.
     pub lease: Option<(Key, u64)>,
 }
--- a/src/state_store/commits.rs
+++ b/src/state_store/commits.rs
@@ -55,7 +55,7 @@
                     events.push(StateStoreEvent::Committed(c.ticket, end));
                     continue;
                 }
-                let cost = c.txn.apply.len() as f64;
+                let cost = c.txn.changes.len() as f64;
                 let at_once = COMMITS_AT_ONCE - class;
                 // What can wait leaves some for what can't.
                 let cost = cost + self.writes.cap * [0.0, 0.2, 0.5][class];
@@ -77,7 +77,7 @@
                     held.push_back(c);
                     continue;
                 }
-                self.writes.level -= c.txn.apply.len() as f64;
+                self.writes.level -= c.txn.changes.len() as f64;
                 self.in_flight += 1;
                 let body = encode(&txn_value(&c.txn));
                 let timeout = if urgent {
@@ -146,13 +146,13 @@
                 self.commit_times.push(now - sent_at);
                 log::debug!(
                     "registry: commit: {} changes, first {}, {} ms after it was asked for, {} waiting",
-                    c.txn.apply.len(),
-                    c.txn.apply.first().map_or_else(String::new, |(k, _)| k.text()),
+                    c.txn.changes.len(),
+                    c.txn.changes.first().map_or_else(String::new, |(k, _)| k.text()),
                     (now - c.asked) / MILLISECOND,
                     self.backlog()
                 );
                 let mut keys = Vec::new();
-                for (k, v) in c.txn.apply {
+                for (k, v) in c.txn.changes {
                     self.replica.own(&k, v, version);
                     keys.push(k);
                 }
@@ -197,7 +197,7 @@
     let reason = rmp_serde::from_slice::<Refused>(body).map(|e| e.error);
     let reason = reason.unwrap_or_default();
     let first = txn
-        .apply
+        .changes
         .first()
         .map_or_else(String::new, |(k, _)| k.text());
     if reason.contains("lease") {
@@ -211,14 +211,14 @@
     let conditions: &[_] = if is_disabled(Safeguard::RevisionConditions) {
         &[]
     } else {
-        &t.when
+        &t.conditions
     };
     let when: Vec<Value> = conditions
         .iter()
         .map(|(k, m)| json!({"k": k.text(), "mark": m}))
         .collect();
     let apply: Vec<Value> = t
-        .apply
+        .changes
         .iter()
         .map(|(k, v)| match v {
             None => json!({"delete": k.text()}),
--- a/src/state_store/pipelines.rs
+++ b/src/state_store/pipelines.rs
@@ -88,7 +88,7 @@
             return Readiness::Ready;
         }
         let mut readiness = Readiness::Ready;
-        for needed in &spec.needs {
+        for needed in &spec.dependencies {
             let stage = self.record(needed, jobs).map(|r| r.stage);
             if is_disabled(Safeguard::UpstreamCancellation) && stage != Some(JobStage::Done) {
                 return Readiness::Waiting;
@@ -107,7 +107,7 @@
 
     /// Enters an open job under the jobs it needs. Returns how it stands.
     pub fn insert(&mut self, id: &str, spec: &JobSpec, jobs: &Jobs) -> Readiness {
-        for needed in &spec.needs {
+        for needed in &spec.dependencies {
             let dependents = self.dependents.entry(needed.clone()).or_default();
             dependents.insert(id.to_owned());
         }
@@ -126,7 +126,7 @@
 
     /// Takes an open job out. Returns how it stood when it was entered.
     pub fn remove(&mut self, id: &str, spec: &JobSpec) -> Readiness {
-        for needed in &spec.needs {
+        for needed in &spec.dependencies {
             if let Some(dependents) = self.dependents.get_mut(needed) {
                 dependents.remove(id);
                 if dependents.is_empty() {
@@ -147,30 +147,32 @@
     /// what their deadlines leave it, and its times from the moment at which it became
     /// ready. `None` if that is what it has.
     pub fn effective_spec(&self, id: &str, spec: &Rc<JobSpec>, jobs: &Jobs) -> Option<Rc<JobSpec>> {
-        let base = spec.recorded.as_ref().unwrap_or(spec);
-        if base.needs.is_empty() && !self.dependents.contains_key(id) {
+        let base = spec.stored_spec.as_ref().unwrap_or(spec);
+        if base.dependencies.is_empty() && !self.dependents.contains_key(id) {
             // Nobody needs it any more: as on record.
-            return spec.recorded.clone();
+            return spec.stored_spec.clone();
         }
         let mut served = JobSpec::clone(base);
-        served.recorded = Some(base.clone());
+        served.stored_spec = Some(base.clone());
         if self.readiness(base, jobs) == Readiness::Ready {
-            let ends = base.needs.iter();
-            let ends = ends.filter_map(|needed| self.record(needed, jobs)?.ended);
-            let ready_at = ends.max().unwrap_or(0).max(base.submitted);
-            let waited = ready_at - base.submitted;
+            let ends = base.dependencies.iter();
+            let ends = ends.filter_map(|needed| self.record(needed, jobs)?.ended_at);
+            let ready_at = ends.max().unwrap_or(0).max(base.submitted_at);
+            let waited = ready_at - base.submitted_at;
             // The deadline alone counts from the submission.
             served.deadline = base.deadline.map(|d| d.saturating_sub(waited));
-            served.submitted = ready_at;
+            served.submitted_at = ready_at;
         }
         for dependent in self.dependents(id) {
-            let Some(dependent) = self.record(dependent, jobs).and_then(JobRecord::open) else {
+            let Some(dependent) = self.record(dependent, jobs).and_then(JobRecord::open_spec)
+            else {
                 continue;
             };
             served.priority = served.priority.max(dependent.priority);
             if let Some(deadline) = dependent.deadline {
-                let due = (dependent.submitted + deadline).saturating_sub(dependent.estimate);
-                let left = due.saturating_sub(served.submitted);
+                let due = (dependent.submitted_at + deadline)
+                    .saturating_sub(dependent.estimated_run_time);
+                let left = due.saturating_sub(served.submitted_at);
                 served.deadline = Some(served.deadline.map_or(left, |own| own.min(left)));
             }
         }
@@ -181,10 +183,10 @@
     /// to be served otherwise from now on. A long chain is not followed to its end in one
     /// go: see [`Pipelines::continue_propagation`].
     pub fn propagate(&mut self, from: &str, jobs: &mut Jobs) -> Vec<String> {
-        let Some(spec) = jobs.get(from).and_then(|r| r.value.open()) else {
+        let Some(spec) = jobs.get(from).and_then(|r| r.value.open_spec()) else {
             return Vec::new();
         };
-        let needs = spec.needs.clone();
+        let needs = spec.dependencies.clone();
         let mut changed = Vec::new();
         if self.update(from, jobs) {
             changed.push(from.to_owned());
@@ -216,8 +218,11 @@
             }
             steps += 1;
             if self.update(&id, jobs) {
-                let spec = jobs.get(&id).and_then(|r| r.value.open());
-                todo.extend(spec.into_iter().flat_map(|s| s.needs.iter().cloned()));
+                let spec = jobs.get(&id).and_then(|r| r.value.open_spec());
+                todo.extend(
+                    spec.into_iter()
+                        .flat_map(|s| s.dependencies.iter().cloned()),
+                );
                 out.push(id);
             }
         }
@@ -225,7 +230,7 @@
 
     /// Brings a job's effective description up to date. Returns whether it changed.
     fn update(&self, id: &str, jobs: &mut Jobs) -> bool {
-        let Some(spec) = jobs.get(id).and_then(|r| r.value.open()).cloned() else {
+        let Some(spec) = jobs.get(id).and_then(|r| r.value.open_spec()).cloned() else {
             return false;
         };
         let Some(served) = self.effective_spec(id, &spec, jobs) else {
--- a/src/state_store/pipelines/tests.rs
+++ b/src/state_store/pipelines/tests.rs
@@ -150,7 +150,10 @@
     }
     f.done("1", 150_000_000);
     let s = spec(&f, "2");
-    assert_eq!((s.submitted, s.deadline), (150_000_000, Some(245_000_000)));
+    assert_eq!(
+        (s.submitted_at, s.deadline),
+        (150_000_000, Some(245_000_000))
+    );
     // The last is cancelled: nobody presses any more.
     f.cancelled("3");
     let s = spec(&f, "2");
@@ -207,7 +210,7 @@
     let first = lookups(&mut f, |f| f.open(&last, &[&before], urgent));
     let bound = 4 * MAX_STEPS_PER_CHANGE as u64;
     assert!(first <= bound, "{first} lookups");
-    let priority = |f: &Records, id: &str| f.r.jobs[id].value.open().unwrap().priority;
+    let priority = |f: &Records, id: &str| f.r.jobs[id].value.open_spec().unwrap().priority;
     assert_eq!(priority(&f, &before), Priority::High);
     assert_eq!(priority(&f, "0"), Priority::Low, "not yet");
     let mut rounds = 0;
@@ -218,7 +221,7 @@
     }
     assert!((2..=4).contains(&rounds), "{rounds}");
     assert_eq!(priority(&f, "0"), Priority::High);
-    let spec = f.r.jobs["0"].value.open().unwrap();
+    let spec = f.r.jobs["0"].value.open_spec().unwrap();
     // The estimates, 10 s each, of all behind it but the last.
     let left = 30_000_000_000 - (LENGTH as u64 - 1) * 10_000_000;
     assert_eq!(spec.deadline, Some(left));
--- a/src/state_store/replica.rs
+++ b/src/state_store/replica.rs
@@ -12,7 +12,7 @@
 use salttiller_records::model::{JobSpec, MachineType, RangeSet};
 use salttiller_records::record::{
     ActivationRecord, DataLossHoldRecord, JobRecord, JobStage, LeaderRecord, MachineBatchRecord,
-    MachineRecord, QuotaRecord, RegionRecord, TaskRange,
+    MachineRecord, QuotaRecord, RegionRecord,
 };
 use salttiller_records::QuotaAmount;
 
@@ -108,7 +108,7 @@
             Key::Machine(m) => self
                 .machines
                 .get(m)
-                .filter(|v| v.value.lot.is_none())
+                .filter(|v| v.value.batch_position.is_none())
                 .map_or(0, |v| v.version),
             Key::MachineBatch(l) => self.batches.get(l).map_or(0, |v| v.version),
             Key::Activation(r, n) => self.opened.get(&(r.clone(), *n)).map_or(0, |v| v.version),
@@ -203,15 +203,19 @@
                 res
             }
             Key::Job(j) => {
-                let needed = self.jobs.get(j).and_then(|r| r.value.open());
-                let needed = needed.map_or_else(Vec::new, |s| s.needs.clone());
+                let needed = self.jobs.get(j).and_then(|r| r.value.open_spec());
+                let needed = needed.map_or_else(Vec::new, |s| s.dependencies.clone());
                 self.count_job(j, false);
                 let res = set(&mut self.jobs, j.clone(), value, version);
                 self.count_job(j, true);
                 if res.is_ok() {
                     self.update_dependents(j);
                     // One that is over asks no more of those that it needed.
-                    if self.jobs.get(j).is_none_or(|r| r.value.open().is_none()) {
+                    if self
+                        .jobs
+                        .get(j)
+                        .is_none_or(|r| r.value.open_spec().is_none())
+                    {
                         for n in needed {
                             self.propagate(&n);
                         }
@@ -265,7 +269,8 @@
 
     /// Whether all that a job needs is done.
     pub fn is_ready(&self, spec: &JobSpec) -> bool {
-        spec.needs.is_empty() || self.pipelines.readiness(spec, &self.jobs) == Readiness::Ready
+        spec.dependencies.is_empty()
+            || self.pipelines.readiness(spec, &self.jobs) == Readiness::Ready
     }
 
     /// The job that ends a pipeline of which this one is a step: the nearest with a
@@ -274,9 +279,9 @@
         const MAX_STEPS: usize = 64;
         let mut at = id;
         for _ in 0..MAX_STEPS {
-            let spec = self.jobs.get(at)?.value.open()?;
-            let own = spec.recorded.as_ref().unwrap_or(spec);
-            let in_pipeline = at != id || !own.needs.is_empty();
+            let spec = self.jobs.get(at)?.value.open_spec()?;
+            let own = spec.stored_spec.as_ref().unwrap_or(spec);
+            let in_pipeline = at != id || !own.dependencies.is_empty();
             if let (Some(deadline), true) = (own.deadline, in_pipeline) {
                 let class = &own.class;
                 return Some(PipelineEnd {
@@ -292,8 +297,8 @@
 
     fn most_pressing_dependent(&self, id: &str) -> Option<&str> {
         let due = |id: &str| {
-            let spec = self.jobs.get(id)?.value.open()?;
-            Some(spec.submitted + spec.deadline?)
+            let spec = self.jobs.get(id)?.value.open_spec()?;
+            Some(spec.submitted_at + spec.deadline?)
         };
         let dependents = self.pipelines.dependents(id);
         let pressing = dependents.filter_map(|d| Some((due(d)?, d.as_str())));
@@ -303,8 +308,8 @@
     /// Jobs that wait for others of which there is no record.
     pub fn waiting_for_unknown(&self) -> Vec<&String> {
         let unknown = |id: &&String| {
-            let spec = self.jobs.get(*id).and_then(|r| r.value.open());
-            spec.is_some_and(|s| s.needs.iter().any(|n| !self.jobs.contains_key(n)))
+            let spec = self.jobs.get(*id).and_then(|r| r.value.open_spec());
+            spec.is_some_and(|s| s.dependencies.iter().any(|n| !self.jobs.contains_key(n)))
         };
         self.pipelines.waiting().iter().filter(unknown).collect()
     }
@@ -388,10 +393,12 @@
             let stays = rec
                 .as_ref()
                 .is_some_and(|r| r.machines.get(i) == Some(name));
-            let ours = self
-                .machines
-                .get(name)
-                .is_some_and(|m| m.value.lot.as_ref().is_some_and(|(l, _)| &**l == id));
+            let ours = self.machines.get(name).is_some_and(|m| {
+                m.value
+                    .batch_position
+                    .as_ref()
+                    .is_some_and(|(l, _)| &**l == id)
+            });
             if !stays && ours {
                 self.enter_machine(name, None, version);
             }
@@ -401,10 +408,12 @@
         let opened = self.opened_in(&rec.region, id);
         for (i, name) in rec.machines.iter().enumerate() {
             // A record of its own, written by an earlier version, goes first.
-            let own = self
-                .machines
-                .get(name)
-                .is_some_and(|m| m.value.lot.as_ref().is_none_or(|(l, _)| &**l != id));
+            let own = self.machines.get(name).is_some_and(|m| {
+                m.value
+                    .batch_position
+                    .as_ref()
+                    .is_none_or(|(l, _)| &**l != id)
+            });
             if name.is_empty() || own {
                 continue;
             }
@@ -413,8 +422,8 @@
                 machine_type: rec.machine_type.clone(),
                 zone: rec.zone.clone(),
                 spot: rec.spot,
-                opened: opened.contains(i as u32),
-                lot: Some((lot.clone(), i)),
+                activated: opened.contains(i as u32),
+                batch_position: Some((lot.clone(), i)),
             };
             if self.machines.get(name).is_none_or(|m| m.value != value) {
                 self.enter_machine(name, Some(value), version);
@@ -458,9 +467,13 @@
                     break;
                 };
                 if let Some(m) = self.machines.get_mut(name) {
-                    let here = m.value.lot.as_ref().is_some_and(|(l, _)| **l == **lot);
-                    if here && !m.value.opened {
-                        m.value.opened = true;
+                    let here = m
+                        .value
+                        .batch_position
+                        .as_ref()
+                        .is_some_and(|(l, _)| **l == **lot);
+                    if here && !m.value.activated {
+                        m.value.activated = true;
                         self.touched.insert(name.clone());
                     }
                 }
@@ -471,11 +484,11 @@
     /// Enters an open job into the lists by region and team, or takes it out.
     fn count_job(&mut self, id: &str, enter: bool) {
         let Some(rec) = self.jobs.get(id) else { return };
-        let Some(spec) = rec.value.open() else {
+        let Some(spec) = rec.value.open_spec() else {
             return;
         };
         let readiness = if enter {
-            let spec = spec.recorded.as_ref().unwrap_or(spec).clone();
+            let spec = spec.stored_spec.as_ref().unwrap_or(spec).clone();
             let readiness = self.pipelines.insert(id, &spec, &self.jobs);
             // As it is to be served, from the first on: the lists go by it.
             let as_served = self.jobs.get(id).and_then(|r| r.value.spec.clone());
@@ -491,16 +504,16 @@
             return;
         }
         let Some(rec) = self.jobs.get(id) else { return };
-        let Some(spec) = rec.value.open() else {
+        let Some(spec) = rec.value.open_spec() else {
             return;
         };
-        let key = (spec.submitted, id.to_owned());
-        let need = spec.amount().times(spec.tasks as u64);
+        let key = (spec.submitted_at, id.to_owned());
+        let need = spec.quota_per_task().times(spec.task_count as u64);
         let mut regions: Vec<&str> = rec
             .value
-            .parts
+            .task_ranges
             .iter()
-            .map(|TaskRange(_, _, r)| &**r)
+            .map(|range| &*range.region)
             .collect();
         regions.sort_unstable();
         regions.dedup();
@@ -512,10 +525,10 @@
         if enter {
             team.insert(key, need);
             self.open.insert(id.to_owned());
-            if rec.value.parts.is_empty() {
+            if rec.value.task_ranges.is_empty() {
                 self.unbound.insert(id.to_owned());
             }
-            if rec.value.joint.is_some() {
+            if rec.value.multi_region.is_some() {
                 self.joint.insert(id.to_owned());
             }
         } else {
@@ -566,7 +579,7 @@
     pub fn open_jobs(&self) -> impl Iterator<Item = (&String, &JobRecord, &Rc<JobSpec>)> {
         self.open.iter().filter_map(|id| {
             let r = &self.jobs.get(id)?.value;
-            Some((id, r, r.open()?))
+            Some((id, r, r.open_spec()?))
         })
     }
 }
--- a/src/state_store/tests.rs
+++ b/src/state_store/tests.rs
@@ -34,8 +34,8 @@
             let commit = Commit {
                 ticket: 1,
                 txn: Transaction {
-                    when: Vec::new(),
-                    apply: Vec::new(),
+                    conditions: Vec::new(),
+                    changes: Vec::new(),
                     lease: None,
                 },
                 urgency: CommitPriority::Background,
--- a/src/status.rs
+++ b/src/status.rs
@@ -193,7 +193,7 @@
         for s in open {
             here.insert(s.id.to_owned());
             let t = self.jobs.entry(s.id.to_owned()).or_insert_with(|| Track {
-                submitted: s.spec.submitted,
+                submitted: s.spec.submitted_at,
                 deadline: s.spec.deadline,
                 class: s.spec.class.clone(),
                 guaranteed: s.guaranteed,
@@ -209,8 +209,8 @@
                     last: end.id,
                     class: end.class,
                     deadline: end.deadline,
-                    due: s.spec.submitted + deadline,
-                    expected: expected_end(t.started, s.spec.estimate, wall),
+                    due: s.spec.submitted_at + deadline,
+                    expected: expected_end(t.started, s.spec.estimated_run_time, wall),
                 });
             }
         }
--- a/src/status/tests.rs
+++ b/src/status/tests.rs
@@ -36,7 +36,7 @@
         submitted,
     )
     .unwrap();
-    s.submitted = submitted;
+    s.submitted_at = submitted;
     s
 }
 
--- a/src/worker_protocol.rs
+++ b/src/worker_protocol.rs
@@ -114,7 +114,24 @@
     pub stage: ReportedState,
 }
 
-/// A report.
+/// Position of a heartbeat among those of one machine: a later one is greater.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
+pub struct HeartbeatId {
+    /// Agent incarnation: rises each time the worker starts or its lease expires.
+    pub incarnation: u64,
+    /// Sequence number within the incarnation.
+    pub sequence: u64,
+}
+
+impl HeartbeatId {
+    /// Before any heartbeat.
+    pub const NONE: HeartbeatId = HeartbeatId {
+        incarnation: 0,
+        sequence: 0,
+    };
+}
+
+/// A worker's heartbeat: its state and that of its tasks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
     /// Machine.
@@ -125,12 +142,12 @@
     pub zone: String,
     /// Spot or ordinary.
     pub spot: bool,
-    /// Session and number: the order of reports.
-    pub order: (u64, u64),
+    /// Which of the worker's heartbeats this is.
+    pub id: HeartbeatId,
     /// Highest token the worker has seen.
     pub token: u64,
     /// Time until the cloud takes the machine away.
-    pub notice: Option<Micros>,
+    pub interruption_in: Option<Micros>,
     /// Tasks on the machine.
     pub tasks: Vec<ReportedTask>,
 }
@@ -179,22 +196,73 @@
         machine_type: r.plot,
         zone: r.field,
         spot: r.fallow,
-        order: (r.season, r.tally),
+        id: HeartbeatId {
+            incarnation: r.season,
+            sequence: r.tally,
+        },
         token: r.brand,
-        notice: r.reclaim.map(units::secs),
+        interruption_in: r.reclaim.map(units::secs),
         tasks,
     })
 }
 
-/// A command in the answer to a report.
+/// What a command does to a task.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum CommandKind {
+    /// Start it.
+    Start,
+    /// Stop it; it may save a checkpoint if the grace period is long enough.
+    Stop {
+        /// Time until it is killed.
+        grace: Micros,
+    },
+    /// Forget that it ended.
+    Reap,
+}
+
+/// A command to a worker, carried by the answer to its heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Command {
-    /// Start a task.
-    Start(JobId, u32, u64),
-    /// Stop a task; it may save if the grace is long enough.
-    Stop(JobId, u32, u64, Micros),
-    /// Forget an ended task.
-    Reap(JobId, u32, u64),
+pub struct Command {
+    /// Job of the task.
+    pub job: JobId,
+    /// Number of the task.
+    pub task: u32,
+    /// Which start of the task is meant.
+    pub attempt: u64,
+    /// What to do.
+    pub kind: CommandKind,
+}
+
+impl Command {
+    /// Starts a task under an attempt number.
+    pub fn start(job: JobId, task: u32, attempt: u64) -> Self {
+        Command {
+            job,
+            task,
+            attempt,
+            kind: CommandKind::Start,
+        }
+    }
+
+    /// Stops a task after a grace period.
+    pub fn stop(job: JobId, task: u32, attempt: u64, grace: Micros) -> Self {
+        Command {
+            job,
+            task,
+            attempt,
+            kind: CommandKind::Stop { grace },
+        }
+    }
+
+    /// Has an ended task forgotten.
+    pub fn reap(job: JobId, task: u32, attempt: u64) -> Self {
+        Command {
+            job,
+            task,
+            attempt,
+            kind: CommandKind::Reap,
+        }
+    }
 }
 
 /// The most commands of one answer, which must stay below 64 KiB.
@@ -202,27 +270,23 @@
 
 /// The body of a 200.
 pub fn answer(token: u64, commands: &[Command]) -> Vec<u8> {
-    let names: Vec<String> = commands
+    let task_names: Vec<String> = commands
         .iter()
-        .map(|c| match c {
-            Command::Start(j, n, _) | Command::Stop(j, n, _, _) | Command::Reap(j, n, _) => {
-                format!("{j}/{n}")
-            }
-        })
+        .map(|command| format!("{}/{}", command.job, command.task))
         .collect();
     let calls = commands
         .iter()
-        .zip(&names)
-        .map(|(c, sheaf)| {
-            let (call, sowing, gleaning) = match c {
-                Command::Start(_, _, a) => ("start", *a, None),
-                Command::Stop(_, _, a, g) => ("stop", *a, Some(units::to_secs(*g))),
-                Command::Reap(_, _, a) => ("reap", *a, None),
+        .zip(&task_names)
+        .map(|(command, sheaf)| {
+            let (call, gleaning) = match command.kind {
+                CommandKind::Start => ("start", None),
+                CommandKind::Stop { grace } => ("stop", Some(units::to_secs(grace))),
+                CommandKind::Reap => ("reap", None),
             };
             wire::Call {
                 call,
                 sheaf,
-                sowing,
+                sowing: command.attempt,
                 gleaning,
             }
         })
--- a/src/worker_protocol/tests.rs
+++ b/src/worker_protocol/tests.rs
@@ -11,7 +11,17 @@
                    {"sheaf":"req-1/4","sowing":2,"stage":"brewing"},
                    {"sheaf":"req-2/0","sowing":1,"stage":"ended","blight":"stopped","stored":true}]});
     let r = parse_heartbeat(&rmp_serde::to_vec(&good).unwrap()).unwrap();
-    assert_eq!((r.order, r.token, r.notice), ((1, 8), 4, Some(2_500_000)));
+    assert_eq!(
+        (r.id, r.token, r.interruption_in),
+        (
+            HeartbeatId {
+                incarnation: 1,
+                sequence: 8
+            },
+            4,
+            Some(2_500_000)
+        )
+    );
     assert_eq!(r.tasks[1].stage, ReportedState::Running);
     assert_eq!(
         r.tasks[2].stage,
@@ -40,7 +50,7 @@
 fn a_full_answer_stays_small() {
     let job: JobId = Rc::from("req-12345678901234567890");
     let cmds: Vec<_> = (0..MAX_COMMANDS as u32)
-        .map(|i| Command::Stop(job.clone(), 99_999 - i, u64::MAX, 10_000_000))
+        .map(|i| Command::stop(job.clone(), 99_999 - i, u64::MAX, 10_000_000))
         .collect();
     // Limits are counted in JSON, which is longer than what is sent.
     let v: serde_json::Value = rmp_serde::from_slice(&answer(u64::MAX, &cmds)).unwrap();
