--- a/src/sim.rs
+++ b/src/sim.rs
@@ -26,6 +26,7 @@
 mod scale;
 mod scenarios;
 mod state_service;
+mod trace_digest;
 mod users;
 mod workers;
 
@@ -35,6 +36,8 @@
     Respond(ConnId, Response),
     Call(CallId, Call),
     Send(usize, Vec<u8>),
+    Reply(ConnId, Vec<u8>),
+    ResetDest(usize),
 }
 
 #[derive(Clone)]
@@ -73,8 +76,15 @@
             .out
             .push(Out::Send(peer, payload.to_vec()));
     }
-    fn reply(&mut self, _id: ConnId, _payload: &[u8]) {}
-    fn reset_dest(&mut self, _dest: usize) {}
+    fn reply(&mut self, id: ConnId, payload: &[u8]) {
+        self.shared
+            .borrow_mut()
+            .out
+            .push(Out::Reply(id, payload.to_vec()));
+    }
+    fn reset_dest(&mut self, dest: usize) {
+        self.shared.borrow_mut().out.push(Out::ResetDest(dest));
+    }
 }
 
 /// Where an answer of a controller goes.
@@ -725,6 +735,7 @@
         let clock = self.controllers[i].shared.borrow().clock;
         let outs = std::mem::take(&mut self.controllers[i].shared.borrow_mut().out);
         let life = self.controllers[i].life;
+        trace_digest::record(self.now, i, &outs);
         for o in outs {
             match o {
                 Out::Respond(id, r) => {
@@ -805,6 +816,8 @@
                         self.at(self.now + lag, Event::Frame(to, b));
                     }
                 }
+                // Nothing of this world asks on a connection or keeps idle ones.
+                Out::Reply(..) | Out::ResetDest(_) => {}
             }
         }
         let c = &mut self.controllers[i];
--- a/src/sim/lost_records.rs
+++ b/src/sim/lost_records.rs
@@ -107,8 +107,8 @@
 const NOTICED_WITHIN: Micros = 15 * SECOND;
 const LOOK_UNTIL: Micros = LOSS_AT + 100 * SECOND;
 
-struct LossDay {
-    name: &'static str,
+pub(super) struct LossDay {
+    pub name: &'static str,
     loss: Loss,
     /// What else happens, by seconds before or after the loss.
     beside: fn(&mut fastrand::Rng) -> Vec<(f64, Fault)>,
@@ -139,7 +139,7 @@
     vec![(r.f64() * 4.0 - 2.0, Fault::Blink(r.usize(0..3)))]
 }
 
-fn days() -> Vec<LossDay> {
+pub(super) fn days() -> Vec<LossDay> {
     let day = |name, loss, beside| LossDay { name, loss, beside };
     vec![
         day("wiped", Loss::All, nothing),
@@ -216,7 +216,7 @@
 
 /// What a day of a loss showed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Shown {
+pub(super) enum Shown {
     /// It was noticed.
     Noticed,
     /// Nobody is left who could show it.
@@ -224,7 +224,7 @@
 }
 
 /// Plays a loss; what went wrong, if anything did.
-fn play_loss(day: &LossDay, seed: u64) -> Result<Shown, String> {
+pub(super) fn play_loss(day: &LossDay, seed: u64) -> Result<Shown, String> {
     let plan = loss_plan(day, seed);
     let mut world = detecting_world(&plan);
     // In a hold questions go unanswered for good: only what must not happen is looked at.
@@ -327,7 +327,7 @@
 /// Where nothing is lost nothing is found: first starts, outages, cuts, takeovers, late
 /// transactions. And all work ends as without the detection.
 #[test]
-fn troubles_without_a_loss_are_not_taken_for_one() {
+pub(super) fn troubles_without_a_loss_are_not_taken_for_one() {
     let mut failed = Vec::new();
     for failure in compound_failures::compound_failures()
         .into_iter()
@@ -376,12 +376,12 @@
 /// a wrong place is looked at as on any day, and what the copy holds is served to its end.
 /// Whether users cancel again what they had cancelled and the older copy shows as open.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum CancelAgain {
+pub(super) enum CancelAgain {
     Yes,
     No,
 }
 
-fn play_decision(day: &LossDay, seed: u64, again: CancelAgain) -> Result<(), String> {
+pub(super) fn play_decision(day: &LossDay, seed: u64, again: CancelAgain) -> Result<(), String> {
     let plan = loss_plan(day, seed);
     let mut world = detecting_world(&plan);
     world.troubles_end = 200 * SECOND;
@@ -420,7 +420,7 @@
     Err(format!("{:?}, open {}", world.broken, detail.join("; ")))
 }
 
-fn set_back_days() -> impl Iterator<Item = LossDay> {
+pub(super) fn set_back_days() -> impl Iterator<Item = LossDay> {
     days().into_iter().filter(|d| d.loss == Loss::SinceBackup)
 }
 
@@ -450,7 +450,7 @@
 /// Operators decide to go on with what there is: service resumes, all work ends, no rule
 /// breaks. The hold itself is put on record by hand, so that nothing is really lost.
 #[test]
-fn a_decision_ends_the_hold() {
+pub(super) fn a_decision_ends_the_hold() {
     for seed in 1..=SEEDS_EACH {
         let plan = Plan {
             seed,
--- a/src/sim/partial_failures.rs
+++ b/src/sim/partial_failures.rs
@@ -174,7 +174,7 @@
 
 /// Nothing is released on a quiet day, nor when controllers end, nor in an outage.
 #[test]
-fn nothing_is_released_without_need() {
+pub(super) fn nothing_is_released_without_need() {
     for faults in [
         vec![],
         vec![(40 * S, Fault::Crash(1)), (60 * S, Fault::LeaderBlinks)],
@@ -232,7 +232,7 @@
 /// costs three changes of records: accepted, bound, done. A few are moved to another region
 /// once, which is a fourth.
 #[test]
-fn a_one_task_job_costs_three_changes() {
+pub(super) fn a_one_task_job_costs_three_changes() {
     let p = Plan {
         seed: 3,
         faults: Vec::new(),
--- a/src/sim/pipelines.rs
+++ b/src/sim/pipelines.rs
@@ -144,7 +144,7 @@
 const TOLD: Moment = |w| w.told_cancelled(FIRST);
 const ON_RECORD: Moment = |w| w.stage_on_record(FIRST) == "c";
 
-const AFTER_A_CANCELLATION: [(&str, Moment, After); 4] = [
+pub(super) const AFTER_A_CANCELLATION: [(&str, Moment, After); 4] = [
     ("nothing else", TOLD, |_| {}),
     ("the controller that confirmed it dies", TOLD, |w| {
         let by = w.cancelled_by;
@@ -164,7 +164,7 @@
 ];
 
 /// Plays a cancellation of the first job; the rules that broke, or what was not so.
-fn cancellation(seed: u64, moment: Moment, after: After) -> Vec<String> {
+pub(super) fn cancellation(seed: u64, moment: Moment, after: After) -> Vec<String> {
     let mut w = four_jobs(seed, 100);
     w.cancel(FIRST);
     if !w.run_until(10 * SECOND, moment) {
@@ -223,7 +223,7 @@
 /// The last needed job ends while its region changes hands: what waited for it starts all
 /// the same, and no sooner.
 #[test]
-fn a_needed_job_ends_in_a_takeover() {
+pub(super) fn a_needed_job_ends_in_a_takeover() {
     let mut in_takeover = 0;
     for seed in 1..=SEEDS {
         let mut w = four_jobs(seed, 20);
@@ -250,7 +250,7 @@
 /// A job is cancelled and one that needs it is submitted in the same instant, at any
 /// controllers: accepted, and cancelled in the end.
 #[test]
-fn a_dependent_submitted_as_its_need_is_cancelled() {
+pub(super) fn a_dependent_submitted_as_its_need_is_cancelled() {
     for seed in 1..=SEEDS {
         let mut w = four_jobs(seed, 100);
         w.cancel(FIRST);
@@ -266,7 +266,7 @@
 /// A job is cancelled as its last task ends: if the answer is that it is done, what needs
 /// it goes on, else that is cancelled too. Both answers must have been seen.
 #[test]
-fn a_cancellation_that_loses_to_the_end() {
+pub(super) fn a_cancellation_that_loses_to_the_end() {
     let (mut lost, mut won) = (0, 0);
     for seed in 1..=6 * SEEDS {
         let mut w = four_jobs(seed, 20);
@@ -292,7 +292,7 @@
 
 /// Jobs that need others in any state, asked at every controller right away.
 #[test]
-fn submissions_that_need_others() {
+pub(super) fn submissions_that_need_others() {
     let mut w = four_jobs(3, 20);
     let unknown = "req-777777";
     let mut next = 100;
@@ -345,7 +345,7 @@
 
 /// A job becomes ready in an outage: it starts soon after that.
 #[test]
-fn readiness_in_an_outage() {
+pub(super) fn readiness_in_an_outage() {
     for seed in 1..=SEEDS {
         let mut w = four_jobs(seed, 20);
         w.run_for(8 * SECOND);
@@ -366,7 +366,7 @@
 /// A job that waits takes nothing: no machine is rented for it, and its team may use its
 /// whole limit meanwhile.
 #[test]
-fn a_waiting_job_holds_nothing() {
+pub(super) fn a_waiting_job_holds_nothing() {
     let machines = |with_waiting: bool| {
         let mut w = World::empty(5);
         w.submit(FIRST, 1, 60, &[]);
--- a/src/sim/scenarios.rs
+++ b/src/sim/scenarios.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn plan(seed: u64) -> Plan {
+pub(super) fn plan(seed: u64) -> Plan {
     let mut rng = fastrand::Rng::with_seed(seed);
     let end = 240 * SECOND;
     let mut faults = Vec::new();
@@ -76,7 +76,7 @@
 }
 
 /// A day with the further troubles on top.
-fn harder(seed: u64) -> Plan {
+pub(super) fn harder(seed: u64) -> Plan {
     let mut p = plan(seed);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     for _ in 0..rng.u32(2..7) {
@@ -138,7 +138,7 @@
 /// Records as an earlier version left them: a machine of its own with a running
 /// task, a bound job, shares. They are taken over, nothing runs twice or is lost.
 #[test]
-fn records_of_an_earlier_version() {
+pub(super) fn records_of_an_earlier_version() {
     let mut p = plan(3);
     p.faults.clear();
     let mut w = World::new(&p);
@@ -224,7 +224,7 @@
 /// tasks of a job put on record by two regions at the same moment, and nobody
 /// said that it was done.
 #[test]
-fn days_that_once_failed() {
+pub(super) fn days_that_once_failed() {
     for seed in [23, 71, 149, 438] {
         check(seed);
     }
