--- a/crates/archive/src/database/tests.rs
+++ b/crates/archive/src/database/tests.rs
@@ -206,3 +206,53 @@
     }
     assert!(refused > 16, "{refused}");
 }
+
+/// The file's tables by their names, and the keys in them.
+#[test]
+fn tables_keep_their_names_and_keys() {
+    let scratch = Scratch::new("names");
+    drop(small(&scratch));
+    let db = Database::open(&scratch.0).unwrap();
+    let txn = db.begin_read().unwrap();
+    let mut names: Vec<String> = txn
+        .list_tables()
+        .unwrap()
+        .map(|t| redb::TableHandle::name(&t).to_owned())
+        .collect();
+    names.sort_unstable();
+    let expected = [
+        "change-batches",
+        "image-records",
+        "images",
+        "salttiller-archive",
+        "segments",
+    ];
+    assert_eq!(names, expected);
+    let meta = TableDefinition::<&str, &[u8]>::new("salttiller-archive");
+    let meta = txn.open_table(meta).unwrap();
+    for (key, bytes) in [
+        // Checksum, then 1.
+        ("format", &[0x1b, 0xdf, 0x05, 0xa5, 0x01][..]),
+        // Checksum, then "a".
+        ("deployment", &[0x99, 0xce, 0x70, 0xcc, 0xa1, 0x61][..]),
+    ] {
+        assert_eq!(meta.get(key).unwrap().unwrap().value(), bytes, "{key}");
+    }
+    let numbers = |name| {
+        let table = TableDefinition::<u64, &[u8]>::new(name);
+        let table = txn.open_table(table).unwrap();
+        let keys = table.iter().unwrap().map(|e| e.unwrap().0.value());
+        keys.collect::<Vec<_>>()
+    };
+    assert_eq!(numbers("segments"), [1]);
+    assert_eq!(numbers("images"), [1, 2]);
+    let batches = TableDefinition::<(u64, u64), &[u8]>::new("change-batches");
+    let batches = txn.open_table(batches).unwrap();
+    let batches = batches.iter().unwrap().map(|e| e.unwrap().0.value());
+    assert_eq!(batches.collect::<Vec<_>>(), [(1, 0), (1, 1), (1, 2)]);
+    let records = TableDefinition::<(u64, &str), &[u8]>::new("image-records");
+    let records = txn.open_table(records).unwrap();
+    let first = records.get((1, "st/job/req-1")).unwrap().unwrap();
+    let first = decode_entry::<StoredRecord>(first.value()).unwrap();
+    assert_eq!(first, StoredRecord::new(1, &json!({"n": 1})));
+}
--- a/crates/archive/src/form.rs
+++ b/crates/archive/src/form.rs
@@ -203,3 +203,6 @@
     }
     rmp_serde::from_slice(body).ok()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/protocol/src/state_service.rs
+++ b/crates/protocol/src/state_service.rs
@@ -89,3 +89,6 @@
     // Messages are plain maps of text and numbers: this can't fail.
     rmp_serde::to_vec_named(message).unwrap_or_default()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/records/src/tests.rs
+++ b/crates/records/src/tests.rs
@@ -1,11 +1,15 @@
 //! Tests of keys, records and bitmaps.
 
+use std::rc::Rc;
+
+use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::bitmap::{bitmap, read_bitmap, CHUNK};
+use crate::bitmap::{bitmap, count_bits, read_bitmap, CHUNK};
+use crate::history::Fingerprint;
 use crate::key::Key;
-use crate::model::RangeSet;
+use crate::model::{Flavor, JobSpec, Kind, Priority, RangeSet};
 use crate::record::*;
 
 #[test]
@@ -132,3 +136,489 @@
         assert!(Key::parse("st/job/req-1").is_some());
     }
 }
+
+/// Each kind of key as text, both ways; texts that are read but never written; and texts
+/// that are refused.
+#[test]
+fn keys_keep_their_text() {
+    let a = || "a".to_owned();
+    for (key, text) in [
+        (Key::Leader, "st/leader"),
+        (Key::Token, "st/token"),
+        (Key::Region("t-0".into()), "st/region/t-0"),
+        (Key::Machine("m-1".into()), "st/machine/m-1"),
+        (Key::MachineBatch("t-0-4-1".into()), "st/lot/t-0-4-1"),
+        (Key::Opened("t-0".into(), 3), "st/roll/t-0/3"),
+        (Key::Job("req-1".into()), "st/job/req-1"),
+        (
+            Key::Progress("req-1".into(), "t-0".into(), 7),
+            "st/progress/req-1/t-0/7",
+        ),
+        (Key::Quota("red".into()), "st/quota/red"),
+        (Key::Flavor("g8".into()), "st/flavor/g8"),
+        (Key::Hold, "st/hold"),
+        // Names that hold a slash, or nothing.
+        (Key::Region("a/b".into()), "st/region/a/b"),
+        (
+            Key::Opened("a/b".into(), u32::MAX),
+            "st/roll/a/b/4294967295",
+        ),
+        (Key::Job(String::new()), "st/job/"),
+    ] {
+        assert_eq!(key.text(), text);
+        assert_eq!(Key::parse(text), Some(key), "{text}");
+    }
+    for (text, key) in [
+        ("st/leader/x", Key::Leader),
+        ("st/token/", Key::Token),
+        ("st/hold/x", Key::Hold),
+        ("st/job", Key::Job(String::new())),
+        ("st/roll/a/007", Key::Opened(a(), 7)),
+        ("st/roll/a/+7", Key::Opened(a(), 7)),
+        ("st/progress/a/a/07", Key::Progress(a(), a(), 7)),
+    ] {
+        assert_eq!(Key::parse(text), Some(key), "{text}");
+    }
+    for text in [
+        "",
+        "st",
+        "st/",
+        "leader",
+        "x/leader",
+        "ST/leader",
+        "st/Leader",
+        "st//leader",
+        "st/batch/t-0-4-1",
+        "st/opened/t-0/3",
+        "st/roll",
+        "st/roll/",
+        "st/roll/a",
+        "st/roll/a/",
+        "st/roll/a/x",
+        "st/roll/a/-1",
+        "st/roll/a/4294967296",
+        "st/progress/a",
+        "st/progress/a/b",
+        "st/progress/a/b/",
+        "st/progress/a/b/x",
+        "st/progress/a/b/1/2",
+        "st/progress/a/b/4294967296",
+    ] {
+        assert_eq!(Key::parse(text), None, "{text}");
+    }
+}
+
+/// Finished tasks as the text of a progress record.
+#[test]
+fn progress_keeps_its_text() {
+    let ranges = |ranges: &[(u32, u32)]| {
+        let mut set = RangeSet::default();
+        ranges.iter().for_each(|(s, e)| set.add(*s, *e));
+        set
+    };
+    for (done, chunk, text) in [
+        (ranges(&[]), 0, ""),
+        (ranges(&[(0, 1)]), 0, "1"),
+        (ranges(&[(0, 4), (5, 9), (12, 13)]), 0, "fe11"),
+        (ranges(&[(CHUNK + 1, CHUNK + 3)]), 1, "6"),
+        (ranges(&[(2 * CHUNK + 8, 2 * CHUNK + 9)]), 2, "001"),
+    ] {
+        assert_eq!(bitmap(&done, chunk), text);
+        let mut read = RangeSet::default();
+        read_bitmap(text, chunk, &mut read);
+        assert_eq!(
+            (read, count_bits(text)),
+            (done.clone(), done.len()),
+            "{text}"
+        );
+    }
+    // Odd characters count as empty, capitals as digits.
+    for (text, done) in [
+        ("x1", ranges(&[(4, 5)])),
+        ("F g1", ranges(&[(0, 4), (12, 13)])),
+    ] {
+        let mut read = RangeSet::default();
+        read_bitmap(text, 0, &mut read);
+        assert_eq!(read, done, "{text}");
+    }
+}
+
+/// The record is written to this text, fields in this order, and the text is read as it.
+#[track_caller]
+fn keeps<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(record: &T, text: &str) {
+    assert_eq!(serde_json::to_string(record).unwrap(), text);
+    assert_eq!(
+        value(record),
+        serde_json::from_str::<Value>(text).unwrap(),
+        "as a value"
+    );
+    reads(text, record);
+}
+
+/// The text is read as the record.
+#[track_caller]
+fn reads<T: DeserializeOwned + PartialEq + std::fmt::Debug>(text: &str, record: &T) {
+    assert_eq!(&serde_json::from_str::<T>(text).unwrap(), record, "{text}");
+    let value: Value = serde_json::from_str(text).unwrap();
+    assert_eq!(&serde_json::from_value::<T>(value).unwrap(), record);
+}
+
+/// None of the texts is read.
+#[track_caller]
+fn refuses<T: DeserializeOwned + std::fmt::Debug>(texts: &[&str]) {
+    for text in texts {
+        let value: Value = serde_json::from_str(text).unwrap();
+        let read = serde_json::from_value::<T>(value);
+        assert!(read.is_err(), "{text}: {read:?}");
+    }
+}
+
+#[test]
+fn records_of_leader_and_regions_keep_their_text() {
+    let leader = LeaderRecord {
+        holder: "t-0".into(),
+        run: 7,
+    };
+    keeps(&leader, r#"{"holder":"t-0","run":7}"#);
+    reads(r#"{"run":7,"later":1,"holder":"t-0"}"#, &leader);
+    refuses::<LeaderRecord>(&[
+        "{}",
+        r#"{"holder":"t-0"}"#,
+        r#"{"run":7}"#,
+        r#"{"holder":1,"run":7}"#,
+        r#"{"holder":"t-0","run":-7}"#,
+        r#"{"holder":"t-0","run":"7"}"#,
+        "null",
+        r#""""#,
+    ]);
+    let region = |held| RegionRecord {
+        owner: "t-0".into(),
+        run: 7,
+        token: 9,
+        held,
+    };
+    keeps(&region(None), r#"{"owner":"t-0","run":7,"token":9}"#);
+    keeps(
+        &region(Some(3)),
+        r#"{"owner":"t-0","run":7,"token":9,"h":3}"#,
+    );
+    reads(
+        r#"{"owner":"t-0","run":7,"token":9,"h":null}"#,
+        &region(None),
+    );
+    reads(
+        r#"{"owner":"t-0","run":7,"token":9,"held":3}"#,
+        &region(None),
+    );
+    refuses::<RegionRecord>(&[
+        r#"{"run":7,"token":9}"#,
+        r#"{"owner":"t-0","token":9}"#,
+        r#"{"owner":"t-0","run":7}"#,
+        r#"{"owner":"t-0","run":7,"token":9.5}"#,
+        r#"{"owner":"t-0","run":7,"token":9,"h":"x"}"#,
+    ]);
+    // The last token handed out, and progress, are plain values.
+    keeps(&9u64, "9");
+    keeps(&"fe1".to_owned(), r#""fe1""#);
+}
+
+#[test]
+fn records_of_machines_keep_their_text() {
+    let machine = |opened, lot| MachineRecord {
+        region: "t-0".into(),
+        flavor: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        opened,
+        lot,
+    };
+    let opened = r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true,"opened":true}"#;
+    keeps(&machine(true, None), opened);
+    let closed = r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true,"opened":false}"#;
+    keeps(&machine(false, None), closed);
+    // Without `opened`; and its place in a lot is not part of the text.
+    let least = r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true}"#;
+    reads(least, &machine(false, None));
+    let in_lot = machine(true, Some((Rc::from("t-0-4-1"), 3)));
+    assert_eq!(serde_json::to_string(&in_lot).unwrap(), opened);
+    refuses::<MachineRecord>(&[
+        r#"{"flavor":"g8","zone":"a","spot":true}"#,
+        r#"{"region":"t-0","zone":"a","spot":true}"#,
+        r#"{"region":"t-0","flavor":"g8","spot":true}"#,
+        r#"{"region":"t-0","flavor":"g8","zone":"a"}"#,
+        r#"{"region":"t-0","flavor":"g8","zone":"a","spot":1}"#,
+        r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true,"opened":null}"#,
+    ]);
+    let batch = MachineBatchRecord {
+        region: "t-0".into(),
+        flavor: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        machines: vec!["m-000001".into(), String::new()],
+    };
+    let text = r#"{"r":"t-0","f":"g8","z":"a","s":true,"m":["m-000001",""]}"#;
+    keeps(&batch, text);
+    refuses::<MachineBatchRecord>(&[
+        r#"{"f":"g8","z":"a","s":true,"m":[]}"#,
+        r#"{"r":"t-0","z":"a","s":true,"m":[]}"#,
+        r#"{"r":"t-0","f":"g8","s":true,"m":[]}"#,
+        r#"{"r":"t-0","f":"g8","z":"a","m":[]}"#,
+        r#"{"r":"t-0","f":"g8","z":"a","s":true}"#,
+        r#"{"r":"t-0","f":"g8","z":"a","s":true,"m":[null]}"#,
+        r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true,"machines":[]}"#,
+    ]);
+    let opened = [("t-0-4-1", "3"), ("t-0-4-2", "")];
+    let opened = opened.map(|(lot, bits)| (lot.to_owned(), bits.to_owned()));
+    let opened = OpenedRecord(opened.into());
+    keeps(&opened, r#"{"t-0-4-1":"3","t-0-4-2":""}"#);
+    keeps(&OpenedRecord::default(), "{}");
+    refuses::<OpenedRecord>(&["[]", "null", r#"{"t-0-4-1":3}"#, r#"{"t-0-4-1":null}"#]);
+}
+
+#[test]
+fn records_of_quotas_and_types_keep_their_text() {
+    let quota = [("t-0", (3_000_000, 0)), ("t-1", (1, 2_000_000))];
+    let quota = QuotaRecord(quota.map(|(r, share)| (r.to_owned(), share)).into());
+    keeps(&quota, r#"{"t-0":[3000000,0],"t-1":[1,2000000]}"#);
+    keeps(&QuotaRecord::default(), "{}");
+    refuses::<QuotaRecord>(&[
+        r#"{"t-0":3}"#,
+        r#"{"t-0":[3]}"#,
+        r#"{"t-0":[3,0,0]}"#,
+        r#"{"t-0":[-3,0]}"#,
+        r#"{"t-0":{"cpus":3,"gpus":0}}"#,
+    ]);
+    let flavor = Flavor {
+        name: "g8".into(),
+        cpus: 1,
+        gpus: 2,
+        mem: 3,
+        fetch: 4,
+        price: 5,
+        spot_price: 6,
+        boot: 7,
+        zones: vec!["a".into(), "b".into()],
+    };
+    let text = r#"{"name":"g8","cpus":1,"gpus":2,"mem":3,"fetch":4,"price":5,"spot_price":6,"boot":7,"zones":["a","b"]}"#;
+    keeps(&flavor, text);
+    refuses_without_any_field::<Flavor>(text);
+    let change = |checksum| Fingerprint {
+        version: 5,
+        key: "st/hold".into(),
+        checksum,
+    };
+    let text = r#"{"version":5,"key":"st/hold","checksum":4294967295}"#;
+    keeps(&change(Some(u32::MAX)), text);
+    keeps(
+        &change(None),
+        r#"{"version":5,"key":"st/hold","checksum":null}"#,
+    );
+    refuses::<Fingerprint>(&[
+        r#"{"key":"st/hold","checksum":1}"#,
+        r#"{"version":5,"checksum":1}"#,
+        r#"{"version":5,"key":"st/hold","checksum":4294967296}"#,
+    ]);
+    // The checksum of a change is that of its value's bytes.
+    let found = Fingerprint::new(5, "st/hold".into(), Some(b"123456789"));
+    assert_eq!(found, change(Some(0xcbf4_3926)));
+}
+
+/// The text, an object, is refused without any one of its fields.
+#[track_caller]
+fn refuses_without_any_field<T: DeserializeOwned + std::fmt::Debug>(text: &str) {
+    let whole: serde_json::Map<String, Value> = serde_json::from_str(text).unwrap();
+    for field in whole.keys() {
+        let mut part = whole.clone();
+        part.remove(field);
+        refuses::<T>(&[&Value::Object(part).to_string()]);
+    }
+}
+
+#[test]
+fn the_record_of_a_hold_keeps_its_text() {
+    let hold = |accepted| HoldRecord {
+        incident: 7,
+        by: "t-0".into(),
+        at: 1_000_000,
+        seen: "the revision went back".into(),
+        accepted,
+    };
+    let held = r#"{"incident":7,"by":"t-0","at":1000000,"seen":"the revision went back"}"#;
+    keeps(&hold(None), held);
+    refuses_without_any_field::<HoldRecord>(held);
+    let accepted = AcceptedLoss {
+        by: "yard".into(),
+        at: 2_000_000,
+        why: "a test".into(),
+    };
+    let text = r#"{"by":"yard","at":2000000,"why":"a test"}"#;
+    keeps(&accepted, text);
+    refuses_without_any_field::<AcceptedLoss>(text);
+    let text = r#"{"incident":7,"by":"t-0","at":1000000,"seen":"the revision went back","accepted":{"by":"yard","at":2000000,"why":"a test"}}"#;
+    keeps(&hold(Some(accepted)), text);
+    let odd = r#"{"incident":7,"by":"t-0","at":1,"seen":"","accepted":true}"#;
+    refuses::<HoldRecord>(&[odd]);
+}
+
+/// A submission that has every field, none with its default.
+fn full_spec() -> JobSpec {
+    JobSpec {
+        class: "train".into(),
+        team: "blue".into(),
+        kind: Kind::Gang,
+        priority: Priority::High,
+        tasks: 3,
+        cpus: 4,
+        gpus: 5,
+        mem: 6,
+        types: Some(vec!["g8".into(), "h4".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: true,
+        spot: true,
+        image: "img".into(),
+        image_size: 7,
+        estimate: 8,
+        checkpoint: 9,
+        save: 10,
+        deadline: Some(11),
+        submitted: 12,
+        needs: vec!["req-1".into(), "req-2".into()],
+        recorded: None,
+    }
+}
+
+const FULL_SPEC: &str = r#"{"c":"train","t":"blue","k":"g","r":"2","n":3,"u":4,"g":5,"m":6,"y":["g8","h4"],"z":"a","o":true,"p":true,"f":true,"i":"img","s":7,"e":8,"x":9,"v":10,"d":11,"a":12,"w":["req-1","req-2"]}"#;
+
+const LEAST_SPEC: &str = r#"{"c":"x","t":"red","k":"a","r":"0","n":1,"u":2,"i":"img","a":3}"#;
+
+fn least_spec() -> JobSpec {
+    JobSpec {
+        class: "x".into(),
+        team: "red".into(),
+        kind: Kind::Array,
+        priority: Priority::Low,
+        tasks: 1,
+        cpus: 2,
+        gpus: 0,
+        mem: 0,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: false,
+        image: "img".into(),
+        image_size: 0,
+        estimate: 0,
+        checkpoint: 0,
+        save: 0,
+        deadline: None,
+        submitted: 3,
+        needs: Vec::new(),
+        recorded: None,
+    }
+}
+
+#[test]
+fn submissions_on_record_keep_their_text() {
+    keeps(&full_spec(), FULL_SPEC);
+    keeps(&least_spec(), LEAST_SPEC);
+    refuses_without_any_field::<JobSpec>(LEAST_SPEC);
+    for (kind, text) in [
+        (Kind::Array, r#""a""#),
+        (Kind::Gang, r#""g""#),
+        (Kind::Service, r#""s""#),
+    ] {
+        keeps(&kind, text);
+    }
+    for (priority, text) in [
+        (Priority::Low, r#""0""#),
+        (Priority::Normal, r#""1""#),
+        (Priority::High, r#""2""#),
+        (Priority::Production, r#""3""#),
+    ] {
+        keeps(&priority, text);
+    }
+    refuses::<Kind>(&[r#""Array""#, r#""x""#, r#""""#, "0", "null"]);
+    refuses::<Priority>(&[r#""Low""#, r#""4""#, r#""""#, "0", "null"]);
+    // Null for what may be left out, except where null means something else than nothing.
+    let nulls = LEAST_SPEC.replace('}', r#","y":null,"z":null,"d":null}"#);
+    reads(&nulls, &least_spec());
+    for odd in [
+        r#","g":null}"#,
+        r#","o":null}"#,
+        r#","w":null}"#,
+        r#","y":"g8"}"#,
+        r#","w":[1]}"#,
+        r#","e":1.5}"#,
+        r#","d":-1}"#,
+    ] {
+        refuses::<JobSpec>(&[&LEAST_SPEC.replace('}', odd)]);
+    }
+}
+
+#[test]
+fn records_of_jobs_keep_their_text() {
+    for (stage, text) in [
+        (Stage::Open, r#""o""#),
+        (Stage::Done, r#""d""#),
+        (Stage::Cancelled, r#""c""#),
+    ] {
+        keeps(&stage, text);
+    }
+    refuses::<Stage>(&[r#""Open""#, r#""x""#, r#""""#, "0", "null"]);
+    keeps(&Part(1, 2, "t-0".into()), r#"[1,2,"t-0"]"#);
+    refuses::<Part>(&[r#"[1,2]"#, r#"[1,2,3]"#, r#"[-1,2,"t-0"]"#]);
+    keeps(&Joint(9, None), "[9,null]");
+    keeps(&Joint(9, Some("a".into())), r#"[9,"a"]"#);
+    refuses::<Joint>(&["[9]", r#"["a",9]"#, "9"]);
+
+    let full = JobRecord {
+        stage: Stage::Open,
+        spec: Some(Rc::new(full_spec())),
+        parts: vec![Part(0, 2, "t-0".into()), Part(2, 3, "t-2".into())],
+        joint: Some(Joint(9, Some("a".into()))),
+        ended: Some(123),
+    };
+    let text = format!(
+        r#"{{"st":"o","j":{FULL_SPEC},"b":[[0,2,"t-0"],[2,3,"t-2"]],"g":[9,"a"],"t":123}}"#
+    );
+    keeps(&full, &text);
+    let cancelled = format!(r#"{{"st":"c","j":{FULL_SPEC}}}"#);
+    keeps(&full.cancelled(), &cancelled);
+    let done = JobRecord {
+        stage: Stage::Done,
+        spec: None,
+        parts: Vec::new(),
+        joint: None,
+        ended: None,
+    };
+    keeps(&done, r#"{"st":"d"}"#);
+    reads(
+        r#"{"st":"d","j":null,"g":null,"t":null,"b":[],"later":1}"#,
+        &done,
+    );
+    // What the replica derived is not written: the submission is, as it came.
+    let derived = JobSpec {
+        priority: Priority::Production,
+        recorded: Some(Rc::new(full_spec())),
+        ..full_spec()
+    };
+    let derived = JobRecord {
+        spec: Some(Rc::new(derived)),
+        ..full
+    };
+    assert_eq!(serde_json::to_string(&derived).unwrap(), text);
+    refuses::<JobRecord>(&[
+        "{}",
+        "null",
+        r#""o""#,
+        r#"{"stage":"o"}"#,
+        r#"{"st":"x"}"#,
+        r#"{"st":"o","j":{}}"#,
+        r#"{"st":"o","b":null}"#,
+        r#"{"st":"o","b":[[0,2]]}"#,
+        r#"{"st":"o","g":9}"#,
+        r#"{"st":"d","t":-1}"#,
+    ]);
+}
