--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -65,3 +65,117 @@
     assert_eq!(got, [FleetEvent::Released(vec!["m-1".into()])]);
     assert!(f.pump(20 * SECOND).0.is_none());
 }
+
+/// Calls to the cloud as they are sent, and its answers, as bytes.
+#[test]
+fn calls_to_the_cloud_keep_their_bytes() {
+    let files = crate::fixtures::read(include_str!("fixtures/cloud.hex"));
+    let offer = |flavor: &str, zone: &str, spot| Offer {
+        flavor: flavor.into(),
+        zone: zone.into(),
+        spot,
+    };
+    let flavor = |name: &str, cpus, mem, price| Flavor {
+        name: name.into(),
+        cpus,
+        gpus: 0,
+        mem,
+        fetch: 0,
+        price,
+        spot_price: 0,
+        boot: 0,
+        zones: Vec::new(),
+    };
+    let flavors = vec![
+        Flavor {
+            gpus: 1_000_000,
+            fetch: 500_000,
+            spot_price: 750_000,
+            boot: 40_500_000,
+            zones: vec!["a".into(), "b".into()],
+            ..flavor("g8", 8_500_000, 64_250_000, 2_500_000)
+        },
+        flavor("c4", 4_000_000, 16_000_000, 1_000_000),
+    ];
+    let listed = |name: &str, offer, failed, age| Listed {
+        name: name.into(),
+        offer,
+        failed,
+        age,
+    };
+    let list = vec![
+        listed("m-1", offer("g8", "a", true), true, 12_500_000),
+        listed("m-2", offer("c4", "b", false), false, 0),
+    ];
+    let g8 = || offer("g8", "a", true);
+    let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
+    let rent = |f: &mut Fleet| f.rent(g8(), "t-0".into(), 50, "x-1".into());
+    let rented = FleetEvent::Rented(g8(), "t-0".into(), names(&["m-1", "m-2"]), 50);
+    type Ask<'a> = &'a dyn Fn(&mut Fleet);
+    type Call = (&'static str, &'static str, Option<&'static str>);
+    const RENT: Call = ("POST", "/machines", Some("rent"));
+    const LIST: Call = ("GET", "/machines?page=500", None);
+    const FLAVORS: Call = ("GET", "/flavors", None);
+    const RELEASE: Call = ("POST", "/machines/release", Some("release"));
+    const NEXT: Call = ("GET", "/machines?from=m-1&page=500", None);
+    // What is asked for; the calls with the name of the body, each with the status and the
+    // name of the answer's body; what comes of the last.
+    type Case<'a> = (Ask<'a>, &'a [(Call, u16, &'a str)], FleetEvent);
+    let cases: [Case<'_>; 8] = [
+        (
+            &Fleet::ask_flavors,
+            &[(FLAVORS, 200, "flavors")],
+            FleetEvent::Flavors(flavors),
+        ),
+        (
+            &Fleet::ask_flavors,
+            &[(FLAVORS, 200, "unreadable flavors")],
+            FleetEvent::Down,
+        ),
+        (&rent, &[(RENT, 200, "rented")], rented),
+        (
+            &rent,
+            &[(RENT, 503, "no capacity")],
+            FleetEvent::NoCapacity(g8()),
+        ),
+        (
+            &rent,
+            &[(RENT, 503, "trouble"), (RENT, 200, "unreadable rented")],
+            FleetEvent::Down,
+        ),
+        (
+            &|f| f.release(names(&["m-1", "m-22"])),
+            &[(RELEASE, 200, "rented")],
+            FleetEvent::Released(names(&["m-1", "m-22"])),
+        ),
+        (
+            &Fleet::ask_list,
+            &[
+                (LIST, 200, "list, first page"),
+                (NEXT, 200, "list, last page"),
+            ],
+            FleetEvent::Listed(list),
+        ),
+        (
+            &Fleet::ask_list,
+            &[(LIST, 200, "unreadable list")],
+            FleetEvent::Down,
+        ),
+    ];
+    for (ask, calls, want) in cases {
+        let mut f = fleet();
+        ask(&mut f);
+        let mut now = 0;
+        let mut got = Vec::new();
+        for ((method, target, body), status, answer) in calls {
+            now += 10 * SECOND;
+            let call = f.pump(now).0.unwrap();
+            assert_eq!((call.method, &*call.target), (*method, *target));
+            let body = body.map_or(&[][..], |name| &files[name]);
+            assert_eq!(call.body, body, "{target}");
+            let answer = Response::new(*status, files[answer].clone());
+            got = f.on_response(call.op, Ok(answer), now);
+        }
+        assert_eq!(got, [want]);
+    }
+}
--- a/src/intake/tests.rs
+++ b/src/intake/tests.rs
@@ -163,3 +163,103 @@
     feed(&mut l, 8, 60, 40);
     assert!(l.limit() > small);
 }
+
+/// Submissions as bytes: every field, what may be left out, every kind and priority, and
+/// what is refused.
+#[test]
+fn submissions_keep_their_bytes() {
+    let files = crate::fixtures::read(include_str!("fixtures/submissions.hex"));
+    let full = JobSpec {
+        class: "train".into(),
+        team: "blue".into(),
+        kind: Kind::Gang,
+        priority: Priority::High,
+        tasks: 300,
+        cpus: 4_500_000,
+        gpus: 1_000_000,
+        mem: 6_500_000,
+        types: Some(vec!["g8".into(), "h4".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: true,
+        spot: true,
+        image: "img-07".into(),
+        image_size: 6_250_000,
+        estimate: 240_000_000,
+        checkpoint: 30_000_000,
+        save: 4_500_000,
+        deadline: Some(900_000_000),
+        submitted: 7,
+        needs: vec!["req-1".into(), "req-2".into()],
+        recorded: None,
+    };
+    let least = JobSpec {
+        gpus: 0,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: false,
+        deadline: None,
+        needs: Vec::new(),
+        ..full.clone()
+    };
+    let kind = |kind| JobSpec {
+        kind,
+        ..least.clone()
+    };
+    let priority = |priority| JobSpec {
+        priority,
+        ..least.clone()
+    };
+    let cases = [
+        ("full", full),
+        ("least", least.clone()),
+        ("furrow batch", kind(Kind::Array)),
+        ("furrow gang", kind(Kind::Gang)),
+        ("furrow standing", kind(Kind::Service)),
+        ("rank low", priority(Priority::Low)),
+        ("rank standard", priority(Priority::Normal)),
+        ("rank urgent", priority(Priority::High)),
+        ("rank critical", priority(Priority::Production)),
+    ];
+    for (name, spec) in cases {
+        let bytes = &files[name];
+        let read = parse_submission(bytes, 7);
+        assert_eq!(read, Ok(("req-000412".to_owned(), spec)), "{name}");
+        for length in 0..bytes.len() {
+            let read = parse_submission(&bytes[..length], 7);
+            assert_eq!(read, Err(Refusal::Malformed), "{name} cut to {length}");
+        }
+    }
+    let refused = files.iter().filter(|(n, _)| n.starts_with("refused "));
+    assert_eq!(refused.clone().count(), 18);
+    for (name, bytes) in refused {
+        let read = parse_submission(bytes, 7);
+        assert_eq!(read, Err(Refusal::Malformed), "{name}");
+    }
+}
+
+/// Answers to submissions, questions and cancellations as bytes.
+#[test]
+fn states_keep_their_bytes() {
+    let files = crate::fixtures::read(include_str!("fixtures/states.hex"));
+    let cases = [
+        ("queued", "req-1", Stage::Open, None),
+        ("queued, counted", "req-1", Stage::Open, Some((2, 0))),
+        ("running", "req-000412", Stage::Open, Some((300, 70_000))),
+        ("done", "req-1", Stage::Done, None),
+        ("done, counted", "req-1", Stage::Done, Some((3, 0))),
+        ("cancelled", "req-1", Stage::Cancelled, None),
+        (
+            "cancelled, counted",
+            "req-1",
+            Stage::Cancelled,
+            Some((1, 0)),
+        ),
+    ];
+    assert_eq!(files.len(), cases.len());
+    for (name, id, stage, counts) in cases {
+        assert_eq!(state_body(id, stage, counts), files[name], "{name}");
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,5 +19,7 @@
 pub mod status;
 pub mod workers;
 
+#[cfg(test)]
+mod fixtures;
 #[cfg(test)]
 mod sim;
--- a/src/mesh/tests.rs
+++ b/src/mesh/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of mesh.
 
 use super::*;
+use crate::fixtures::{self as files, bytes_of};
 use proptest::prelude::*;
 
 fn sample() -> Message {
@@ -96,11 +97,6 @@
     ]
 }
 
-fn bytes_of(hex: &str) -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
-    (0..hex.len()).step_by(2).map(digit).collect()
-}
-
 /// Controllers of production and of this version understand each other: what each writes
 /// is the same to the byte.
 #[test]
@@ -137,3 +133,254 @@
         assert_eq!(decode(nonsense), None);
     }
 }
+
+/// A message of each kind under the name of its bytes in `fixtures/messages.hex`: no field
+/// has its default, lists have two entries, and texts are both short and long, which are
+/// kept in different places.
+fn every_kind() -> Vec<(&'static str, Message)> {
+    let long = || "a-name-longer-than-eight-bytes".to_owned();
+    let room = |flavor: &str, spot, live, free, machines| RoomLine {
+        flavor: flavor.into(),
+        zone: "b".into(),
+        spot,
+        live,
+        free,
+        machines,
+    };
+    let wait = |job: String, waiting, since_us, stuck| WaitLine {
+        job,
+        waiting,
+        since_us,
+        stuck,
+    };
+    let count = |job: String, running| CountLine { job, running };
+    let boot = |flavor: String, spot, overdue, arrived, since_us| BootLine {
+        flavor,
+        zone: "c".into(),
+        spot,
+        overdue,
+        arrived,
+        since_us,
+    };
+    let report = RegionReport {
+        region: long(),
+        token: 1 << 40,
+        settled: true,
+        rooms: vec![
+            room("g8", true, false, (1, 2, 3), 4),
+            room("h4", false, true, (5 << 33, 6 << 33, 7 << 33), 70_000),
+        ],
+        waits: vec![
+            wait("req-1".into(), 5, 6, true),
+            wait(long(), 70_000, 1 << 41, false),
+        ],
+        counts: vec![count("req-1".into(), 8), count(long(), 80_000)],
+        short: vec![("red".into(), 9), (long(), 1 << 42)],
+        ready: vec![("req-2".into(), 10), (long(), 1 << 43)],
+        said: 1.5,
+        took: -0.25,
+    };
+    let bare = RegionReport {
+        region: "t-1".into(),
+        token: 11,
+        settled: false,
+        rooms: Vec::new(),
+        waits: Vec::new(),
+        counts: Vec::new(),
+        short: Vec::new(),
+        ready: Vec::new(),
+        said: 0.0,
+        took: 0.0,
+    };
+    let status_region = |region: &str, owner: Option<String>, settled| StatusRegion {
+        region: region.into(),
+        owner,
+        token: 12,
+        settled,
+        machines: 13,
+        live: 14,
+        waiting: 15,
+    };
+    let aim = |aim: String, behind| AimLine {
+        aim,
+        met: 16,
+        all: 17,
+        share: 0.75,
+        behind,
+    };
+    let status = Status {
+        name: "t-0".into(),
+        run: 1 << 44,
+        leader: Some(long()),
+        authority_us: 18,
+        fresh: true,
+        regions: vec![
+            status_region("t-0", Some("t-0".into()), true),
+            status_region("t-1", None, false),
+        ],
+        waiting: vec![("x".into(), 19), (long(), 20)],
+        aims: vec![aim("wait".into(), true), aim(long(), false)],
+        signals: vec!["aim".into(), long()],
+    };
+    vec![
+        (
+            "state",
+            Message::State {
+                from: "t-0".into(),
+                run: 21 | UNDERSTANDS_EXTENSIONS,
+                fresh: true,
+                regions: vec![report, bare],
+            },
+        ),
+        (
+            "state without regions",
+            Message::State {
+                from: long(),
+                run: 22,
+                fresh: false,
+                regions: Vec::new(),
+            },
+        ),
+        (
+            "move",
+            Message::Move {
+                job: long(),
+                from: "t-0".into(),
+                to: "t-1".into(),
+                count: 70_000,
+            },
+        ),
+        (
+            "close",
+            Message::Close {
+                region: "t-0".into(),
+                flavor: long(),
+                zone: "a".into(),
+                spot: true,
+                count: 23,
+            },
+        ),
+        (
+            "go",
+            Message::Go {
+                job: "req-1".into(),
+                attempt: 1 << 45,
+                region: long(),
+            },
+        ),
+        ("ask status", Message::AskStatus),
+        ("status", Message::Status(status)),
+        ("bare status", Message::Status(Status::default())),
+        (
+            "cancelled",
+            Message::Cancelled {
+                jobs: vec!["req-1".into(), long()],
+            },
+        ),
+        (
+            "unreached",
+            Message::Unreached {
+                region: "t-2".into(),
+                token: 1 << 46,
+                machines: 24,
+            },
+        ),
+        (
+            "boots",
+            Message::Boots {
+                region: "t-2".into(),
+                kinds: vec![
+                    boot("g8".into(), true, 25, 26, 27),
+                    boot(long(), false, 70_000, 28, 1 << 47),
+                ],
+            },
+        ),
+    ]
+}
+
+/// Each kind of message is written to the same bytes as by 0.6.0, and they are read as it.
+#[test]
+fn every_kind_of_message_keeps_its_bytes() {
+    let files = files::read(include_str!("fixtures/messages.hex"));
+    let kinds = every_kind();
+    assert_eq!(files.len(), kinds.len());
+    for (name, message) in kinds {
+        let bytes = &files[name];
+        assert_eq!(hex_of(&encode(&message)), hex_of(bytes), "written: {name}");
+        assert_eq!(decode(bytes), Some(message), "read: {name}");
+    }
+}
+
+fn hex_of(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+/// How damaged forms of a message are read, in their order: `r` refused, `s` as the same
+/// message, `d` as a different one, each with how many in a row.
+fn readings(message: &Message, damaged: impl Iterator<Item = Vec<u8>>) -> String {
+    let mut runs: Vec<(char, usize)> = Vec::new();
+    for bytes in damaged {
+        let reading = match decode(&bytes) {
+            None => 'r',
+            Some(read) if read == *message => 's',
+            Some(_) => 'd',
+        };
+        match runs.last_mut() {
+            Some((last, n)) if *last == reading => *n += 1,
+            _ => runs.push((reading, 1)),
+        }
+    }
+    let runs: Vec<String> = runs.iter().map(|(r, n)| format!("{r}{n}")).collect();
+    runs.join(" ")
+}
+
+/// Messages cut at each length, and with each byte inverted, the discriminants of the kind
+/// and of optional fields among them, are refused or read as by 0.6.0.
+#[test]
+fn damaged_messages_are_refused_as_before() {
+    let files = files::read(include_str!("fixtures/messages.hex"));
+    let mut found = String::new();
+    for (name, message) in every_kind() {
+        let whole = &files[name];
+        let cut = (0..whole.len()).map(|n| whole[..n].to_vec());
+        let inverted = (0..whole.len()).map(|at| {
+            let mut bytes = whole.clone();
+            bytes[at] ^= 0xff;
+            bytes
+        });
+        let cut = readings(&message, cut);
+        let inverted = readings(&message, inverted);
+        found.push_str(&format!(
+            "{name}: cut: {cut}\n{name}: inverted: {inverted}\n"
+        ));
+    }
+    assert_eq!(found, include_str!("fixtures/damaged.txt"));
+}
+
+/// Of the values that the discriminant of the kind can have only the nine in use are read.
+#[test]
+fn unknown_kinds_of_message_are_refused() {
+    /// Length of what stands at the end of each message and begins with the discriminant.
+    const LAST_PART: usize = 88;
+    let files = files::read(include_str!("fixtures/messages.hex"));
+    let kinds = [
+        "state",
+        "move",
+        "close",
+        "go",
+        "ask status",
+        "status",
+        "cancelled",
+        "unreached",
+        "boots",
+    ];
+    for (discriminant, name) in (0u8..).zip(kinds) {
+        let mut bytes = files[name].clone();
+        let at = bytes.len() - LAST_PART;
+        assert_eq!(bytes[at], discriminant, "{name}");
+        for unknown in 9..=u8::MAX {
+            bytes[at] = unknown;
+            assert_eq!(decode(&bytes), None, "{name} as {unknown}");
+        }
+    }
+}
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -112,3 +112,83 @@
         assert_eq!(registry.missing_since(known, &fresh), None, "not asked for");
     }
 }
+
+/// What is sent to the state service, as bytes: transactions, asking for a lease and
+/// renewing it; and the targets of reads.
+#[test]
+fn calls_to_the_state_service_keep_their_bytes() {
+    let files = crate::fixtures::read(include_str!("fixtures/state-service.hex"));
+    let settings = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
+    let mut registry = Registry::new(&settings);
+    registry.owner.life = 4_321_000;
+    let mut events = Vec::new();
+    let mut check = |registry: &mut Registry, now: Micros, target: &str, body: Option<&str>| {
+        let (calls, _) = registry.pump(now, &mut events);
+        let call = calls.iter().find(|c| c.target == target);
+        let targets: Vec<_> = calls.iter().map(|c| &c.target).collect();
+        let call = call.unwrap_or_else(|| panic!("{target}: {targets:?}"));
+        let (method, body) = match body {
+            Some(name) => ("POST", files[name].as_slice()),
+            None => ("GET", &[][..]),
+        };
+        assert_eq!(
+            (call.method, call.body.as_slice()),
+            (method, body),
+            "{target}"
+        );
+        call.op
+    };
+    check(&mut registry, SECOND, "/store?under=st/&page=500", None);
+    registry.load = Load::Done;
+    registry.replica.reached(70_000);
+    let now = 2 * SECOND;
+    let barrier = "/follow?under=st/&from=70000&waitMs=0";
+    check(&mut registry, now, barrier, None);
+    registry.barrier_busy = false;
+    registry.follow_busy = false;
+    let follow = "/follow?under=st/&from=70000&waitMs=5000";
+    check(&mut registry, 3 * SECOND, follow, None);
+
+    registry.want_lease(LeaseName::Owner);
+    let asked = check(&mut registry, 4 * SECOND, "/grants", Some("ask"));
+    let granted = Ok(Response::new(200, files["granted"].clone()));
+    registry.on_response(asked, granted, 4 * SECOND, &mut Vec::new());
+    assert_eq!(registry.lease_id(LeaseName::Owner), Some(77));
+    let renew = "/grants/77/renew";
+    check(&mut registry, 6 * SECOND, renew, Some("renew"));
+
+    let put = |key, value| (key, Some(value));
+    let job = Key::Job("req-1".into());
+    let full = Txn {
+        when: vec![(Key::Leader, 0), (job.clone(), 70_000)],
+        apply: vec![
+            put(Key::Leader, json!({"holder": "t-0", "run": 7})),
+            put(job, json!({"st": "o", "b": [[0, 3, "t-1"]]})),
+            (Key::Machine("m-1".into()), None),
+            put(Key::Token, json!(9)),
+        ],
+        lease: Some((Key::Leader, 300)),
+    };
+    let bare = Txn {
+        when: Vec::new(),
+        apply: vec![put(
+            Key::Progress("req-1".into(), "t-0".into(), 0),
+            json!("7"),
+        )],
+        lease: None,
+    };
+    for (now, name, txn) in [
+        (7 * SECOND, "commit", full),
+        (8 * SECOND, "commit without a lease", bare),
+    ] {
+        let ticket = registry.commit(txn, Urgency::First, None);
+        let op = check(&mut registry, now, "/commit", Some(name));
+        let answer = Ok(Response::new(200, files["revision"].clone()));
+        let mut events = Vec::new();
+        registry.on_response(op, answer, now, &mut events);
+        let ended = events.iter().any(
+            |e| matches!(e, RegistryEvent::Committed(t, Outcome::Done(70_001)) if *t == ticket),
+        );
+        assert!(ended, "{name}: {events:?}");
+    }
+}
--- a/src/status/tests.rs
+++ b/src/status/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of status.
 
 use super::*;
+use crate::mesh::StatusRegion;
 
 fn aims(margin: f64) -> Aims {
     let o = |kind: &str, class: Option<&str>, share: f64| Objective {
@@ -157,3 +158,46 @@
         );
     }
 }
+
+/// The page as `salttiller status --json` prints it, to the byte.
+#[test]
+fn the_page_as_json() {
+    let region = |region: &str, owner: Option<&str>, settled| StatusRegion {
+        region: region.into(),
+        owner: owner.map(Into::into),
+        token: 9,
+        settled,
+        machines: 3,
+        live: 2,
+        waiting: 1,
+    };
+    let aim = |aim: &str, share, behind| AimLine {
+        aim: aim.into(),
+        met: 4,
+        all: 5,
+        share,
+        behind,
+    };
+    let full = Status {
+        name: "t-0".into(),
+        run: 7,
+        leader: Some("t-1".into()),
+        authority_us: 1_500_000,
+        fresh: true,
+        regions: vec![region("t-0", Some("t-0"), true), region("t-1", None, false)],
+        waiting: vec![("train".into(), 6), ("web".into(), 0)],
+        aims: vec![
+            aim("train, wait within 10 s", 0.95, true),
+            aim("guarantee", 1.0, false),
+        ],
+        signals: vec!["aim behind".into()],
+    };
+    let cases = [
+        (full, include_str!("fixtures/full.json")),
+        (Status::default(), include_str!("fixtures/bare.json")),
+    ];
+    for (page, text) in cases {
+        let printed = format!("{}\n", serde_json::to_string(&page).unwrap());
+        assert_eq!(printed, text);
+    }
+}
