--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,5 +19,7 @@
 pub mod status;
 pub mod worker_protocol;
 
+#[cfg(test)]
+mod fixtures;
 #[cfg(test)]
 mod simulation;
--- a/src/simulation/trace_digest.rs
+++ b/src/simulation/trace_digest.rs
@@ -96,6 +96,12 @@
     digest.0
 }
 
+/// How many seeds of each day are played; fewer with `SALTTILLER_DIGEST_SEEDS=1`.
+fn seeds() -> u64 {
+    let asked = std::env::var("SALTTILLER_DIGEST_SEEDS").ok();
+    asked.and_then(|n| n.parse().ok()).unwrap_or(8)
+}
+
 /// Prints the digests, and takes the lines into one of all.
 struct Report(TraceDigest);
 
@@ -108,7 +114,7 @@
     }
 
     fn seeds(&mut self, suite: &str, day: &str, play: impl Fn(u64)) {
-        for seed in 1..=8 {
+        for seed in 1..=seeds() {
             self.line(suite, day, &seed.to_string(), digest_of(|| play(seed)));
         }
     }
--- a/src/worker_protocol/tests.rs
+++ b/src/worker_protocol/tests.rs
@@ -56,3 +56,121 @@
     let v: serde_json::Value = rmp_serde::from_slice(&answer(u64::MAX, &cmds)).unwrap();
     assert!(v.to_string().len() < 64 * 1024);
 }
+
+/// Reports as bytes: every stage and reason, what may be left out, and what is refused.
+#[test]
+fn reports_keep_their_bytes() {
+    let files = crate::fixtures::read(include_str!("fixtures/reports.hex"));
+    let task = |job: &str, task, attempt, stage| ReportedTask {
+        job: Rc::from(job),
+        task,
+        attempt,
+        stage,
+    };
+    let stages = [
+        ReportedState::Fetching,
+        ReportedState::WaitingForGang,
+        ReportedState::Running,
+        ReportedState::Checkpointing,
+        ReportedState::Running,
+    ];
+    let ends = [
+        ExitReason::Done,
+        ExitReason::Stopped { saved: true },
+        ExitReason::Stopped { saved: false },
+        ExitReason::Stopped { saved: false },
+        ExitReason::GangMemberLost,
+        ExitReason::GangIncomplete,
+        ExitReason::NoCapacity,
+        ExitReason::AttemptConflict,
+        ExitReason::UnknownTask,
+        ExitReason::Failed,
+        ExitReason::Failed,
+    ];
+    let mut tasks: Vec<ReportedTask> = (0..)
+        .zip(stages)
+        .map(|(n, stage)| task("req-7", n, u64::from(n) + 1, stage))
+        .collect();
+    tasks.extend((0..).zip(ends).map(|(n, end)| {
+        task(
+            "req-000412",
+            n,
+            300 + u64::from(n),
+            ReportedState::Ended(end),
+        )
+    }));
+    let full = Heartbeat {
+        machine: "m-000001".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        id: HeartbeatId {
+            incarnation: 1 << 40,
+            sequence: 70_000,
+        },
+        token: 300,
+        interruption_in: Some(2_500_000),
+        tasks,
+    };
+    let least = Heartbeat {
+        machine: "m-2".into(),
+        machine_type: String::new(),
+        zone: String::new(),
+        spot: false,
+        id: HeartbeatId {
+            incarnation: 1,
+            sequence: 2,
+        },
+        token: 3,
+        interruption_in: None,
+        tasks: Vec::new(),
+    };
+    let nulls = Heartbeat {
+        tasks: vec![task(
+            "req-1",
+            0,
+            4,
+            ReportedState::Ended(ExitReason::Failed),
+        )],
+        ..least.clone()
+    };
+    for (name, report) in [("full", full), ("least", least), ("nulls", nulls)] {
+        let bytes = &files[name];
+        assert_eq!(parse_heartbeat(bytes), Some(report), "{name}");
+        for length in 0..bytes.len() {
+            assert_eq!(
+                parse_heartbeat(&bytes[..length]),
+                None,
+                "{name} cut to {length}"
+            );
+        }
+    }
+    let refused = files.iter().filter(|(n, _)| n.starts_with("refused "));
+    assert_eq!(refused.clone().count(), 11);
+    for (name, bytes) in refused {
+        assert_eq!(parse_heartbeat(bytes), None, "{name}");
+    }
+}
+
+/// Answers to reports as bytes, with each command, and where to turn instead.
+#[test]
+fn answers_keep_their_bytes() {
+    let files = crate::fixtures::read(include_str!("fixtures/answers.hex"));
+    let job: JobId = Rc::from("req-1");
+    let commands = [
+        Command::start(job.clone(), 3, 2),
+        Command::stop(job.clone(), 4, 70_000, 2_500_000),
+        Command::stop(job, 5, 1, 0),
+        Command::reap(Rc::from("req-000412"), 99_999, 1 << 40),
+    ];
+    let cases = [
+        ("no command", answer(7, &[])),
+        ("every command", answer(1 << 40, &commands)),
+        ("elsewhere", elsewhere(Some("t-1"))),
+        ("elsewhere unknown", elsewhere(None)),
+    ];
+    assert_eq!(files.len(), cases.len());
+    for (name, written) in cases {
+        assert_eq!(written, files[name], "{name}");
+    }
+}
