--- /dev/null
+++ b/src/commands/check.rs
@@ -0,0 +1,62 @@
+//! Checks the settings without starting a controller.
+
+use std::process::ExitCode;
+
+use salttiller::settings::Settings;
+use salttiller_records::units::{to_secs, MILLISECOND};
+
+use super::{CommandError, SettingsFiles};
+
+/// Prints what a controller would go by.
+pub fn run(files: &SettingsFiles, json: bool) -> Result<ExitCode, CommandError> {
+    let settings = files.load()?;
+    if json {
+        print_json(&settings);
+    } else {
+        print_text(&settings);
+    }
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Classes that take precedence though no objective names them: perhaps misspelt.
+fn precedence_without_objective(settings: &Settings) -> Vec<&String> {
+    let has_objective = |class: &String| {
+        let mut classes = settings.objectives.iter().map(|o| o.class.as_ref());
+        classes.any(|named| named == Some(class))
+    };
+    let precedence = settings.operator.precedence.iter();
+    precedence.filter(|class| !has_objective(class)).collect()
+}
+
+fn print_json(settings: &Settings) {
+    // Names of published fields.
+    let document = serde_json::json!({
+        "ok": true,
+        "name": settings.name,
+        "regions": settings.regions(),
+        "teams": settings.teams.len(),
+        "grant_life_ms": settings.owner_lease_life() / MILLISECOND,
+        "precedence": settings.operator.precedence,
+        "precedence_without_aim": precedence_without_objective(settings),
+    });
+    println!("{document}");
+}
+
+fn print_text(settings: &Settings) {
+    let precedence = &settings.operator.precedence;
+    println!(
+        "{}: usable; {} regions, {} teams, lease life {:.1} s, precedence: {}",
+        settings.name,
+        settings.regions().len(),
+        settings.teams.len(),
+        to_secs(settings.owner_lease_life()),
+        if precedence.is_empty() {
+            "none".to_owned()
+        } else {
+            precedence.join(", ")
+        }
+    );
+    for class in precedence_without_objective(settings) {
+        println!("note: classes.precedence: no objective names class {class}");
+    }
+}
--- /dev/null
+++ b/tests/commands.rs
@@ -0,0 +1,65 @@
+//! The program's commands: what they print, and the exit codes that scripts go by.
+
+use std::net::TcpListener;
+use std::process::{Command, Output};
+
+const SETTINGS: &str = "docs/examples/settings.json";
+
+fn salttiller(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_salttiller"))
+        .args(arguments)
+        .current_dir(env!("CARGO_MANIFEST_DIR"))
+        .output()
+        .expect("the program starts")
+}
+
+/// An address at which nothing listens.
+fn closed_address() -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    listener.local_addr().expect("bound").to_string()
+}
+
+#[test]
+fn exit_codes() {
+    let nobody = closed_address();
+    let cases: &[(&[&str], i32, &str)] = &[
+        (&[], 2, "--config <FILE>"),
+        (&["--unknown"], 2, "unexpected argument"),
+        (&["check", "--config", SETTINGS], 0, ""),
+        (&["check", "--config", "none.json"], 1, "none.json"),
+        (&["check", "--config", "Cargo.toml"], 1, "Cargo.toml"),
+        (&["--config", "none.json"], 1, "none.json"),
+        (&["status", &nobody], 1, &nobody),
+        (&["status", "nowhere"], 2, "invalid value"),
+    ];
+    for (arguments, code, stderr) in cases {
+        let output = salttiller(arguments);
+        let errors = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(*code), "{arguments:?}: {errors}");
+        assert!(errors.contains(stderr), "{arguments:?}: {errors}");
+    }
+}
+
+/// The names of the published fields, and a class that takes precedence without an objective.
+#[test]
+fn checked_settings() {
+    let ini = "docs/examples/heating-oil.ini";
+    let files = ["check", "--ini", ini, "--config", SETTINGS];
+    let text = String::from_utf8(salttiller(&files).stdout).expect("text");
+    assert_eq!(
+        text,
+        "controller-0: usable; 3 regions, 2 teams, lease life 15.0 s, precedence: route-solve\n\
+         note: classes.precedence: no objective names class route-solve\n"
+    );
+    let json = salttiller(&[&files[..], &["--json"]].concat()).stdout;
+    let document: serde_json::Value = serde_json::from_slice(&json).expect("JSON");
+    assert_eq!(
+        document,
+        serde_json::json!({
+            "ok": true, "name": "controller-0",
+            "regions": ["controller-0", "controller-1", "controller-2"], "teams": 2,
+            "grant_life_ms": 15_000, "precedence": ["route-solve"],
+            "precedence_without_aim": ["route-solve"],
+        })
+    );
+}
