--- /dev/null
+++ b/tests/documents.rs
@@ -0,0 +1,104 @@
+//! What the documents name exists: files, and types and constants of the code.
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// Folders whose files documents name by their path from the root.
+const PATH_PREFIXES: [&str; 6] = ["src/", "crates/", "docs/", "deploy/", "tests/", ".ci/"];
+
+fn root() -> &'static Path {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+}
+
+/// All files below a folder with this ending.
+fn files(folder: &Path, ending: &str, found: &mut Vec<PathBuf>) {
+    let entries = fs::read_dir(folder).expect("a folder of the project");
+    for path in entries.map(|entry| entry.expect("readable").path()) {
+        if path.is_dir() && !path.ends_with("target") {
+            files(&path, ending, found);
+        } else if path.extension().is_some_and(|e| e == ending) {
+            found.push(path);
+        }
+    }
+}
+
+fn documents() -> Vec<PathBuf> {
+    let mut found = vec![root().join("README.md"), root().join("CONTRIBUTING.md")];
+    files(&root().join("docs"), "md", &mut found);
+    found
+}
+
+fn is_word(c: char) -> bool {
+    c.is_alphanumeric() || c == '_'
+}
+
+/// Every identifier of the sources.
+fn identifiers() -> BTreeSet<String> {
+    let mut sources = Vec::new();
+    for folder in ["src", "crates", "tests"] {
+        files(&root().join(folder), "rs", &mut sources);
+    }
+    let mut words = BTreeSet::new();
+    for source in sources {
+        let text = fs::read_to_string(source).expect("UTF-8");
+        words.extend(text.split(|c| !is_word(c)).map(str::to_owned));
+    }
+    words
+}
+
+/// What stands in backticks outside of indented blocks.
+fn quoted(text: &str) -> Vec<&str> {
+    let lines = text.lines().filter(|line| !line.starts_with("    "));
+    lines
+        .flat_map(|line| line.split('`').skip(1).step_by(2))
+        .collect()
+}
+
+/// Whether a word has the form of a type's or a constant's name.
+fn is_item_name(word: &str) -> bool {
+    let first = word.chars().next().is_some_and(char::is_uppercase);
+    let camel = word.chars().any(char::is_lowercase) && !word.contains('_');
+    let constant = word.contains('_') && !word.chars().any(char::is_lowercase);
+    first && word.chars().all(is_word) && (camel || constant)
+}
+
+/// Words in the form of a type's name that name something else: wire names of headers, keys of
+/// environment variables and placeholders are listed here.
+const NOT_OURS: [&str; 2] = ["CI", "KNOWN"];
+
+#[test]
+fn named_files_exist() {
+    let mut missing = Vec::new();
+    for document in documents() {
+        let text = fs::read_to_string(&document).expect("UTF-8");
+        for word in text.split(|c: char| c.is_whitespace() || "`()|,;<>\"".contains(c)) {
+            let word = word.trim_end_matches(['.', ':']);
+            let is_path = PATH_PREFIXES.iter().any(|p| word.starts_with(p));
+            if is_path && !word.contains('*') && !root().join(word).exists() {
+                missing.push(format!("{}: {word}", document.display()));
+            }
+        }
+    }
+    assert!(missing.is_empty(), "{missing:#?}");
+}
+
+#[test]
+fn named_items_exist() {
+    let known = identifiers();
+    let mut missing = Vec::new();
+    for document in documents() {
+        let text = fs::read_to_string(&document).expect("UTF-8");
+        for phrase in quoted(&text)
+            .into_iter()
+            .filter(|p| !p.contains([' ', '-', '/']))
+        {
+            for word in phrase.split("::").filter(|word| is_item_name(word)) {
+                if !known.contains(word) && !NOT_OURS.contains(&word) {
+                    missing.push(format!("{}: {word}", document.display()));
+                }
+            }
+        }
+    }
+    assert!(missing.is_empty(), "{missing:#?}");
+}
