--- a/crates/archive/src/database/tests.rs
+++ b/crates/archive/src/database/tests.rs
@@ -1,132 +1,159 @@
 //! Tests of the archive's file: damage is named, never passed on.
 
 use redb::ReadableTable;
+use serde_json::json;
 
+use super::tables::METADATA;
 use super::*;
-use crate::form::{Change, ChangeBatch, Gap, GapCause, StoredRecord};
-use crate::reconstruct::{at, Moment};
-use crate::recorder::tests::Scratch;
+use crate::encoding::encode_entry;
+use crate::model::{Change, ChangeBatch, Gap, GapCause, KeyedRecord, StoredRecord};
+use crate::reconstruct::{reconstruct, PointInTime, Reconstruction, RecordMap};
+use crate::test_support::TempArchive;
 use crate::verify::verify;
-use serde_json::json;
-
-const LAST: Moment = Moment {
-    segment: None,
-    revision: None,
-};
 
-/// An archive of one segment with two images and three batches.
-fn small(scratch: &Scratch) -> Archive {
-    let archive = Archive::open_or_create(&scratch.0, "a").unwrap();
-    let gap = Gap {
+fn gap() -> Gap {
+    Gap {
         cause: GapCause::FirstRecording,
         after_revision: 0,
         last_contact: 0,
-        noticed: 0,
-    };
-    let record = |version| StoredRecord::new(version, &json!({"n": version}));
-    let batch = |after, until| {
-        Action::AddChanges(ChangeBatch {
-            after,
-            until,
-            received: 1,
-            changes: (after + 1..=until)
-                .map(|version| Change {
-                    version,
-                    key: format!("st/job/req-{}", version % 4),
-                    value: Some(record(version).value),
-                })
-                .collect(),
-        })
+        detected: 0,
+    }
+}
+
+fn record(version: u64) -> StoredRecord {
+    StoredRecord::new(version, &json!({"n": version}))
+}
+
+fn add_changes(after: u64, until: u64) -> Action {
+    let changes = (after + 1..=until).map(|version| Change {
+        version,
+        key: format!("st/job/req-{}", version % 4),
+        value: Some(record(version).value),
+    });
+    Action::AddChanges(ChangeBatch {
+        after,
+        until,
+        received: 1,
+        changes: changes.collect(),
+    })
+}
+
+/// The actions of a snapshot at one revision.
+fn snapshot_at(revision: u64, records: RecordMap) -> [Action; 3] {
+    let records = records.into_iter();
+    let keyed = records.map(|(key, record)| KeyedRecord { key, record });
+    [
+        Action::BeginSnapshot {
+            first_page_revision: revision,
+        },
+        Action::AddRecords(keyed.collect()),
+        Action::CompleteSnapshot { revision },
+    ]
+}
+
+/// An archive of one segment with two snapshots and three batches.
+fn small(file: &TempArchive) -> Archive {
+    let archive = Archive::open_or_create(file.path(), "a").unwrap();
+    let begin = Action::BeginSegment {
+        gap: gap(),
+        after: 4,
     };
-    archive
-        .apply(&[Action::BeginSegment { gap, after: 4 }], 1)
-        .unwrap();
-    let first = Action::AddRecords(vec![("st/job/req-1".into(), record(1))]);
-    let steps = [
-        Action::BeginImage { first_page: 4 },
-        first,
-        Action::CompleteImage { revision: 4 },
-        batch(4, 6),
-        batch(6, 9),
-        batch(9, 10),
-    ];
-    archive.apply(&steps, 1).unwrap();
-    let state = archive.read(|view| at(view, LAST)).unwrap().state;
-    let steps = [
-        Action::BeginImage { first_page: 10 },
-        Action::AddRecords(state.into_iter().collect()),
-        Action::CompleteImage { revision: 10 },
-    ];
-    archive.apply(&steps, 2).unwrap();
+    archive.apply(&[begin], 1).unwrap();
+    let first = RecordMap::from([("st/job/req-1".to_owned(), record(1))]);
+    archive.apply(&snapshot_at(4, first), 1).unwrap();
+    let batches = [add_changes(4, 6), add_changes(6, 9), add_changes(9, 10)];
+    archive.apply(&batches, 1).unwrap();
+    let records = newest(&archive).unwrap().records;
+    archive.apply(&snapshot_at(10, records), 2).unwrap();
     archive
 }
 
+fn newest(archive: &Archive) -> Result<Reconstruction, ArchiveError> {
+    archive.read(|view| reconstruct(view, PointInTime::default()))
+}
+
+/// Harm done to the archive of [`small`], and what verification says of it.
+struct DamageCase {
+    name: &'static str,
+    harm: fn(&mut ArchiveTransaction<'_>),
+    /// Part of the message; empty: nothing is wrong.
+    expected: &'static str,
+}
+
+const DAMAGE_CASES: [DamageCase; 7] = [
+    DamageCase {
+        name: "nothing",
+        harm: |_| {},
+        expected: "",
+    },
+    DamageCase {
+        name: "a batch is gone",
+        harm: |t| drop(t.batches.remove((1, 1)).unwrap()),
+        expected: "change batch 1/1 is missing",
+    },
+    DamageCase {
+        name: "the last batch is gone",
+        harm: |t| drop(t.batches.remove((1, 2)).unwrap()),
+        expected: "change batch 1/2 is missing",
+    },
+    DamageCase {
+        name: "a batch is another",
+        harm: |t| {
+            let first = t.batches.get((1, 0)).unwrap().unwrap().value().to_vec();
+            t.batches.insert((1, 1), first.as_slice()).unwrap();
+        },
+        expected: "change batch 1/1 is out of order",
+    },
+    DamageCase {
+        name: "a record is gone",
+        harm: |t| drop(t.records.remove((2, "st/job/req-1")).unwrap()),
+        expected: "snapshot 2 fails its digest",
+    },
+    DamageCase {
+        name: "a record's bytes changed",
+        harm: |t| {
+            let key = (2, "st/job/req-1");
+            t.records.insert(key, &b"12345"[..]).unwrap();
+        },
+        expected: "record st/job/req-1 of snapshot 2 fails its checksum",
+    },
+    DamageCase {
+        name: "a snapshot isn't what the changes make",
+        harm: |t| {
+            let mut row = t.snapshots().unwrap().pop().unwrap();
+            row.value.revision = None;
+            t.put_snapshot(&row).unwrap();
+            let wrong = StoredRecord::new(9, &json!("wrong"));
+            t.put_record(row.id, "st/job/req-1", &wrong).unwrap();
+            t.complete_snapshot(10).unwrap();
+        },
+        expected: "snapshot 2 differs",
+    },
+];
+
 #[test]
 fn what_is_missing_or_changed_is_found() {
-    type Harm = fn(&mut Step<'_>);
-    let cases: [(&str, Harm, &str); 7] = [
-        ("nothing", |_| {}, ""),
-        (
-            "a batch is gone",
-            |s| drop(s.batches.remove((1, 1)).unwrap()),
-            "change batch 1/1 is missing",
-        ),
-        (
-            "the last batch is gone",
-            |s| drop(s.batches.remove((1, 2)).unwrap()),
-            "change batch 1/2 is missing",
-        ),
-        (
-            "a batch is another",
-            |s| {
-                let first = s.batches.get((1, 0)).unwrap().unwrap().value().to_vec();
-                s.batches.insert((1, 1), first.as_slice()).unwrap();
-            },
-            "out of order",
-        ),
-        (
-            "a record is gone",
-            |s| drop(s.records.remove((2, "st/job/req-1")).unwrap()),
-            "image 2 fails its digest",
-        ),
-        (
-            "a record's bytes changed",
-            |s| {
-                s.records
-                    .insert((2, "st/job/req-1"), &b"12345"[..])
-                    .unwrap();
-            },
-            "record st/job/req-1 of image 2 fails its checksum",
-        ),
-        (
-            "an image isn't what the changes make",
-            |s| {
-                let (id, mut image) = s.images().unwrap().pop().unwrap();
-                image.revision = None;
-                s.put_image(id, &image).unwrap();
-                let wrong = StoredRecord::new(9, &json!("wrong"));
-                s.put_record(id, "st/job/req-1", &wrong).unwrap();
-                s.complete_image(10).unwrap();
-            },
-            "image 2 differs",
-        ),
-    ];
-    for (name, harm, want) in cases {
-        let scratch = Scratch::new(&format!("harm-{}", name.replace([' ', '\''], "-")));
-        let archive = small(&scratch);
+    for case in DAMAGE_CASES {
+        let DamageCase {
+            name,
+            harm,
+            expected,
+        } = case;
+        let file = TempArchive::new(&format!("harm-{}", name.replace([' ', '\''], "-")));
+        let archive = small(&file);
         archive
-            .write(|step| {
-                harm(step);
+            .write(|transaction| {
+                harm(transaction);
                 Ok(())
             })
             .unwrap();
         match verify(&archive) {
-            Ok(v) => assert!(
-                want.is_empty() && v.images_from_changes == 1,
-                "{name}: {v:?}"
+            Ok(counts) => assert!(
+                expected.is_empty() && counts.snapshots_from_changes == 1,
+                "{name}: {counts:?}"
             ),
             Err(e) => assert!(
-                !want.is_empty() && e.to_string().contains(want),
+                !expected.is_empty() && e.to_string().contains(expected),
                 "{name}: {e}"
             ),
         }
@@ -134,73 +161,78 @@
 }
 
 #[test]
-fn a_step_that_contradicts_the_archive_is_refused_whole() {
-    let scratch = Scratch::new("contradiction");
-    let archive = small(&scratch);
-    let before = archive.read(|view| view.segments()).unwrap();
-    let batch = ChangeBatch {
-        after: 12,
-        until: 13,
-        received: 1,
-        changes: Vec::new(),
-    };
-    let steps = [Action::Reached(11), Action::AddChanges(batch)];
-    let refused = archive.apply(&steps, 9);
-    assert!(matches!(refused, Err(ArchiveError::Damaged { .. })));
-    assert_eq!(archive.read(|view| view.segments()).unwrap(), before);
+fn actions_that_contradict_the_archive_are_refused_as_a_whole() {
+    let file = TempArchive::new("contradiction");
+    let archive = small(&file);
+    let before = archive.read(ArchiveView::segments).unwrap();
+    let actions = [Action::AdvanceTo(11), add_changes(12, 13)];
+    let refused = archive.apply(&actions, 9);
+    assert!(matches!(
+        refused,
+        Err(ArchiveError::Damaged {
+            cause: Damage::NotContiguous {
+                after: 12,
+                expected: 11
+            },
+            ..
+        })
+    ));
+    assert_eq!(archive.read(ArchiveView::segments).unwrap(), before);
 }
 
 #[test]
 fn a_newer_format_is_named() {
-    let scratch = Scratch::new("newer");
-    drop(small(&scratch));
-    let db = Database::open(&scratch.0).unwrap();
-    let txn = db.begin_write().unwrap();
+    let file = TempArchive::new("newer");
+    drop(small(&file));
+    let database = Database::open(file.path()).unwrap();
+    let transaction = database.begin_write().unwrap();
     let newer = encode_entry(&(FORMAT + 1));
-    txn.open_table(META)
+    transaction
+        .open_table(METADATA)
         .unwrap()
-        .insert(META_FORMAT, newer.as_slice())
+        .insert(file::FORMAT_KEY, newer.as_slice())
         .unwrap();
-    txn.commit().unwrap();
-    drop(db);
-    let error = Archive::open(&scratch.0, None).unwrap_err();
+    transaction.commit().unwrap();
+    drop(database);
+    let error = Archive::open(file.path(), None).unwrap_err();
     assert!(
-        matches!(error, ArchiveError::Newer { found: 2, .. }),
+        matches!(error, ArchiveError::UnsupportedFormat { found: 2, .. }),
         "{error}"
     );
 }
 
+/// Turns one bit of a byte that isn't zero: most of a small file is empty space.
+fn flip_bit(whole: &[u8], random: &mut fastrand::Rng) -> Vec<u8> {
+    let mut bytes = whole.to_vec();
+    let used = loop {
+        let place = random.usize(0..bytes.len());
+        if bytes[place] != 0 {
+            break place;
+        }
+    };
+    bytes[used] ^= 1 << random.u8(0..8);
+    bytes
+}
+
 /// Cut off anywhere, or with bits turned, the file is refused or read rightly; no panic.
 #[test]
 fn damaged_files_are_refused_or_read_rightly() {
-    let scratch = Scratch::new("whole");
-    let state = small(&scratch).read(|view| at(view, LAST)).unwrap().state;
-    let whole = std::fs::read(&scratch.0).unwrap();
-    let damaged = Scratch::new("damaged");
+    let file = TempArchive::new("whole");
+    let records = newest(&small(&file)).unwrap().records;
+    let whole = std::fs::read(file.path()).unwrap();
+    let damaged = TempArchive::new("damaged");
     let mut refused = 0;
-    let lengths = (0..16).map(|i| whole.len() * i / 16);
-    let cuts = lengths.map(|n| whole[..n].to_vec());
+    let cuts = (0..16).map(|i| whole[..whole.len() * i / 16].to_vec());
     let mut random = fastrand::Rng::with_seed(5);
-    let flips = (0..120).map(|_| {
-        let mut bytes = whole.clone();
-        // Most of a small file is empty space: turn bits where something is.
-        let used: usize = loop {
-            let at = random.usize(0..bytes.len());
-            if bytes[at] != 0 {
-                break at;
-            }
-        };
-        bytes[used] ^= 1 << random.u8(0..8);
-        bytes
-    });
+    let flips = (0..120).map(|_| flip_bit(&whole, &mut random));
     for (case, bytes) in cuts.chain(flips).enumerate() {
-        std::fs::write(&damaged.0, &bytes).unwrap();
-        let checked = Archive::open(&damaged.0, None).and_then(|archive| {
+        std::fs::write(damaged.path(), &bytes).unwrap();
+        let checked = Archive::open(damaged.path(), None).and_then(|archive| {
             verify(&archive)?;
-            archive.read(|view| at(view, LAST))
+            newest(&archive)
         });
         match checked {
-            Ok(found) => assert_eq!(found.state, state, "case {case}"),
+            Ok(found) => assert_eq!(found.records, records, "case {case}"),
             Err(_) => refused += 1,
         }
     }
--- a/crates/archive/src/database/view.rs
+++ b/crates/archive/src/database/view.rs
@@ -2,103 +2,118 @@
 
 use std::path::{Path, PathBuf};
 
-use redb::{ReadOnlyTable, ReadTransaction, ReadableTable};
-use serde::de::DeserializeOwned;
+use redb::{ReadOnlyTable, ReadTransaction};
 
 use salttiller_records::history::{last_whole_revisions, Fingerprint, RECOGNISED_CHANGES};
 
-use super::{entry, records_of, BATCHES, IMAGES, RECORDS, SEGMENTS};
-use crate::error::ArchiveError;
-use crate::form::{Change, ChangeBatch, Image, Segment, StoredRecord};
+use super::tables::{
+    batch_keys, decode_batch, for_each_record, read_rows, BatchKey, EntryBytes, RecordKey, BATCHES,
+    RECORDS, SEGMENTS, SNAPSHOTS,
+};
+use crate::error::{ArchiveError, EntryName, StoreResult};
+use crate::model::{Change, ChangeBatch, CompleteSnapshot, KeyedRecord, Row, Segment, Snapshot};
 
 /// A consistent view of an archive.
-pub struct View {
+pub struct ArchiveView {
     path: PathBuf,
-    segments: ReadOnlyTable<u64, &'static [u8]>,
-    images: ReadOnlyTable<u64, &'static [u8]>,
-    records: ReadOnlyTable<(u64, &'static str), &'static [u8]>,
-    batches: ReadOnlyTable<(u64, u64), &'static [u8]>,
+    segments: ReadOnlyTable<u64, EntryBytes>,
+    snapshots: ReadOnlyTable<u64, EntryBytes>,
+    records: ReadOnlyTable<RecordKey, EntryBytes>,
+    batches: ReadOnlyTable<BatchKey, EntryBytes>,
 }
 
-impl View {
-    pub(super) fn open(path: &Path, txn: &ReadTransaction) -> Result<Self, ArchiveError> {
-        let fail = |e| ArchiveError::store(path, redb::Error::from(e));
-        Ok(View {
+impl ArchiveView {
+    pub(super) fn open(path: &Path, transaction: &ReadTransaction) -> Result<Self, ArchiveError> {
+        Ok(ArchiveView {
             path: path.to_path_buf(),
-            segments: txn.open_table(SEGMENTS).map_err(fail)?,
-            images: txn.open_table(IMAGES).map_err(fail)?,
-            records: txn.open_table(RECORDS).map_err(fail)?,
-            batches: txn.open_table(BATCHES).map_err(fail)?,
+            segments: transaction.open_table(SEGMENTS).in_file(path)?,
+            snapshots: transaction.open_table(SNAPSHOTS).in_file(path)?,
+            records: transaction.open_table(RECORDS).in_file(path)?,
+            batches: transaction.open_table(BATCHES).in_file(path)?,
         })
     }
 
-    /// The file, for messages.
+    /// Path of the file, for messages.
+    #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
 
     /// All segments, oldest first.
-    pub fn segments(&self) -> Result<Vec<(u64, Segment)>, ArchiveError> {
-        entries(&self.path, &self.segments, "segment")
+    ///
+    /// # Errors
+    /// Those of reading.
+    pub fn segments(&self) -> Result<Vec<Row<Segment>>, ArchiveError> {
+        read_rows(&self.path, &self.segments, EntryName::Segment)
     }
 
-    /// All images, oldest first; one that is being read has no revision.
-    pub fn images(&self) -> Result<Vec<(u64, Image)>, ArchiveError> {
-        entries(&self.path, &self.images, "image")
+    /// All snapshots, oldest first, with one that is still being read.
+    ///
+    /// # Errors
+    /// Those of reading.
+    pub fn snapshots(&self) -> Result<Vec<Row<Snapshot>>, ArchiveError> {
+        read_rows(&self.path, &self.snapshots, EntryName::Snapshot)
     }
 
-    /// The complete images of a segment with their revisions, oldest first.
-    pub fn complete_images(&self, segment: u64) -> Result<Vec<(u64, u64, Image)>, ArchiveError> {
-        let images = self.images()?.into_iter();
-        Ok(images
-            .filter(|(_, image)| image.segment == segment)
-            .filter_map(|(id, image)| image.revision.map(|revision| (id, revision, image)))
+    /// The complete snapshots of a segment, oldest first.
+    ///
+    /// # Errors
+    /// Those of reading.
+    pub fn complete_snapshots(&self, segment: u64) -> Result<Vec<CompleteSnapshot>, ArchiveError> {
+        let complete = self.snapshots()?.into_iter();
+        Ok(complete
+            .filter(|row| row.value.segment == segment)
+            .filter_map(CompleteSnapshot::from_row)
             .collect())
     }
 
-    /// Calls `each` with every record of an image, in the order of the keys.
-    pub fn each_record(
+    /// Calls `visit` with every record of a snapshot, in the order of the keys.
+    ///
+    /// # Errors
+    /// Those of `visit` and of reading.
+    pub fn for_each_record(
         &self,
-        image: u64,
-        mut each: impl FnMut(&str, StoredRecord) -> Result<(), ArchiveError>,
+        snapshot: u64,
+        visit: impl FnMut(KeyedRecord) -> Result<(), ArchiveError>,
     ) -> Result<(), ArchiveError> {
-        each_record(&self.path, &self.records, image, &mut each)
+        for_each_record(&self.path, &self.records, snapshot, visit)
     }
 
-    /// Calls `each` with every batch of a segment from a number on, in their order.
-    pub fn each_batch(
+    /// Calls `visit` with the number and content of every retained change batch of a segment,
+    /// in ascending order.
+    ///
+    /// # Errors
+    /// Those of `visit` and of reading.
+    pub fn for_each_batch(
         &self,
-        segment: u64,
-        first: u64,
-        mut each: impl FnMut(u64, ChangeBatch) -> Result<(), ArchiveError>,
+        segment: &Row<Segment>,
+        mut visit: impl FnMut(u64, ChangeBatch) -> Result<(), ArchiveError>,
     ) -> Result<(), ArchiveError> {
-        let fail = |e| ArchiveError::store(&self.path, redb::Error::from(e));
-        let range = (segment, first)..(segment + 1, 0);
-        for row in self.batches.range(range).map_err(fail)? {
-            let (key, value) = row.map_err(fail)?;
-            let number = key.value().1;
-            let name = format!("change batch {segment}/{number}");
-            each(number, entry(&self.path, &name, value.value())?)?;
+        let keys = batch_keys(segment.id, segment.value.first_batch);
+        for row in self.batches.range(keys).in_file(&self.path)? {
+            let (key, bytes) = row.in_file(&self.path)?;
+            let (_, number) = key.value();
+            let batch = decode_batch(&self.path, key.value(), bytes.value())?;
+            visit(number, batch)?;
         }
         Ok(())
     }
 
-    /// The changes by which a segment's history is recognised: the last ones that were
-    /// compared, and all after them.
-    pub fn recent_changes(
-        &self,
-        id: u64,
-        segment: &Segment,
-    ) -> Result<Vec<Fingerprint>, ArchiveError> {
-        let fail = |e| ArchiveError::store(&self.path, redb::Error::from(e));
+    /// The changes that identify a segment's history: the last ones that were compared, and
+    /// all after them.
+    ///
+    /// # Errors
+    /// Those of reading.
+    pub fn recent_changes(&self, row: &Row<Segment>) -> Result<Vec<Fingerprint>, ArchiveError> {
+        let segment = &row.value;
+        let keys = batch_keys(row.id, segment.first_batch);
         let mut newest_first: Vec<Vec<Fingerprint>> = Vec::new();
         let mut compared = 0;
-        let range = (id, segment.first_batch)..(id + 1, 0);
-        for row in self.batches.range(range).map_err(fail)?.rev() {
-            let (_, value) = row.map_err(fail)?;
-            let batch: ChangeBatch = entry(&self.path, "the last change batch", value.value())?;
+        for row in self.batches.range(keys).in_file(&self.path)?.rev() {
+            let (key, bytes) = row.in_file(&self.path)?;
+            let batch = decode_batch(&self.path, key.value(), bytes.value())?;
             newest_first.push(batch.changes.iter().map(Change::fingerprint).collect());
-            if batch.until <= segment.verified {
+            if batch.until <= segment.verified_until {
                 compared += batch.changes.len();
             }
             if compared > RECOGNISED_CHANGES {
@@ -107,51 +122,28 @@
         }
         let mut recent = Vec::new();
         if compared <= RECOGNISED_CHANGES && segment.first_batch == 0 {
-            recent.extend(segment.context.iter().cloned());
+            recent.extend(segment.preceding_changes.iter().cloned());
         }
         recent.extend(newest_first.into_iter().rev().flatten());
-        let split = recent.partition_point(|c| c.version <= segment.verified);
-        let unverified = recent.split_off(split);
-        recent = last_whole_revisions(recent);
-        recent.extend(unverified);
-        Ok(recent)
+        Ok(keep_recent(recent, segment.verified_until))
     }
 
-    /// Size of the file.
+    /// Size of the file in bytes.
+    ///
+    /// # Errors
+    /// The file can't be examined.
     pub fn file_bytes(&self) -> Result<u64, ArchiveError> {
-        let meta = std::fs::metadata(&self.path);
-        meta.map(|m| m.len())
+        std::fs::metadata(&self.path)
+            .map(|metadata| metadata.len())
             .map_err(|cause| ArchiveError::io(&self.path, cause))
     }
 }
 
-pub(super) fn entries<T: DeserializeOwned>(
-    path: &Path,
-    table: &impl ReadableTable<u64, &'static [u8]>,
-    name: &str,
-) -> Result<Vec<(u64, T)>, ArchiveError> {
-    let fail = |e| ArchiveError::store(path, redb::Error::from(e));
-    let mut all = Vec::new();
-    for row in table.iter().map_err(fail)? {
-        let (id, value) = row.map_err(fail)?;
-        let id = id.value();
-        all.push((id, entry(path, &format!("{name} {id}"), value.value())?));
-    }
-    Ok(all)
-}
-
-pub(super) fn each_record(
-    path: &Path,
-    table: &impl ReadableTable<(u64, &'static str), &'static [u8]>,
-    image: u64,
-    each: &mut dyn FnMut(&str, StoredRecord) -> Result<(), ArchiveError>,
-) -> Result<(), ArchiveError> {
-    let fail = |e| ArchiveError::store(path, redb::Error::from(e));
-    for row in table.range(records_of(image)).map_err(fail)? {
-        let (key, value) = row.map_err(fail)?;
-        let key = key.value().1;
-        let name = format!("record {key} of image {image}");
-        each(key, entry(path, &name, value.value())?)?;
-    }
-    Ok(())
+/// Of changes in the order of their revisions: the last that were compared, and all after.
+fn keep_recent(mut changes: Vec<Fingerprint>, verified_until: u64) -> Vec<Fingerprint> {
+    let split = changes.partition_point(|change| change.version <= verified_until);
+    let unverified = changes.split_off(split);
+    let mut recent = last_whole_revisions(changes);
+    recent.extend(unverified);
+    recent
 }
--- a/crates/archive/src/fault_injection.rs
+++ b/crates/archive/src/fault_injection.rs
@@ -1,42 +1,45 @@
-//! Faults that tests inject: each leaves out one guard, so that a test can show that it
-//! notices. Outside tests no guard is ever left out.
+//! Fault injection for tests: a test disables one safeguard and shows that the archive is then
+//! wrong, so that the safeguard is needed. In production builds every safeguard is active, and
+//! [`is_disabled`] is a constant.
 
-/// A guard that a test may leave out.
+/// A safeguard that a test may disable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Guard {
+pub(crate) enum Safeguard {
     /// After an interruption the archived changes are compared with the state service's.
     HistoryComparison,
     /// A revision that goes back ends the segment.
     RevisionOrder,
-    /// Changes since the last comparison go when the history turns out to be another.
-    DoubtfulChanges,
-    /// An image is brought to one revision by the changes made while it was read.
-    ImageChanges,
-    /// An image read ahead of the archived changes is read anew after an interruption.
-    PagesAhead,
-    /// A segment that has no changes yet is recognised by those just before it.
-    Context,
+    /// When the history turns out to be another, changes archived since the last comparison
+    /// are dropped.
+    UnverifiedChangesDropped,
+    /// A snapshot is brought to one revision by the changes made while it was read.
+    SnapshotConsistency,
+    /// A snapshot read ahead of the archived changes is read anew after an interruption.
+    PagesAheadDiscarded,
+    /// A segment without changes of its own is recognised by those just before it.
+    PrecedingChanges,
 }
 
 #[cfg(test)]
 thread_local! {
-    static LEFT_OUT: std::cell::Cell<Option<Guard>> = const { std::cell::Cell::new(None) };
+    /// Per thread, since tests run in parallel.
+    static DISABLED: std::cell::Cell<Option<Safeguard>> = const { std::cell::Cell::new(None) };
 }
 
-/// Leaves out a guard on this thread from now on, or none.
+/// Disables a safeguard on this thread until the next call; `None` enables all.
 #[cfg(test)]
-pub fn leave_out(guard: Option<Guard>) {
-    LEFT_OUT.set(guard);
+pub(crate) fn disable(safeguard: Option<Safeguard>) {
+    DISABLED.set(safeguard);
 }
 
-/// Whether a test has left out this guard.
+/// Whether a test has disabled this safeguard on this thread.
 #[cfg(test)]
-pub fn is_left_out(guard: Guard) -> bool {
-    LEFT_OUT.get() == Some(guard)
+pub(crate) fn is_disabled(safeguard: Safeguard) -> bool {
+    DISABLED.get() == Some(safeguard)
 }
 
-/// Whether a test has left out this guard: never outside tests.
+/// Whether a test has disabled this safeguard: never outside tests.
 #[cfg(not(test))]
-pub const fn is_left_out(_guard: Guard) -> bool {
+pub(crate) const fn is_disabled(_safeguard: Safeguard) -> bool {
     false
 }
--- a/crates/archive/src/lib.rs
+++ b/crates/archive/src/lib.rs
@@ -1,29 +1,36 @@
 //! An archive of the state service's records on an operator's disk.
 //!
-//! The archive holds *images* (all records at one revision) and, after them, every change as
-//! the state service's watch shows it. A run of changes without a hole is a *segment*; where
+//! The archive holds *snapshots* (all records at one revision) and every change after them, as
+//! the state service's watch shows it. A run of changes without a gap is a *segment*; where
 //! continuity was lost, the next segment says why and what is missing in between.
 //!
 //! - [`recorder`] decides what to ask next and what an answer means; it does no I/O.
-//! - [`database`] keeps segments, images and changes in one file, a transaction a step.
+//! - [`database`] stores segments, snapshots and changes in one file, a transaction at a time.
 //! - [`session`] joins the two with a blocking client.
-//! - [`reconstruct`], [`verify`], [`retention`] and [`export`] work on what is kept.
+//! - [`mod@reconstruct`], [`mod@verify`], [`retention`] and [`mod@export`] work on what is
+//!   stored.
 //!
-//! See docs/recovery.md.
+//! See docs/recovery.md. In the file and in JSON documents a snapshot is called "image".
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
-mod contain;
+pub mod clock;
 pub mod database;
+pub mod digest;
+pub mod documents;
+pub mod encoding;
 pub mod error;
 pub mod export;
 mod fault_injection;
-pub mod form;
+pub mod model;
 pub mod reconstruct;
 pub mod recorder;
 pub mod retention;
 pub mod session;
+mod store_panic;
+#[cfg(test)]
+mod test_support;
 pub mod verify;
 
 pub use database::Archive;
--- a/crates/archive/src/reconstruct.rs
+++ b/crates/archive/src/reconstruct.rs
@@ -1,121 +1,162 @@
-//! The records as they were at a revision that the archive covers.
+//! Point-in-time reconstruction: the records as they were at a revision that the archive
+//! covers, from the last snapshot before it and the changes since.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
-use crate::database::View;
+use salttiller_records::units::Micros;
+
+use crate::database::ArchiveView;
 use crate::error::ArchiveError;
-use crate::form::{Change, Segment, StoredRecord};
+use crate::model::{Change, CompleteSnapshot, Row, Segment, StoredRecord};
 
 /// All records, by key.
-pub type State = BTreeMap<String, StoredRecord>;
+pub type RecordMap = BTreeMap<String, StoredRecord>;
 
-/// Which moment is meant.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Moment {
-    /// Segment; `None`: the newest that covers the revision.
+/// A point in time, as an operator asks for it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub struct PointInTime {
+    /// Number of the segment; `None`: the newest that covers the revision.
     pub segment: Option<u64>,
     /// Revision; `None`: the last one known.
     pub revision: Option<u64>,
 }
 
-/// The records at a moment, and where they come from.
+/// Says what is missing for this point in time.
+impl fmt::Display for PointInTime {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.revision {
+            Some(revision) => write!(f, "no snapshot with the changes up to revision {revision}")?,
+            None => f.write_str("no complete snapshot")?,
+        }
+        match self.segment {
+            Some(segment) => write!(f, " in segment {segment}"),
+            None => Ok(()),
+        }
+    }
+}
+
+/// Changes after one revision, up to and including another.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct RevisionRange {
+    /// The last revision before the range.
+    pub after: u64,
+    /// The last revision in the range.
+    pub until: u64,
+}
+
+impl RevisionRange {
+    /// Whether the range holds a revision.
+    #[must_use]
+    pub fn contains(&self, revision: u64) -> bool {
+        self.after < revision && revision <= self.until
+    }
+}
+
+/// The records at a point in time, and what they were made from.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reconstructed {
-    /// The segment.
-    pub segment_id: u64,
-    /// What the archive says of it.
-    pub segment: Segment,
+pub struct Reconstruction {
+    /// The segment that covers the revision.
+    pub segment: Row<Segment>,
     /// The revision.
     pub revision: u64,
-    /// Revision of the image that it starts from.
-    pub image_revision: u64,
-    /// Time of day at which that image was begun.
-    pub image_begun: u64,
-    /// Changes applied to the image.
-    pub changes: u64,
+    /// Revision of the snapshot that the records start from.
+    pub snapshot_revision: u64,
+    /// Wall-clock time at which that snapshot was started.
+    pub snapshot_started: Micros,
+    /// Number of changes applied to the snapshot.
+    pub changes_applied: u64,
     /// The records.
-    pub state: State,
+    pub records: RecordMap,
 }
 
-/// Makes a change to the records.
-fn apply_change(state: &mut State, change: Change) {
-    match change.value {
-        Some(value) => {
-            let version = change.version;
-            state.insert(change.key, StoredRecord { version, value });
-        }
-        None => {
-            state.remove(&change.key);
-        }
-    }
-}
-
-/// The records of an image.
-pub fn image_state(view: &View, image: u64) -> Result<State, ArchiveError> {
-    let mut state = State::new();
-    view.each_record(image, |key, record| {
-        state.insert(key.to_owned(), record);
-        Ok(())
-    })?;
-    Ok(state)
+/// Reconstructs the records at a point in time.
+///
+/// # Errors
+/// [`ArchiveError::NotCovered`] without a snapshot to start from, and those of reading.
+pub fn reconstruct(view: &ArchiveView, point: PointInTime) -> Result<Reconstruction, ArchiveError> {
+    let (segment, revision, base) = find_base(view, point)?;
+    let mut records = load_snapshot(view, base.id)?;
+    let range = RevisionRange {
+        after: base.revision,
+        until: revision,
+    };
+    let changes_applied = apply_changes(view, &segment, range, &mut records)?;
+    Ok(Reconstruction {
+        segment,
+        revision,
+        snapshot_revision: base.revision,
+        snapshot_started: base.snapshot.started,
+        changes_applied,
+        records,
+    })
 }
 
-/// The records at a moment: the last image before it, and the changes since.
-pub fn at(view: &View, moment: Moment) -> Result<Reconstructed, ArchiveError> {
+/// The newest segment that covers a point in time, the revision that is meant, and the last
+/// snapshot up to it.
+fn find_base(
+    view: &ArchiveView,
+    point: PointInTime,
+) -> Result<(Row<Segment>, u64, CompleteSnapshot), ArchiveError> {
     let mut segments = view.segments()?;
-    segments.retain(|(id, _)| moment.segment.is_none_or(|wanted| wanted == *id));
-    for (id, segment) in segments.into_iter().rev() {
-        let revision = moment.revision.unwrap_or(segment.until);
-        if revision > segment.until {
+    segments.retain(|row| point.segment.is_none_or(|wanted| wanted == row.id));
+    for segment in segments.into_iter().rev() {
+        let revision = point.revision.unwrap_or(segment.value.until);
+        if revision > segment.value.until {
             continue;
         }
-        let images = view.complete_images(id)?;
-        let image = images.into_iter().rev().find(|(_, at, _)| *at <= revision);
-        if let Some((image_id, image_revision, image)) = image {
-            let mut state = image_state(view, image_id)?;
-            let span = (image_revision, revision);
-            let changes = advance(view, id, &segment, &mut state, span)?;
-            return Ok(Reconstructed {
-                segment_id: id,
-                revision,
-                image_revision,
-                image_begun: image.begun,
-                changes,
-                state,
-                segment,
-            });
+        let snapshots = view.complete_snapshots(segment.id)?;
+        let base = snapshots.into_iter().rfind(|s| s.revision <= revision);
+        if let Some(base) = base {
+            return Ok((segment, revision, base));
         }
     }
-    Err(ArchiveError::NotKept(not_kept(moment)))
+    Err(ArchiveError::NotCovered(point))
+}
+
+/// The records of a snapshot.
+///
+/// # Errors
+/// Those of reading.
+pub fn load_snapshot(view: &ArchiveView, snapshot: u64) -> Result<RecordMap, ArchiveError> {
+    let mut records = RecordMap::new();
+    view.for_each_record(snapshot, |keyed| {
+        records.insert(keyed.key, keyed.record);
+        Ok(())
+    })?;
+    Ok(records)
 }
 
-/// Makes the changes of a segment after one revision up to another; returns how many.
-pub fn advance(
-    view: &View,
-    segment_id: u64,
-    segment: &Segment,
-    state: &mut State,
-    (after, until): (u64, u64),
+/// Applies a segment's changes in a range of revisions to records; returns their number.
+///
+/// # Errors
+/// Those of reading.
+pub fn apply_changes(
+    view: &ArchiveView,
+    segment: &Row<Segment>,
+    range: RevisionRange,
+    records: &mut RecordMap,
 ) -> Result<u64, ArchiveError> {
     let mut applied = 0;
-    view.each_batch(segment_id, segment.first_batch, |_, batch| {
-        let wanted = |c: &Change| c.version > after && c.version <= until;
+    view.for_each_batch(segment, |_, batch| {
+        let wanted = |change: &Change| range.contains(change.version);
         for change in batch.changes.into_iter().filter(wanted) {
             applied += 1;
-            apply_change(state, change);
+            apply_change(records, change);
         }
         Ok(())
     })?;
     Ok(applied)
 }
 
-fn not_kept(moment: Moment) -> String {
-    let segment = match moment.segment {
-        Some(id) => format!(" in segment {id}"),
-        None => String::new(),
+fn apply_change(records: &mut RecordMap, change: Change) {
+    let Change {
+        version,
+        key,
+        value,
+    } = change;
+    match value {
+        Some(value) => records.insert(key, StoredRecord { version, value }),
+        None => records.remove(&key),
     };
-    match moment.revision {
-        Some(revision) => format!("no image with the changes up to revision {revision}{segment}"),
-        None => format!("no complete image{segment}"),
-    }
 }
--- a/crates/archive/src/retention.rs
+++ b/crates/archive/src/retention.rs
@@ -1,79 +1,92 @@
-//! What is dropped once newer images make it unneeded.
+//! Retention: which snapshots and changes are deleted once newer snapshots replace them.
 
 use salttiller_records::units::Micros;
 
-use crate::database::{Archive, Step};
+use crate::database::{Archive, ArchiveTransaction};
 use crate::error::ArchiveError;
-use crate::form::Image;
+use crate::model::CompleteSnapshot;
 
-/// What is kept. The newest complete image and all that follows it always are.
+/// What is retained. The newest complete snapshot and all changes after it always are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Retention {
-    /// Most complete images.
-    pub images: usize,
-    /// Greatest age of an image.
-    pub age: Micros,
+pub struct RetentionPolicy {
+    /// Greatest number of complete snapshots.
+    pub max_snapshots: usize,
+    /// Greatest age of a snapshot, by the time at which it was started.
+    pub max_age: Micros,
 }
 
-/// What a pass dropped.
+/// What a pass deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Dropped {
-    /// Images.
-    pub images: usize,
+pub struct PrunedCounts {
+    /// Snapshots.
+    pub snapshots: usize,
     /// Whole segments.
     pub segments: usize,
 }
 
-/// Which of the complete images, oldest first, are to go.
-fn expired(images: &[(u64, Image)], retention: Retention, wall: Micros) -> Vec<u64> {
-    let Some(newest) = images.len().checked_sub(1) else {
-        return Vec::new();
-    };
-    let kept_from = images.len().saturating_sub(retention.images.max(1));
-    let too_old = |image: &Image| image.begun.saturating_add(retention.age) < wall;
-    images[..newest]
-        .iter()
-        .enumerate()
-        .filter(|(place, (_, image))| *place < kept_from || too_old(image))
-        .map(|(_, (id, _))| *id)
-        .collect()
-}
-
-/// Drops what retention no longer keeps, in one transaction.
+/// Deletes what the policy no longer retains, in one transaction.
+///
+/// # Errors
+/// Those of reading and writing; nothing is deleted then.
 pub fn prune(
     archive: &Archive,
-    retention: Retention,
-    wall: Micros,
-) -> Result<Dropped, ArchiveError> {
-    archive.write(|step| prune_step(step, retention, wall))
+    policy: RetentionPolicy,
+    wall_clock: Micros,
+) -> Result<PrunedCounts, ArchiveError> {
+    archive.write(|transaction| {
+        let snapshots = transaction.complete_snapshots()?;
+        let (expired, retained) = split_expired(snapshots, policy, wall_clock);
+        for snapshot in &expired {
+            transaction.delete_snapshot(snapshot.id)?;
+        }
+        let oldest = retained.first();
+        let segments = prune_segments(transaction, oldest.map_or(0, |s| s.snapshot.segment))?;
+        if let Some(oldest) = oldest {
+            transaction.delete_changes_until(oldest.snapshot.segment, oldest.revision)?;
+        }
+        Ok(PrunedCounts {
+            snapshots: expired.len(),
+            segments,
+        })
+    })
 }
 
-fn prune_step(
-    step: &mut Step<'_>,
-    retention: Retention,
-    wall: Micros,
-) -> Result<Dropped, ArchiveError> {
-    let mut images = step.images()?;
-    images.retain(|(_, image)| image.revision.is_some());
-    let expired = expired(&images, retention, wall);
-    for id in &expired {
-        step.drop_image(*id)?;
-    }
-    images.retain(|(id, _)| !expired.contains(id));
-    let mut dropped = Dropped {
-        images: expired.len(),
-        segments: 0,
+/// Splits the complete snapshots, oldest first, into those to delete and those to retain.
+fn split_expired(
+    snapshots: Vec<CompleteSnapshot>,
+    policy: RetentionPolicy,
+    wall_clock: Micros,
+) -> (Vec<CompleteSnapshot>, Vec<CompleteSnapshot>) {
+    let count = snapshots.len();
+    let first_by_count = count.saturating_sub(policy.max_snapshots.max(1));
+    let is_expired = |place: usize, snapshot: &CompleteSnapshot| {
+        let is_newest = place + 1 == count;
+        let too_old = snapshot.snapshot.started.saturating_add(policy.max_age) < wall_clock;
+        !is_newest && (place < first_by_count || too_old)
     };
-    let mut segments = step.segments()?;
-    // The last segment is the one that is recorded, whether it has an image yet or not.
-    segments.pop();
-    let oldest_kept = images.first().map_or(0, |(_, image)| image.segment);
-    for (id, _) in segments.iter().filter(|(id, _)| *id < oldest_kept) {
-        step.drop_segment(*id)?;
-        dropped.segments += 1;
+    let mut expired = Vec::new();
+    let mut retained = Vec::new();
+    for (place, snapshot) in snapshots.into_iter().enumerate() {
+        if is_expired(place, &snapshot) {
+            expired.push(snapshot);
+        } else {
+            retained.push(snapshot);
+        }
     }
-    for (_, image) in &images[..images.len().min(1)] {
-        step.drop_changes_until(image.segment, image.revision.unwrap_or(0))?;
+    (expired, retained)
+}
+
+/// Deletes the segments before the one of the oldest retained snapshot; returns their number.
+/// The last segment stays, as it is being recorded, whether it has a snapshot yet or not.
+fn prune_segments(
+    transaction: &mut ArchiveTransaction<'_>,
+    oldest_retained: u64,
+) -> Result<usize, ArchiveError> {
+    let mut segments = transaction.segments()?;
+    segments.pop();
+    segments.retain(|segment| segment.id < oldest_retained);
+    for segment in &segments {
+        transaction.delete_segment(segment.id)?;
     }
-    Ok(dropped)
+    Ok(segments.len())
 }
--- a/crates/archive/src/session.rs
+++ b/crates/archive/src/session.rs
@@ -1,42 +1,55 @@
-//! Records from a state service into an archive until told to stop.
+//! A recording session: joins the recorder, the archive and a blocking client.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::thread;
+use std::time::{Duration, Instant};
 
 use salttiller_protocol::client::Client;
-use salttiller_protocol::http::Response;
 use salttiller_protocol::state_service::decode;
 use salttiller_records::units::{Micros, SECOND};
 
+use crate::clock::{wall_clock, ClockReading};
 use crate::database::Archive;
-use crate::error::ArchiveError;
-use crate::recorder::{Answer, Pace, Recorder, Request};
-use crate::retention::{prune, Retention};
+use crate::error::{ArchiveError, RequestError};
+use crate::recorder::{Answer, Pacing, Recorder, Request, ScheduledRequest};
+use crate::retention::{prune, RetentionPolicy};
 
-/// Time for an answer beyond what a watch waits.
-const ANSWER_TIME: Micros = 5 * SECOND;
+/// Time for an answer, beyond what a watch waits for a change.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// The longest sleep before looking whether to stop.
-const STOP_CHECK: Duration = Duration::from_millis(100);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// When a session ends by itself.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Goal {
-    /// After so many complete images; `None`: never for that.
-    pub images: Option<u64>,
-    /// After this time; `None`: never for that.
-    pub time: Option<Duration>,
-    /// After no usable answer for so long; `None`: it goes on asking.
-    pub patience: Option<Duration>,
+/// When a session ends by itself; `None`: never for that reason.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub struct SessionLimits {
+    /// After so many complete snapshots.
+    pub snapshots: Option<u64>,
+    /// After this time.
+    pub duration: Option<Duration>,
+    /// With an error, after no usable answer for so long.
+    pub unavailability: Option<Duration>,
+}
+
+impl SessionLimits {
+    fn are_reached(&self, summary: SessionSummary, elapsed: Duration) -> bool {
+        self.snapshots
+            .is_some_and(|limit| summary.snapshots >= limit)
+            || self.duration.is_some_and(|limit| elapsed >= limit)
+    }
+
+    fn is_unavailable_for(&self, elapsed: Duration) -> bool {
+        self.unavailability.is_some_and(|limit| elapsed >= limit)
+    }
 }
 
 /// What a session did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Summary {
+pub struct SessionSummary {
     /// Requests that were sent.
     pub requests: u64,
-    /// Images that were completed.
-    pub images: u64,
+    /// Snapshots that were completed.
+    pub snapshots: u64,
 }
 
 /// A state service, the archive that its records go to, and how.
@@ -45,124 +58,114 @@
     pub state_service: SocketAddr,
     /// The archive.
     pub archive: &'a Archive,
-    /// How fast.
-    pub pace: Pace,
-    /// What is kept.
-    pub retention: Retention,
+    /// How fast to go.
+    pub pacing: Pacing,
+    /// What is retained after each snapshot.
+    pub retention: RetentionPolicy,
     /// Set to end the session after the current request.
     pub stop: &'a AtomicBool,
 }
 
 impl Session<'_> {
-    /// Records until the goal is reached.
-    pub fn run(&self, goal: Goal) -> Result<Summary, ArchiveError> {
+    /// Records until a limit is reached or [`Session::stop`] is set.
+    ///
+    /// # Errors
+    /// The archive can't be written, or the state service was unavailable for too long.
+    pub fn run(&self, limits: SessionLimits) -> Result<SessionSummary, ArchiveError> {
         let started = Instant::now();
-        let steady = || started.elapsed().as_micros() as Micros;
         let mut client = Client::new(self.state_service);
-        let mut recorder = self.resume()?;
-        let mut summary = Summary::default();
-        let mut last_usable = Instant::now();
-        while !self.is_over(goal, started, &summary) {
-            let (at, request) = recorder.next(steady());
-            let wait = at.saturating_sub(steady());
-            if wait > 0 {
-                std::thread::sleep(Duration::from_micros(wait).min(STOP_CHECK));
+        let mut recorder = self.resume_recorder()?;
+        let mut summary = SessionSummary::default();
+        let mut last_usable = started;
+        while !self.stop.load(Ordering::Relaxed) && !limits.are_reached(summary, started.elapsed())
+        {
+            let now = monotonic_since(started);
+            let ScheduledRequest {
+                not_before,
+                request,
+            } = recorder.next_request(now);
+            if not_before > now {
+                let wait = Duration::from_micros(not_before - now);
+                thread::sleep(wait.min(STOP_CHECK_INTERVAL));
                 continue;
             }
             summary.requests += 1;
-            let answer = ask(&mut client, &request);
-            if let Answer::Failed(_) | Answer::Refused { .. } = answer {
-                self.check_patience(goal, last_usable, &answer)?;
-            } else {
-                last_usable = Instant::now();
-            }
-            let wall = wall_clock();
-            let actions = recorder.on_answer(&request, answer, steady(), wall);
-            if !actions.is_empty() {
-                self.archive.apply(&actions, wall)?;
-            }
-            if recorder.images_completed() > summary.images {
-                summary.images = recorder.images_completed();
-                prune(self.archive, self.retention, wall)?;
+            let answer = self.ask(&mut client, &request);
+            let clock = ClockReading {
+                monotonic: monotonic_since(started),
+                wall_clock: wall_clock(),
+            };
+            match answer {
+                Ok(_) => last_usable = Instant::now(),
+                Err(error) if limits.is_unavailable_for(last_usable.elapsed()) => {
+                    return Err(ArchiveError::StateService(error));
+                }
+                Err(_) => {}
             }
+            self.record(&mut recorder, &request, answer, clock)?;
+            summary.snapshots = recorder.snapshots_completed();
         }
         Ok(summary)
     }
 
-    /// Goes on where the archive ends. An image that is due by the age of the last one is
+    /// Continues where the archive ends. A snapshot that is due by the age of the last one is
     /// taken at once.
-    fn resume(&self) -> Result<Recorder, ArchiveError> {
-        self.archive.drop_incomplete_image()?;
+    fn resume_recorder(&self) -> Result<Recorder, ArchiveError> {
+        self.archive.delete_incomplete_snapshot()?;
         self.archive.read(|view| {
-            let Some((id, segment)) = view.segments()?.pop() else {
-                return Ok(Recorder::first(self.pace, wall_clock()));
+            let now = wall_clock();
+            let Some(segment) = view.segments()?.pop() else {
+                return Ok(Recorder::new(self.pacing, now));
             };
-            let recent = view.recent_changes(id, &segment)?;
-            let mut recorder = Recorder::resumed(self.pace, &segment, recent);
-            if let Some((_, _, image)) = view.complete_images(id)?.pop() {
-                let age = wall_clock().saturating_sub(image.begun);
-                recorder.schedule_image(self.pace.image_every.saturating_sub(age));
+            let recent = view.recent_changes(&segment)?;
+            let mut recorder = Recorder::resume(self.pacing, &segment.value, recent);
+            if let Some(last) = view.complete_snapshots(segment.id)?.pop() {
+                let age = now.saturating_sub(last.snapshot.started);
+                recorder.schedule_snapshot(self.pacing.snapshot_interval.saturating_sub(age));
             }
             Ok(recorder)
         })
     }
 
-    fn is_over(&self, goal: Goal, started: Instant, summary: &Summary) -> bool {
-        self.stop.load(Ordering::Relaxed)
-            || goal.images.is_some_and(|wanted| summary.images >= wanted)
-            || goal.time.is_some_and(|time| started.elapsed() >= time)
+    fn ask(&self, client: &mut Client, request: &Request) -> Result<Answer, RequestError> {
+        let timeout = ANSWER_TIMEOUT + Duration::from_micros(request.wait());
+        let response = client.call("GET", &request.target(), &[], timeout)?;
+        match (response.status, request) {
+            (200, Request::Revision | Request::Page { .. }) => decode(&response.body)
+                .map(Answer::Page)
+                .map_err(RequestError::InvalidPage),
+            (200, Request::Watch { .. }) => decode(&response.body)
+                .map(Answer::Changes)
+                .map_err(RequestError::InvalidChanges),
+            (410, Request::Watch { .. }) => Ok(Answer::Compacted),
+            (status, _) => Err(RequestError::Refused {
+                address: self.state_service,
+                status,
+                retry_after: response.retry_after.map(|s| Micros::from(s) * SECOND),
+            }),
+        }
     }
 
-    fn check_patience(
+    /// Writes what follows from an answer; after a snapshot what need not be retained goes.
+    fn record(
         &self,
-        goal: Goal,
-        last_usable: Instant,
-        answer: &Answer,
+        recorder: &mut Recorder,
+        request: &Request,
+        answer: Result<Answer, RequestError>,
+        clock: ClockReading,
     ) -> Result<(), ArchiveError> {
-        if goal.patience.is_none_or(|p| last_usable.elapsed() < p) {
-            return Ok(());
+        let completed_before = recorder.snapshots_completed();
+        let actions = recorder.on_answer(request, answer, clock);
+        if !actions.is_empty() {
+            self.archive.apply(&actions, clock.wall_clock)?;
         }
-        Err(ArchiveError::StateService(match answer {
-            Answer::Refused { status, .. } => format!("{}: status {status}", self.state_service),
-            Answer::Failed(reason) => reason.clone(),
-            _ => "no usable answer".to_owned(),
-        }))
-    }
-}
-
-/// Time of day, for information.
-pub fn wall_clock() -> Micros {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_micros() as Micros)
-}
-
-fn ask(client: &mut Client, request: &Request) -> Answer {
-    let wait = match request {
-        Request::Watch { wait, .. } => *wait,
-        Request::Revision | Request::Page { .. } => 0,
-    };
-    let time = Duration::from_micros(wait + ANSWER_TIME);
-    match client.call("GET", &request.target(), &[], time) {
-        Ok(response) => read_answer(request, &response),
-        Err(error) => Answer::Failed(error.to_string()),
+        if recorder.snapshots_completed() > completed_before {
+            prune(self.archive, self.retention, clock.wall_clock)?;
+        }
+        Ok(())
     }
 }
 
-fn read_answer(request: &Request, response: &Response) -> Answer {
-    match (response.status, request) {
-        (200, Request::Revision | Request::Page { .. }) => match decode(&response.body) {
-            Ok(page) => Answer::Page(page),
-            Err(e) => Answer::Failed(format!("a page can't be read: {e}")),
-        },
-        (200, Request::Watch { .. }) => match decode(&response.body) {
-            Ok(changes) => Answer::Changes(changes),
-            Err(e) => Answer::Failed(format!("changes can't be read: {e}")),
-        },
-        (410, Request::Watch { .. }) => Answer::NotKept,
-        (status, _) => Answer::Refused {
-            retry_after: response.retry_after.map(|s| Micros::from(s) * SECOND),
-            status,
-        },
-    }
+fn monotonic_since(started: Instant) -> Micros {
+    started.elapsed().as_micros() as Micros
 }
--- a/crates/archive/src/verify.rs
+++ b/crates/archive/src/verify.rs
@@ -1,109 +1,132 @@
-//! Whether an archive is whole: checksums, numbering, and images against the changes between.
+//! Verification of an archive: checksums, numbering, and each snapshot against the one before
+//! it with the changes between.
 
 use serde::Serialize;
 
-use crate::database::{Archive, View};
-use crate::error::ArchiveError;
-use crate::form::{RecordDigest, Segment};
-use crate::reconstruct::{advance, image_state, State};
+use crate::database::{Archive, ArchiveView};
+use crate::digest::{DigestedRecords, RecordDigest};
+use crate::error::{ArchiveError, Damage, EntryName};
+use crate::model::{ChangeBatch, CompleteSnapshot, Row, Segment};
+use crate::reconstruct::{apply_changes, load_snapshot, RecordMap, RevisionRange};
 
-/// What was checked and held.
+/// What was checked and found intact. Printed as JSON; the names are part of that form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
-pub struct Verified {
+pub struct VerifiedCounts {
     /// Segments.
     pub segments: u64,
-    /// Complete images, each against its digest.
-    pub images: u64,
-    /// Images that equal the one before them with the changes between.
-    pub images_from_changes: u64,
+    /// Complete snapshots, each against its digest.
+    #[serde(rename = "images")]
+    pub snapshots: u64,
+    /// Snapshots that equal the one before them with the changes between.
+    #[serde(rename = "images_from_changes")]
+    pub snapshots_from_changes: u64,
     /// Change batches.
     pub batches: u64,
     /// Changes.
     pub changes: u64,
 }
 
-/// Checks an archive; the first thing that is wrong is the error.
-pub fn verify(archive: &Archive) -> Result<Verified, ArchiveError> {
+/// Verifies an archive.
+///
+/// # Errors
+/// The first damage that was found, or why the file can't be read.
+pub fn verify(archive: &Archive) -> Result<VerifiedCounts, ArchiveError> {
     archive.check_integrity()?;
     archive.read(|view| {
-        let mut verified = Verified::default();
-        for (id, segment) in view.segments()? {
-            verified.segments += 1;
-            check_batches(view, id, &segment, &mut verified)?;
-            check_images(view, id, &segment, &mut verified)?;
+        let mut counts = VerifiedCounts::default();
+        for segment in view.segments()? {
+            counts.segments += 1;
+            verify_batches(view, &segment, &mut counts)?;
+            verify_snapshots(view, &segment, &mut counts)?;
         }
-        Ok(verified)
+        Ok(counts)
     })
 }
 
-fn check_batches(
-    view: &View,
-    id: u64,
-    segment: &Segment,
-    verified: &mut Verified,
+/// Checks that batches are numbered without a gap and their changes are in order.
+fn verify_batches(
+    view: &ArchiveView,
+    segment: &Row<Segment>,
+    counts: &mut VerifiedCounts,
 ) -> Result<(), ArchiveError> {
-    let damaged = |reason: String| ArchiveError::damaged(view.path(), reason);
-    let mut expected = segment.first_batch;
-    let mut until = segment.after;
-    view.each_batch(id, segment.first_batch, |number, batch| {
-        let name = format!("change batch {id}/{number}");
+    let name = |number| EntryName::ChangeBatch {
+        segment: segment.id,
+        number,
+    };
+    let missing = |number| Damage::MissingBatch(name(number)).in_file(view.path());
+    let mut expected = segment.value.first_batch;
+    let mut until = segment.value.after;
+    view.for_each_batch(segment, |number, batch| {
         if number != expected {
-            return Err(damaged(format!("change batch {id}/{expected} is missing")));
+            return Err(missing(expected));
         }
-        if batch.after < until || batch.until > segment.until {
-            return Err(damaged(format!("{name} is out of order")));
-        }
-        let mut last = batch.after;
-        for change in &batch.changes {
-            if change.version <= batch.after || change.version < last {
-                return Err(damaged(format!("{name} holds changes out of order")));
-            }
-            last = change.version;
-        }
-        if last > batch.until {
-            return Err(damaged(format!("{name} holds changes past its end")));
+        if batch.after < until || batch.until > segment.value.until {
+            return Err(Damage::BatchOutOfOrder(name(number)).in_file(view.path()));
         }
+        verify_change_order(&batch, name(number)).map_err(|damage| damage.in_file(view.path()))?;
         expected += 1;
         until = batch.until;
-        verified.batches += 1;
-        verified.changes += batch.changes.len() as u64;
+        counts.batches += 1;
+        counts.changes += batch.changes.len() as u64;
         Ok(())
     })?;
-    if expected != segment.next_batch {
-        return Err(damaged(format!("change batch {id}/{expected} is missing")));
+    if expected != segment.value.next_batch {
+        return Err(missing(expected));
     }
     Ok(())
 }
 
-fn check_images(
-    view: &View,
-    id: u64,
-    segment: &Segment,
-    verified: &mut Verified,
-) -> Result<(), ArchiveError> {
-    let damaged = |reason: String| ArchiveError::damaged(view.path(), reason);
-    let mut previous: Option<(u64, State)> = None;
-    for (image_id, revision, image) in view.complete_images(id)? {
-        let state = image_state(view, image_id)?;
-        let mut digest = RecordDigest::default();
-        for (key, record) in &state {
-            digest.add(key, record);
+/// Checks that a batch's changes ascend within its range of revisions.
+fn verify_change_order(batch: &ChangeBatch, name: EntryName) -> Result<(), Damage> {
+    let mut last = batch.after;
+    for change in &batch.changes {
+        if change.version <= batch.after || change.version < last {
+            return Err(Damage::ChangesOutOfOrder(name));
         }
-        if digest.finish() != (image.records, image.digest) {
-            return Err(damaged(format!("image {image_id} fails its digest")));
+        last = change.version;
+    }
+    if last > batch.until {
+        return Err(Damage::ChangesPastEnd(name));
+    }
+    Ok(())
+}
+
+/// Checks each snapshot against its digest and against the one before it.
+fn verify_snapshots(
+    view: &ArchiveView,
+    segment: &Row<Segment>,
+    counts: &mut VerifiedCounts,
+) -> Result<(), ArchiveError> {
+    let mut previous: Option<(u64, RecordMap)> = None;
+    for complete in view.complete_snapshots(segment.id)? {
+        let records = load_snapshot(view, complete.id)?;
+        let name = EntryName::Snapshot(complete.id);
+        if !matches_digest(&complete, &records) {
+            return Err(Damage::SnapshotDigest(name).in_file(view.path()));
         }
-        if let Some((from, mut older)) = previous.take() {
-            advance(view, id, segment, &mut older, (from, revision))?;
-            if older != state {
-                let reason = format!(
-                    "image {image_id} differs from the one before it with the changes between"
-                );
-                return Err(damaged(reason));
+        if let Some((after, mut replayed)) = previous.take() {
+            let until = complete.revision;
+            let range = RevisionRange { after, until };
+            apply_changes(view, segment, range, &mut replayed)?;
+            if replayed != records {
+                return Err(Damage::SnapshotDiffers(name).in_file(view.path()));
             }
-            verified.images_from_changes += 1;
+            counts.snapshots_from_changes += 1;
         }
-        verified.images += 1;
-        previous = Some((revision, state));
+        counts.snapshots += 1;
+        previous = Some((complete.revision, records));
     }
     Ok(())
 }
+
+fn matches_digest(complete: &CompleteSnapshot, records: &RecordMap) -> bool {
+    let mut digest = RecordDigest::default();
+    for (key, record) in records {
+        digest.add(key, record);
+    }
+    let stored = DigestedRecords {
+        records: complete.snapshot.records,
+        digest: complete.snapshot.digest.clone(),
+    };
+    digest.finish() == stored
+}
--- a/crates/salttillerctl/src/archive.rs
+++ b/crates/salttillerctl/src/archive.rs
@@ -1,24 +1,23 @@
-//! `salttillerctl archive`.
+//! `salttillerctl archive`: the command line, and which function carries out a command.
+//!
+//! Doc comments of the command line are its help text.
 
-use std::path::{Path, PathBuf};
-use std::sync::atomic::AtomicBool;
+mod export;
+mod inspect;
+mod record;
+
+use std::path::PathBuf;
 use std::time::Duration;
 
 use clap::{Subcommand, ValueEnum};
 use schemars::schema_for;
 
-use salttiller::settings::Settings;
-use salttiller_archive::export::{export, list, ExportDocument, ListDocument, ListedSegment};
-use salttiller_archive::reconstruct::Moment;
-use salttiller_archive::recorder::Pace;
-use salttiller_archive::retention::Retention;
-use salttiller_archive::session::{Goal, Session, Summary};
-use salttiller_archive::verify::verify;
-use salttiller_archive::{Archive, ArchiveError};
+use salttiller_archive::documents::{ExportDocument, ListDocument};
+use salttiller_archive::reconstruct::PointInTime;
+use salttiller_archive::session::SessionLimits;
 
-use crate::exit::Failure;
-use crate::output::{print_json, write_whole};
-use crate::settings::{read_archive_settings, ArchiveSettings};
+use crate::failure::Failure;
+use crate::output::print_json;
 
 /// `salttillerctl archive`.
 #[derive(clap::Args)]
@@ -29,7 +28,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Records all changes, and an image from time to time, until it is ended.
+    /// Records all changes, and a snapshot from time to time, until it is ended.
     Run {
         #[command(flatten)]
         source: Source,
@@ -37,7 +36,7 @@
         #[arg(long, value_name = "SECONDS")]
         max_s: Option<u64>,
     },
-    /// Takes one image, with the changes up to it, and ends.
+    /// Takes one snapshot, with the changes up to it, and ends.
     Snapshot {
         #[command(flatten)]
         source: Source,
@@ -106,26 +105,28 @@
 }
 
 /// Runs a command.
+///
+/// # Errors
+/// Why the command failed.
 pub fn run(args: &Args) -> Result<(), Failure> {
     match &args.command {
-        Command::Run { source, max_s } => record(
-            source,
-            Goal {
-                images: None,
-                time: max_s.map(Duration::from_secs),
-                patience: None,
-            },
-        ),
-        Command::Snapshot { source, patience_s } => record(
-            source,
-            Goal {
-                images: Some(1),
-                time: None,
-                patience: Some(Duration::from_secs(*patience_s)),
-            },
-        ),
-        Command::Verify { archive, json } => check(archive, *json),
-        Command::List { archive, json } => show(archive, *json),
+        Command::Run { source, max_s } => {
+            let limits = SessionLimits {
+                duration: max_s.map(Duration::from_secs),
+                ..SessionLimits::default()
+            };
+            record::record(source, limits)
+        }
+        Command::Snapshot { source, patience_s } => {
+            let limits = SessionLimits {
+                snapshots: Some(1),
+                unavailability: Some(Duration::from_secs(*patience_s)),
+                ..SessionLimits::default()
+            };
+            record::record(source, limits)
+        }
+        Command::Verify { archive, json } => inspect::verify_archive(archive, *json),
+        Command::List { archive, json } => inspect::list_archive(archive, *json),
         Command::Export {
             archive,
             revision,
@@ -133,16 +134,22 @@
             output,
             yes,
         } => {
-            let moment = Moment {
+            let point = PointInTime {
                 segment: *segment,
                 revision: *revision,
             };
-            write_out(archive, moment, output.as_deref(), *yes)
+            match output {
+                Some(output) => export::export_to_file(archive, point, output, *yes),
+                None => export::print_export(archive, point),
+            }
         }
     }
 }
 
 /// Prints the schema of a document.
+///
+/// # Errors
+/// Standard output can't be written.
 pub fn print_schema(document: Document) -> Result<(), Failure> {
     let schema = match document {
         Document::ArchiveExport => schema_for!(ExportDocument),
@@ -150,129 +157,3 @@
     };
     print_json(&schema)
 }
-
-fn record(source: &Source, goal: Goal) -> Result<(), Failure> {
-    let platform = Settings::load(&source.config, None)?;
-    let settings = read_archive_settings(source.ini.as_deref())?;
-    let deployment = match &source.deployment {
-        Some(name) => name.clone(),
-        None => platform.regions().join(","),
-    };
-    let archive = Archive::open_or_create(&source.archive, &deployment)?;
-    let mut pace = pace(&settings, platform.store_rps);
-    if goal.images.is_some() {
-        // An image was asked for: it is due now, however young the last one is.
-        pace.image_every = 0;
-    }
-    let session = Session {
-        state_service: platform.store,
-        archive: &archive,
-        pace,
-        retention: retention(&settings),
-        stop: &AtomicBool::new(false),
-    };
-    let summary = session.run(goal)?;
-    report(&summary, &archive)
-}
-
-fn pace(settings: &ArchiveSettings, requests_per_second: f64) -> Pace {
-    Pace {
-        request_gap: micros(1.0 / (requests_per_second * settings.request_share)),
-        watch_gap: micros(settings.watch_s),
-        image_every: micros(settings.image_every_s),
-    }
-}
-
-fn retention(settings: &ArchiveSettings) -> Retention {
-    Retention {
-        images: settings.keep_images,
-        age: micros(settings.keep_s),
-    }
-}
-
-fn micros(seconds: f64) -> u64 {
-    Duration::from_secs_f64(seconds).as_micros() as u64
-}
-
-fn report(summary: &Summary, archive: &Archive) -> Result<(), Failure> {
-    let Summary { requests, images } = summary;
-    let file = archive.path().display();
-    println!("{file}: {images} images, {requests} requests to the state service");
-    Ok(())
-}
-
-fn check(path: &Path, json: bool) -> Result<(), Failure> {
-    let verified = verify(&Archive::open(path, None)?)?;
-    if json {
-        return print_json(&verified);
-    }
-    println!(
-        "{}: whole: {} segments, {} images ({} equal to the one before with its changes), \
-         {} changes in {} batches",
-        path.display(),
-        verified.segments,
-        verified.images,
-        verified.images_from_changes,
-        verified.changes,
-        verified.batches
-    );
-    Ok(())
-}
-
-fn show(path: &Path, json: bool) -> Result<(), Failure> {
-    let listed = list(&Archive::open(path, None)?)?;
-    if json {
-        return print_json(&listed);
-    }
-    println!(
-        "{}: deployment {}, {} bytes",
-        path.display(),
-        listed.deployment,
-        listed.file_bytes
-    );
-    for segment in &listed.segments {
-        show_segment(segment);
-    }
-    Ok(())
-}
-
-fn show_segment(segment: &ListedSegment) {
-    let gap = &segment.gap;
-    println!(
-        "  gap after revision {}: {}, last answer before it at {:.0}",
-        gap.after_revision, gap.cause, gap.last_contact_s
-    );
-    println!(
-        "  segment {}: revisions {} to {}, {} change batches, last answer at {:.0}",
-        segment.segment,
-        segment.after_revision,
-        segment.until_revision,
-        segment.batches,
-        segment.last_contact_s
-    );
-    for image in &segment.images {
-        println!(
-            "    image at revision {}: {} records, begun at {:.0}",
-            image.revision, image.records, image.begun_s
-        );
-    }
-}
-
-fn write_out(
-    path: &Path,
-    moment: Moment,
-    output: Option<&Path>,
-    overwrite: bool,
-) -> Result<(), Failure> {
-    let archive = Archive::open(path, None)?;
-    let Some(output) = output else {
-        return print_json(&export(&archive, moment)?);
-    };
-    let file = output.display().to_string();
-    if output.exists() && !overwrite {
-        return Err(Failure::WouldOverwrite(file));
-    }
-    let document = export(&archive, moment)?;
-    write_whole(output, &serde_json::to_vec(&document).unwrap_or_default())
-        .map_err(|cause| ArchiveError::io(output, cause).into())
-}
--- /dev/null
+++ b/crates/salttillerctl/src/failure.rs
@@ -0,0 +1,69 @@
+//! Failures of a command and their exit codes.
+
+use std::io;
+use std::path::PathBuf;
+use std::process::ExitCode;
+
+use salttiller::settings::SettingsError;
+use salttiller_archive::ArchiveError;
+use thiserror::Error;
+
+use crate::state_service::StateServiceError;
+
+/// Why a command failed; the message is one line.
+#[derive(Debug, Error)]
+pub enum Failure {
+    /// The platform's settings or the INI can't be used.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The archive can't be used.
+    #[error(transparent)]
+    Archive(#[from] ArchiveError),
+    /// An output file exists and `--yes` is not given.
+    #[error("{}: is there already; --yes overwrites it", .0.display())]
+    WouldOverwrite(PathBuf),
+    /// The state service gave no usable answer.
+    #[error("state service: {0}")]
+    StateService(#[from] StateServiceError),
+    /// Controllers do not hold, so there is nothing to decide.
+    #[error("no hold: there is nothing to decide")]
+    NotHeld,
+    /// Another decision, or a further loss, came in between.
+    #[error("the hold's record changed in between; look again")]
+    HoldChanged,
+    /// Standard output can't be written.
+    #[error("standard output: {0}")]
+    StandardOutput(#[source] io::Error),
+}
+
+impl Failure {
+    /// The exit code, by which scripts tell failures apart; docs/operators/recovery.md lists
+    /// them. 2 is clap's, for a wrong call.
+    #[must_use]
+    pub fn exit_code(&self) -> ExitCode {
+        ExitCode::from(match self {
+            Failure::StandardOutput(_) => 1,
+            Failure::Settings(_) => 3,
+            Failure::WouldOverwrite(_) => 4,
+            Failure::Archive(error) => archive_exit_code(error),
+            Failure::StateService(_) => 18,
+            Failure::NotHeld => 20,
+            Failure::HoldChanged => 21,
+        })
+    }
+}
+
+fn archive_exit_code(error: &ArchiveError) -> u8 {
+    match error {
+        ArchiveError::Io { .. } => 1,
+        ArchiveError::NotFound(_) => 10,
+        ArchiveError::NotAnArchive { .. } => 11,
+        ArchiveError::UnsupportedFormat { .. } => 12,
+        ArchiveError::OtherDeployment { .. } => 13,
+        ArchiveError::Damaged { .. } => 14,
+        ArchiveError::InUse(_) => 15,
+        ArchiveError::NoSpace(_) => 16,
+        ArchiveError::NotCovered(_) => 17,
+        ArchiveError::StateService(_) => 18,
+    }
+}
--- a/crates/salttillerctl/src/main.rs
+++ b/crates/salttillerctl/src/main.rs
@@ -5,16 +5,20 @@
 #![warn(missing_docs)]
 
 mod archive;
-mod exit;
+mod archive_settings;
+mod failure;
 mod output;
 mod recover;
-mod settings;
+mod state_service;
 
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
 use tracing_subscriber::EnvFilter;
 
+/// Environment variable that sets which log lines are printed.
+const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
+
 /// Operators' tools for the salttiller scheduler.
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
@@ -37,12 +41,7 @@
 }
 
 fn main() -> ExitCode {
-    let filter = EnvFilter::try_from_env("LOG_LEVEL").unwrap_or_else(|_| EnvFilter::new("info"));
-    tracing_subscriber::fmt()
-        .with_env_filter(filter)
-        .with_writer(std::io::stderr)
-        .with_target(false)
-        .init();
+    start_logging();
     let result = match Cli::parse().command {
         Command::Archive(args) => archive::run(&args),
         Command::Recover(args) => recover::run(&args),
@@ -50,9 +49,20 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("salttillerctl: {error}");
-            error.exit_code()
+        Err(failure) => {
+            eprintln!("salttillerctl: {failure}");
+            failure.exit_code()
         }
     }
 }
+
+/// Log lines go to standard error; standard output is for results.
+fn start_logging() {
+    let filter =
+        EnvFilter::try_from_env(LOG_LEVEL_VARIABLE).unwrap_or_else(|_| EnvFilter::new("info"));
+    tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .with_target(false)
+        .init();
+}
--- a/crates/salttillerctl/src/output.rs
+++ b/crates/salttillerctl/src/output.rs
@@ -1,32 +1,42 @@
 //! What commands print and write.
 
-use std::io::Write;
+use std::fs::{remove_file, rename, File};
+use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use crate::exit::Failure;
+use serde::Serialize;
 
-/// Writes a file whole or not at all.
-pub fn write_whole(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
-    let mut name = path.as_os_str().to_owned();
-    name.push(format!(".new-{}", std::process::id()));
-    let new = PathBuf::from(name);
-    let written = std::fs::File::create(&new).and_then(|mut file| {
-        file.write_all(bytes)?;
-        file.sync_all()
-    });
-    let renamed = written.and_then(|()| std::fs::rename(&new, path));
-    if renamed.is_err() {
-        let _ = std::fs::remove_file(&new);
+use crate::failure::Failure;
+
+/// Writes a file whole or not at all: a reader sees the former content or all of the new.
+///
+/// # Errors
+/// The file, or the temporary one next to it, can't be written.
+pub fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let mut temporary_name = path.as_os_str().to_owned();
+    temporary_name.push(format!(".new-{}", std::process::id()));
+    let temporary = PathBuf::from(temporary_name);
+    let result = write_synced(&temporary, bytes).and_then(|()| rename(&temporary, path));
+    if result.is_err() {
+        // The first error counts; a file that stays behind is harmless.
+        let _ = remove_file(&temporary);
     }
-    renamed
+    result
+}
+
+fn write_synced(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let mut file = File::create(path)?;
+    file.write_all(bytes)?;
+    file.sync_all()
 }
 
 /// Prints a document as JSON.
-pub fn print_json<T: serde::Serialize>(document: &T) -> Result<(), Failure> {
-    let text = serde_json::to_string_pretty(document).unwrap_or_default();
-    let out = std::io::stdout();
-    writeln!(out.lock(), "{text}").map_err(|cause| Failure::Output {
-        file: "standard output".to_owned(),
-        cause,
-    })
+///
+/// # Errors
+/// Standard output can't be written.
+pub fn print_json<T: Serialize>(document: &T) -> Result<(), Failure> {
+    serde_json::to_string_pretty(document)
+        .map_err(io::Error::from)
+        .and_then(|text| writeln!(io::stdout().lock(), "{text}"))
+        .map_err(Failure::StandardOutput)
 }
--- a/crates/salttillerctl/src/recover.rs
+++ b/crates/salttillerctl/src/recover.rs
@@ -1,25 +1,20 @@
-//! `salttillerctl recover`: a hold after lost records, and operators' decision.
+//! `salttillerctl recover`: shows a hold after lost records, and records operators' decision.
+//!
+//! Doc comments of the command line are its help text.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::time::Duration;
 
 use clap::Subcommand;
 use serde::Serialize;
-use serde_json::json;
 
 use salttiller::settings::Settings;
-use salttiller_archive::session::wall_clock;
-use salttiller_protocol::client::Client;
-use salttiller_protocol::http::Response;
-use salttiller_protocol::state_service::{decode, encode, Pair};
-use salttiller_records::record::{value, AcceptedLoss, HoldRecord};
-use salttiller_records::Key;
+use salttiller_archive::clock::wall_clock;
+use salttiller_records::record::{AcceptedLoss, HoldRecord};
 
-use crate::exit::Failure;
+use crate::failure::Failure;
 use crate::output::print_json;
-
-const ANSWER_TIME: Duration = Duration::from_secs(5);
+use crate::state_service::{read_hold, replace_hold, CompareAndSwap, VersionedHold};
 
 /// `salttillerctl recover`.
 #[derive(clap::Args)]
@@ -57,21 +52,31 @@
     },
 }
 
-/// How it stands, as a document.
+/// What `recover status --json` prints; the names are part of that form.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 struct StatusDocument {
     /// Whether controllers hold.
     held: bool,
-    /// The record of the hold, if there ever was one.
+    /// The record of the last hold, if there ever was one.
     record: Option<HoldRecord>,
 }
 
+impl StatusDocument {
+    fn new(record: Option<HoldRecord>) -> Self {
+        let held = record.as_ref().is_some_and(is_undecided);
+        StatusDocument { held, record }
+    }
+}
+
 /// Runs a command.
+///
+/// # Errors
+/// Why the command failed.
 pub fn run(args: &Args) -> Result<(), Failure> {
     match &args.command {
         Command::Status { config, json } => {
             let platform = Settings::load(config, None)?;
-            show(&read_hold(platform.store)?, *json)
+            show_status(platform.store, *json)
         }
         Command::AcceptLoss {
             config,
@@ -85,90 +90,63 @@
                 at: wall_clock(),
                 why: why.clone(),
             };
-            accept(platform.store, decision, *yes)
+            accept_loss(platform.store, decision, *yes)
         }
     }
 }
 
-/// The record of a hold and its version; `None` if there is none.
-fn read_hold(state_service: SocketAddr) -> Result<Option<(HoldRecord, u64)>, Failure> {
-    let target = format!("/store/{}", Key::Hold.text());
-    let response = call(state_service, "GET", &target, &[])?;
-    match response.status {
-        404 => Ok(None),
-        200 => {
-            let pair: Pair = decode(&response.body)
-                .map_err(|e| Failure::StateService(format!("an answer can't be read: {e}")))?;
-            let record = serde_json::from_value(pair.value)
-                .map_err(|e| Failure::StateService(format!("the hold's record: {e}")))?;
-            Ok(Some((record, pair.version)))
-        }
-        status => Err(Failure::StateService(format!("status {status}"))),
-    }
+/// Whether controllers hold by this record: operators have not decided yet.
+fn is_undecided(record: &HoldRecord) -> bool {
+    record.accepted.is_none()
 }
 
-fn call(
-    state_service: SocketAddr,
-    method: &str,
-    target: &str,
-    body: &[u8],
-) -> Result<Response, Failure> {
-    Client::new(state_service)
-        .call(method, target, body, ANSWER_TIME)
-        .map_err(|e| Failure::StateService(e.to_string()))
-}
-
-fn show(hold: &Option<(HoldRecord, u64)>, json: bool) -> Result<(), Failure> {
-    let record = hold.as_ref().map(|(record, _)| record);
-    let held = record.is_some_and(|r| r.accepted.is_none());
+fn show_status(state_service: SocketAddr, json: bool) -> Result<(), Failure> {
+    let record = read_hold(state_service)?.map(|hold| hold.record);
     if json {
-        let record = record.cloned();
-        return print_json(&StatusDocument { held, record });
+        return print_json(&StatusDocument::new(record));
     }
     match record {
         None => println!("no records are known to be lost"),
-        Some(r) => {
-            let (by, seen) = (&r.by, &r.seen);
-            println!("incident {}: found by {by}: {seen}", r.incident);
-            match &r.accepted {
-                None => println!("controllers hold; see docs/operators/recovery.md"),
-                Some(a) => println!("loss accepted by {}: {}", a.by, a.why),
-            }
-        }
+        Some(record) => print_hold(&record),
     }
     Ok(())
 }
 
-fn accept(
+fn print_hold(record: &HoldRecord) {
+    println!(
+        "incident {}: found by {}: {}",
+        record.incident, record.by, record.seen
+    );
+    match &record.accepted {
+        None => println!("controllers hold; see docs/operators/recovery.md"),
+        Some(decision) => println!("loss accepted by {}: {}", decision.by, decision.why),
+    }
+}
+
+/// Puts the decision on record, or only says what that would do.
+fn accept_loss(
     state_service: SocketAddr,
     decision: AcceptedLoss,
     confirmed: bool,
 ) -> Result<(), Failure> {
-    let hold = read_hold(state_service)?;
-    let Some((mut record, version)) = hold.filter(|(r, _)| r.accepted.is_none()) else {
-        return Err(Failure::NotHeld);
-    };
+    let hold = read_hold(state_service)?.filter(|hold| is_undecided(&hold.record));
+    let VersionedHold {
+        mut record,
+        version,
+    } = hold.ok_or(Failure::NotHeld)?;
+    let incident = record.incident;
     if !confirmed {
         println!(
-            "incident {}: {}: controllers would go on with the records that there are; \
+            "incident {incident}: {}: controllers would go on with the records that there are; \
              --yes does it",
-            record.incident, record.seen
+            record.seen
         );
         return Ok(());
     }
     record.accepted = Some(decision);
-    let key = Key::Hold.text();
-    let transaction = json!({
-        "when": [{"k": key, "mark": version}],
-        "apply": [{"put": key, "value": value(&record)}],
-    });
-    let response = call(state_service, "POST", "/commit", &encode(&transaction))?;
-    match response.status {
-        200 => {
-            println!("incident {}: loss accepted", record.incident);
-            Ok(())
-        }
-        409 => Err(Failure::Changed),
-        status => Err(Failure::StateService(format!("status {status}"))),
+    match replace_hold(state_service, &VersionedHold { record, version })? {
+        CompareAndSwap::Committed => println!("incident {incident}: loss accepted"),
+        CompareAndSwap::Conflict => return Err(Failure::HoldChanged),
     }
+    Ok(())
 }
