--- a/crates/recovery/src/finding.rs
+++ b/crates/recovery/src/finding.rs
@@ -1,9 +1,9 @@
-//! What shows that the state service lost records.
+//! Evidence that the state service lost records.
 
 use std::fmt;
 
-/// Evidence that the state service lost records. Each is something that can't be while it
-/// keeps all that was committed.
+/// Evidence that the state service lost records: none of these can be while it keeps all that
+/// was committed. The text of a finding is put on record and shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Finding {
     /// Its revision is lower than one that it had shown before.
@@ -23,7 +23,7 @@
         /// Its key.
         key: String,
     },
-    /// A worker has seen a token that was never handed out, by the records.
+    /// A worker has seen a fencing token that was never handed out, by the records.
     TokenUnknown {
         /// Machine.
         machine: String,
@@ -36,14 +36,14 @@
     JobUnknown {
         /// Machine.
         machine: String,
-        /// Job.
+        /// Identifier of the job.
         job: String,
     },
-    /// Another controller found it and said so on record.
+    /// Another controller found it and put a hold on record.
     OnRecord {
-        /// Who.
+        /// Host name of that controller.
         by: String,
-        /// What was found.
+        /// Text of its finding.
         seen: String,
     },
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,15 +1,19 @@
-//! Noticing that the state service lost records. Nothing here does I/O: what a controller
+//! Detection of lost records of the state service. Nothing here does I/O: what a controller
 //! sees goes in, findings come out.
 //!
+//! - [`Detection`] judges workers' reports against the records.
+//! - [`RecentChanges`] tells one history of the state service from another.
+//! - [`Finding`] is evidence that records are lost.
+//!
 //! See docs/recovery.md.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod detection;
-pub mod finding;
-pub mod recent;
+mod detection;
+mod finding;
+mod recent_changes;
 
 pub use detection::{Detection, Reported};
 pub use finding::Finding;
-pub use recent::RecentChanges;
+pub use recent_changes::RecentChanges;
--- a/crates/recovery/src/recent.rs
+++ b/crates/recovery/src/recent_changes.rs
@@ -1,11 +1,11 @@
 //! The last changes that a controller saw, by which it recognises the state service's history.
 //!
-//! Kept are the last ones that were compared, and all since: were the newest alone kept, many
-//! changes of another history could push out those of ours before they are ever compared.
+//! Kept are the last changes that were compared, and all since: were only the newest kept,
+//! many changes of another history could push out those of ours before they are ever compared.
 
 use salttiller_records::history::{last_whole_revisions, Fingerprint};
 
-/// The last changes, in the order of their revisions.
+/// The last changes, in ascending order of their revisions.
 #[derive(Debug, Clone, Default)]
 pub struct RecentChanges {
     changes: Vec<Fingerprint>,
@@ -14,7 +14,8 @@
 }
 
 impl RecentChanges {
-    /// Nothing is known but that all up to a revision was read.
+    /// Nothing is known but that everything up to a revision was read.
+    #[must_use]
     pub fn starting_at(revision: u64) -> Self {
         RecentChanges {
             changes: Vec::new(),
@@ -23,15 +24,16 @@
     }
 
     /// The last revision that was noted.
+    #[must_use]
     pub fn reached(&self) -> u64 {
         self.reached
     }
 
-    /// Notes the changes of an answer that is complete up to `revision`; those that were noted
-    /// before are passed over.
+    /// Notes the changes of an answer that is complete up to `revision`. Those that were noted
+    /// before are ignored.
     pub fn note(&mut self, mut changes: Vec<Fingerprint>, revision: u64) {
-        let known = self.reached;
-        changes.retain(|c| c.version > known);
+        let known_until = self.reached;
+        changes.retain(|change| change.version > known_until);
         changes.sort();
         self.changes.extend(changes);
         self.reached = self.reached.max(revision);
@@ -39,24 +41,31 @@
 
     /// All changes up to a revision were compared: of these only the last are kept.
     pub fn confirm(&mut self, until: u64) {
-        let compared = self.changes.partition_point(|c| c.version <= until);
-        let since = self.changes.split_off(compared);
+        let first_unconfirmed = self
+            .changes
+            .partition_point(|change| change.version <= until);
+        let unconfirmed = self.changes.split_off(first_unconfirmed);
         self.changes = last_whole_revisions(std::mem::take(&mut self.changes));
-        self.changes.extend(since);
+        self.changes.extend(unconfirmed);
     }
 
-    /// From which revision on to ask, so that the answer shows all changes that are known.
+    /// The revision after which to ask for changes, so that the answer shows all known ones.
+    #[must_use]
     pub fn compare_from(&self) -> u64 {
         let oldest = self.changes.first();
-        oldest.map_or(self.reached, |c| c.version.saturating_sub(1))
+        oldest.map_or(self.reached, |change| change.version.saturating_sub(1))
     }
 
-    /// Whether an answer that was asked for from [`RecentChanges::compare_from`] on shows the
-    /// same changes.
+    /// Whether an answer with the changes after [`RecentChanges::compare_from`] shows the same
+    /// history. Changes after those that are known don't matter.
+    #[must_use]
     pub fn agree_with(&self, shown: &[Fingerprint]) -> bool {
-        let mut shown: Vec<&Fingerprint> =
-            shown.iter().filter(|c| c.version <= self.reached).collect();
+        let is_known = |change: &&Fingerprint| change.version <= self.reached;
+        let mut shown: Vec<&Fingerprint> = shown.iter().filter(is_known).collect();
         shown.sort();
         shown.into_iter().eq(self.changes.iter())
     }
 }
+
+#[cfg(test)]
+mod tests;
