--- a/crates/archive/src/database/tests.rs
+++ b/crates/archive/src/database/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of the archive's file: damage is named, never passed on.
 
 use redb::ReadableTable;
+use salttiller_testkit::TempFolder;
 use serde_json::json;
 
 use super::tables::METADATA;
@@ -8,7 +9,6 @@
 use crate::encoding::encode_entry;
 use crate::model::{Change, ChangeBatch, Gap, GapCause, KeyedRecord, StoredRecord};
 use crate::reconstruct::{reconstruct, PointInTime, Reconstruction, RecordMap};
-use crate::test_support::TempArchive;
 use crate::verify::verify;
 
 fn gap() -> Gap {
@@ -52,8 +52,9 @@
 }
 
 /// An archive of one segment with two snapshots and three batches.
-fn small(file: &TempArchive) -> Archive {
-    let archive = Archive::open_or_create(file.path(), "a").unwrap();
+fn small(folder: &TempFolder) -> Archive {
+    let path = folder.file("small.archive");
+    let archive = Archive::open_or_create(&path, "a").unwrap();
     let begin = Action::BeginSegment {
         gap: gap(),
         after: 4,
@@ -139,8 +140,9 @@
             harm,
             expected,
         } = case;
-        let file = TempArchive::new(&format!("harm-{}", name.replace([' ', '\''], "-")));
-        let archive = small(&file);
+        let folder = format!("harm-{}", name.replace([' ', '\''], "-"));
+        let folder = TempFolder::new(&folder).unwrap();
+        let archive = small(&folder);
         archive
             .write(|transaction| {
                 harm(transaction);
@@ -162,8 +164,8 @@
 
 #[test]
 fn actions_that_contradict_the_archive_are_refused_as_a_whole() {
-    let file = TempArchive::new("contradiction");
-    let archive = small(&file);
+    let folder = TempFolder::new("contradiction").unwrap();
+    let archive = small(&folder);
     let before = archive.read(ArchiveView::segments).unwrap();
     let actions = [Action::AdvanceTo(11), add_changes(12, 13)];
     let refused = archive.apply(&actions, 9);
@@ -182,9 +184,9 @@
 
 #[test]
 fn a_newer_format_is_named() {
-    let file = TempArchive::new("newer");
-    drop(small(&file));
-    let database = Database::open(file.path()).unwrap();
+    let folder = TempFolder::new("newer").unwrap();
+    let path = small(&folder).path().to_path_buf();
+    let database = Database::open(&path).unwrap();
     let transaction = database.begin_write().unwrap();
     let newer = encode_entry(&(FORMAT + 1));
     transaction
@@ -194,7 +196,7 @@
         .unwrap();
     transaction.commit().unwrap();
     drop(database);
-    let error = Archive::open(file.path(), None).unwrap_err();
+    let error = Archive::open(&path, None).unwrap_err();
     assert!(
         matches!(error, ArchiveError::UnsupportedFormat { found: 2, .. }),
         "{error}"
@@ -217,17 +219,17 @@
 /// Cut off anywhere, or with bits turned, the file is refused or read rightly; no panic.
 #[test]
 fn damaged_files_are_refused_or_read_rightly() {
-    let file = TempArchive::new("whole");
-    let records = newest(&small(&file)).unwrap().records;
-    let whole = std::fs::read(file.path()).unwrap();
-    let damaged = TempArchive::new("damaged");
+    let folder = TempFolder::new("damaged").unwrap();
+    let archive = small(&folder);
+    let records = newest(&archive).unwrap().records;
+    let whole = std::fs::read(archive.path()).unwrap();
     let mut refused = 0;
     let cuts = (0..16).map(|i| whole[..whole.len() * i / 16].to_vec());
     let mut random = fastrand::Rng::with_seed(5);
     let flips = (0..120).map(|_| flip_bit(&whole, &mut random));
     for (case, bytes) in cuts.chain(flips).enumerate() {
-        std::fs::write(damaged.path(), &bytes).unwrap();
-        let checked = Archive::open(damaged.path(), None).and_then(|archive| {
+        let damaged = folder.write("damaged.archive", &bytes).unwrap();
+        let checked = Archive::open(&damaged, None).and_then(|archive| {
             verify(&archive)?;
             newest(&archive)
         });
--- a/crates/archive/src/lib.rs
+++ b/crates/archive/src/lib.rs
@@ -29,8 +29,6 @@
 pub mod retention;
 pub mod session;
 mod store_panic;
-#[cfg(test)]
-mod test_support;
 pub mod verify;
 
 pub use database::Archive;
--- a/crates/archive/src/recorder/tests.rs
+++ b/crates/archive/src/recorder/tests.rs
@@ -5,16 +5,16 @@
 
 use serde_json::json;
 
-use salttiller_protocol::state_service::Event;
+use salttiller_protocol::state_service::{Changes, Event};
+use salttiller_testkit::TempFolder;
 
 use self::model::History;
 use self::run::{clock_at, play, request_failure, Fault, Run, ALL_FAULTS, PACING};
 use super::*;
 use crate::database::ArchiveView;
-use crate::fault_injection::disable;
+use crate::fault_injection::{disable, Safeguard};
 use crate::reconstruct::{reconstruct, PointInTime};
 use crate::retention::{prune, RetentionPolicy};
-use crate::test_support::TempArchive;
 
 #[test]
 fn whatever_happens_the_archive_holds_the_truth_or_says_that_it_has_a_gap() {
@@ -35,8 +35,8 @@
 /// that is kept to its last change, though it was never compared.
 #[test]
 fn a_silent_replacement_costs_nothing_that_was_recorded_before() {
-    let file = TempArchive::new("silent");
-    let mut run = Run::new(&file);
+    let folder = TempFolder::new("silent").unwrap();
+    let mut run = Run::new(&folder);
     let mut random = fastrand::Rng::with_seed(11);
     run.history.change_times(20, &mut random);
     while run.recorder.snapshots_completed() == 0 {
@@ -96,8 +96,8 @@
 
 #[test]
 fn an_undisturbed_recording_is_one_segment() {
-    let file = TempArchive::new("undisturbed");
-    let mut run = Run::new(&file);
+    let folder = TempFolder::new("undisturbed").unwrap();
+    let mut run = Run::new(&folder);
     let mut random = fastrand::Rng::with_seed(7);
     for _ in 0..200 {
         run.step(&mut random, &[Fault::Kills, Fault::Failures]);
@@ -120,8 +120,8 @@
 /// What retention leaves can still be read at each revision from the oldest snapshot on.
 #[test]
 fn retention_keeps_what_it_says() {
-    let file = TempArchive::new("retention");
-    let mut run = Run::new(&file);
+    let folder = TempFolder::new("retention").unwrap();
+    let mut run = Run::new(&folder);
     let mut random = fastrand::Rng::with_seed(3);
     for _ in 0..300 {
         run.step(&mut random, &[Fault::Wipes, Fault::Kills]);
--- a/crates/archive/src/recorder/tests/run.rs
+++ b/crates/archive/src/recorder/tests/run.rs
@@ -6,6 +6,7 @@
 
 use salttiller_protocol::client::ClientError;
 use salttiller_records::units::{Micros, MILLI, SECOND};
+use salttiller_testkit::TempFolder;
 
 use super::model::History;
 use crate::clock::ClockReading;
@@ -14,7 +15,6 @@
 use crate::model::{Row, Segment};
 use crate::reconstruct::{reconstruct, PointInTime};
 use crate::recorder::{Action, Pacing, Phase, Recorder, ScheduledRequest};
-use crate::test_support::TempArchive;
 use crate::verify::verify;
 
 pub(super) const PACING: Pacing = Pacing {
@@ -89,9 +89,9 @@
 }
 
 impl Run {
-    pub(super) fn new(file: &TempArchive) -> Self {
+    pub(super) fn new(folder: &TempFolder) -> Self {
         Run {
-            archive: Archive::open_or_create(file.path(), "model")
+            archive: Archive::open_or_create(&folder.file("model.archive"), "model")
                 .and_then(Archive::keep_open)
                 .unwrap(),
             recorder: Recorder::new(PACING, 0),
@@ -267,8 +267,8 @@
     let mut random = fastrand::Rng::with_seed(seed);
     let thread = std::thread::current();
     let test = thread.name().unwrap_or("t").replace(':', "-");
-    let file = TempArchive::new(&format!("{test}-{seed}"));
-    let mut run = Run::new(&file);
+    let folder = TempFolder::new(&format!("{test}-{seed}")).unwrap();
+    let mut run = Run::new(&folder);
     let changes = random.u8(5..40);
     run.history.change_times(changes, &mut random);
     for _ in 0..steps {
--- a/crates/salttillerctl/src/archive.rs
+++ b/crates/salttillerctl/src/archive.rs
@@ -19,15 +19,9 @@
 use crate::failure::Failure;
 use crate::output::print_json;
 
-/// `salttillerctl archive`.
-#[derive(clap::Args)]
-pub struct Args {
-    #[command(subcommand)]
-    command: Command,
-}
-
+/// Commands of `salttillerctl archive`.
 #[derive(Subcommand)]
-enum Command {
+pub enum Command {
     /// Records all changes, and a snapshot from time to time, until it is ended.
     Run {
         #[command(flatten)]
@@ -81,7 +75,7 @@
 
 /// Where records come from and go to.
 #[derive(clap::Args)]
-struct Source {
+pub struct Source {
     /// The archive; created if there is none.
     archive: PathBuf,
     /// The platform's settings (JSON), those of any controller.
@@ -108,8 +102,8 @@
 ///
 /// # Errors
 /// Why the command failed.
-pub fn run(args: &Args) -> Result<(), Failure> {
-    match &args.command {
+pub fn run(command: &Command) -> Result<(), Failure> {
+    match command {
         Command::Run { source, max_s } => {
             let limits = SessionLimits {
                 duration: max_s.map(Duration::from_secs),
--- a/crates/salttillerctl/src/main.rs
+++ b/crates/salttillerctl/src/main.rs
@@ -30,9 +30,11 @@
 #[derive(Subcommand)]
 enum Command {
     /// Keeps and reads an archive of the state service's records.
-    Archive(archive::Args),
+    #[command(subcommand)]
+    Archive(archive::Command),
     /// Shows and ends a hold after lost records.
-    Recover(recover::Args),
+    #[command(subcommand)]
+    Recover(recover::Command),
     /// Prints the JSON schema of a document.
     Schema {
         /// Which document.
@@ -43,8 +45,8 @@
 fn main() -> ExitCode {
     start_logging();
     let result = match Cli::parse().command {
-        Command::Archive(args) => archive::run(&args),
-        Command::Recover(args) => recover::run(&args),
+        Command::Archive(command) => archive::run(&command),
+        Command::Recover(command) => recover::run(&command),
         Command::Schema { document } => archive::print_schema(document),
     };
     match result {
--- a/crates/salttillerctl/src/recover.rs
+++ b/crates/salttillerctl/src/recover.rs
@@ -16,15 +16,9 @@
 use crate::output::print_json;
 use crate::state_service::{read_hold, replace_hold, CompareAndSwap, VersionedHold};
 
-/// `salttillerctl recover`.
-#[derive(clap::Args)]
-pub struct Args {
-    #[command(subcommand)]
-    command: Command,
-}
-
+/// Commands of `salttillerctl recover`.
 #[derive(Subcommand)]
-enum Command {
+pub enum Command {
     /// Shows whether controllers hold because the state service lost records.
     Status {
         /// The platform's settings (JSON), those of any controller.
@@ -72,8 +66,8 @@
 ///
 /// # Errors
 /// Why the command failed.
-pub fn run(args: &Args) -> Result<(), Failure> {
-    match &args.command {
+pub fn run(command: &Command) -> Result<(), Failure> {
+    match command {
         Command::Status { config, json } => {
             let platform = Settings::load(config, None)?;
             show_status(platform.store, *json)
--- a/crates/salttillerctl/tests/archive_measurement.rs
+++ b/crates/salttillerctl/tests/archive_measurement.rs
@@ -1,134 +1,157 @@
 //! Measures an archive of a large store; long, so left out of CI:
 //! `cargo test --release --profile tools -p salttillerctl --test archive_measurement -- --ignored --nocapture`
 
+use std::path::Path;
 use std::process::Command;
+use std::thread;
 use std::time::{Duration, Instant};
 
-use salttiller_testkit::StateService;
+use salttiller_archive::documents::{ExportDocument, ListDocument};
+use salttiller_testkit::{PlatformSettings, StateService, TempFolder};
 use serde_json::{json, Value};
 
+const CTL: &str = env!("CARGO_BIN_EXE_salttillerctl");
+
 const MACHINES: usize = 4_000;
 const MACHINES_PER_BATCH: usize = 50;
 const JOBS: usize = 100_000;
+/// One job in so many is not done.
+const OPEN_JOB_INTERVAL: usize = 20;
 const REQUESTS_PER_SECOND: f64 = 80.0;
 const REQUEST_SHARE: f64 = 0.05;
+/// Requests a second that may come on top of the share, from the one at the start.
+const RATE_TOLERANCE: f64 = 0.1;
 const CHANGES_PER_SECOND: u64 = 25;
+const RECORDING_SECONDS: u64 = 90;
+/// A prime: changes go round all jobs in no order.
+const JOB_STRIDE: u64 = 7919;
+const BYTES_PER_MIB: f64 = 1024.0 * 1024.0;
+
+fn machine_batch(batch: usize) -> Value {
+    let names = (0..MACHINES_PER_BATCH).map(|n| batch * MACHINES_PER_BATCH + n);
+    let names: Vec<String> = names.map(|n| format!("m-{n:06}")).collect();
+    json!({"r": "tiller-0", "f": "depot-rack", "z": "kingston", "s": false, "m": names})
+}
+
+fn job(number: usize) -> Value {
+    if !number.is_multiple_of(OPEN_JOB_INTERVAL) {
+        return json!({"st": "d", "t": 1_700_000_000_000_000_u64});
+    }
+    json!({"st": "o", "b": [[0, 100, "tiller-1"]], "j": {"a": 1_700_000_000_000_000_u64,
+        "c": "tank-forecast", "e": 18_000_000, "i": "img-07", "k": "a", "m": 6_400_000, "n": 100,
+        "r": "1", "s": 1_200_000, "t": "dispatch-03", "u": 2_000_000, "f": true}})
+}
 
 fn fill(service: &StateService) {
     for batch in 0..MACHINES / MACHINES_PER_BATCH {
-        let names = (0..MACHINES_PER_BATCH).map(|n| batch * MACHINES_PER_BATCH + n);
-        let names: Vec<String> = names.map(|n| format!("m-{n:06}")).collect();
-        let record =
-            json!({"r": "tiller-0", "f": "depot-rack", "z": "kingston", "s": false, "m": names});
-        service.commit(&[(&format!("st/lot/tiller-0-4-{batch}"), Some(record))]);
+        let key = format!("st/lot/tiller-0-4-{batch}");
+        service.commit(&[(&key, Some(machine_batch(batch)))]);
     }
-    for job in 0..JOBS {
-        let open = json!({"st": "o", "b": [[0, 100, "tiller-1"]], "j": {"a": 1_700_000_000_000_000_u64,
-            "c": "tank-forecast", "e": 18_000_000, "i": "img-07", "k": "a", "m": 6_400_000, "n": 100,
-            "r": "1", "s": 1_200_000, "t": "dispatch-03", "u": 2_000_000, "f": true}});
-        let record = if job % 20 == 0 {
-            open
-        } else {
-            json!({"st": "d", "t": 1_700_000_000_000_000_u64})
-        };
-        service.commit(&[(&format!("st/job/req-{job:06}"), Some(record))]);
+    for number in 0..JOBS {
+        let key = format!("st/job/req-{number:06}");
+        service.commit(&[(&key, Some(job(number)))]);
     }
 }
 
-fn timed(name: &str, command: &mut Command) -> String {
+fn archive_command(subcommand: &str, archive: &Path) -> Command {
+    let mut command = Command::new(CTL);
+    command.args(["archive", subcommand]).arg(archive);
+    command.env("LOG_LEVEL", "error");
+    command
+}
+
+/// Runs a command that must succeed and prints how long it took; its standard output.
+fn timed(subcommand: &str, archive: &Path) -> String {
     let start = Instant::now();
-    let output = command.env("LOG_LEVEL", "error").output().unwrap();
+    let output = archive_command(subcommand, archive).output().unwrap();
     let errors = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.success(), "{name}: {errors}");
-    println!("{name}: {:.1} s", start.elapsed().as_secs_f64());
+    assert!(output.status.success(), "{subcommand}: {errors}");
+    println!("{subcommand}: {:.1} s", start.elapsed().as_secs_f64());
     String::from_utf8(output.stdout).unwrap()
 }
 
 /// Greatest resident size of a process so far, in MiB.
-fn peak_memory(pid: u32) -> Option<f64> {
+fn peak_memory_mib(pid: u32) -> Option<f64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find(|l| l.starts_with("VmHWM:"))?;
     let kib: f64 = line.split_whitespace().nth(1)?.parse().ok()?;
     Some(kib / 1024.0)
 }
 
+fn has_snapshot(archive: &Path) -> bool {
+    let mut command = archive_command("list", archive);
+    let list = command.arg("--json").output().unwrap();
+    serde_json::from_slice::<ListDocument>(&list.stdout)
+        .is_ok_and(|list| list.segments.iter().any(|s| !s.snapshots.is_empty()))
+}
+
+/// What was measured while a process recorded.
+struct RecordingMeasurement {
+    first_snapshot_s: Option<f64>,
+    requests_per_second: f64,
+    peak_memory_mib: f64,
+}
+
+/// Records while the store changes.
+fn measure_recording(
+    service: &StateService,
+    mut command: Command,
+    archive: &Path,
+) -> RecordingMeasurement {
+    let requests_before = service.request_times().len();
+    let start = Instant::now();
+    let mut recorder = command.spawn().unwrap();
+    let mut first_snapshot_s = None;
+    let mut peak_mib = 0.0_f64;
+    for n in 0..CHANGES_PER_SECOND * RECORDING_SECONDS {
+        let key = format!("st/job/req-{:06}", (n * JOB_STRIDE) % JOBS as u64);
+        service.commit(&[(&key, Some(json!({"st": "d", "t": n})))]);
+        thread::sleep(Duration::from_micros(1_000_000 / CHANGES_PER_SECOND));
+        peak_mib = peak_mib.max(peak_memory_mib(recorder.id()).unwrap_or(0.0));
+        if first_snapshot_s.is_none() && n % CHANGES_PER_SECOND == 0 && has_snapshot(archive) {
+            first_snapshot_s = Some(start.elapsed().as_secs_f64());
+        }
+    }
+    let requests = service.request_times().len() - requests_before;
+    let requests_per_second = requests as f64 / start.elapsed().as_secs_f64();
+    recorder.kill().unwrap();
+    recorder.wait().unwrap();
+    RecordingMeasurement {
+        first_snapshot_s,
+        requests_per_second,
+        peak_memory_mib: peak_mib,
+    }
+}
+
 #[test]
 #[ignore = "takes minutes"]
 fn a_store_of_4000_machines_and_100000_jobs() {
     let service = StateService::start().unwrap();
     fill(&service);
-    let folder = std::env::temp_dir().join(format!("salttiller-measure-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let config = folder.join("settings.json");
-    let settings = json!({
-        "host_name": "tiller-0", "area": "a", "front": "127.0.0.1:1", "mesh_addr": "127.0.0.1:2",
-        "others": [], "outside": {"cloud": "127.0.0.1:4", "state": service.address().to_string()},
-        "facts": {"size": 1, "zones": ["a"], "teams": [], "objectives": [],
-            "workers": {"report_s": 10.0, "lease_s": 45.0, "gang_wait_s": 30.0, "gang_peer_s": 6.0,
-                "cancel_s": 75.0},
-            "state": {"rps": REQUESTS_PER_SECOND, "write_rps": 25.0, "value_kb": 4.0, "txn_ops": 12},
-            "cloud": {"rps": 10.0, "list_lag_s": 10.0},
-            "quota": {"cores": 0.2, "ram_mb": 200.0, "fd_limit": 3500}, "clock_off_ms": 5.0}
-    });
-    std::fs::write(&config, settings.to_string()).unwrap();
-    let archive = folder.join("a.archive");
-    let before = service.requests().len();
-    let start = Instant::now();
-    let ctl = env!("CARGO_BIN_EXE_salttillerctl");
-    let mut recording = Command::new(ctl);
-    recording
-        .args(["archive", "run"])
-        .arg(&archive)
-        .arg("--config")
-        .arg(&config);
-    recording.env("LOG_LEVEL", "error");
-    let mut child = recording.spawn().unwrap();
-    let mut image_s = None;
-    let mut peak = 0.0_f64;
-    for n in 0..CHANGES_PER_SECOND * 90 {
-        let key = format!("st/job/req-{:06}", (n * 7919) % JOBS as u64);
-        service.commit(&[(&key, Some(json!({"st": "d", "t": n})))]);
-        std::thread::sleep(Duration::from_micros(1_000_000 / CHANGES_PER_SECOND));
-        peak = peak.max(peak_memory(child.id()).unwrap_or(0.0));
-        if image_s.is_none() && n % CHANGES_PER_SECOND == 0 && has_image(ctl, &archive) {
-            image_s = Some(start.elapsed().as_secs_f64());
-        }
-    }
-    let requests = service.requests().len() - before;
-    let seconds = start.elapsed().as_secs_f64();
-    child.kill().unwrap();
-    child.wait().unwrap();
-    let rate = requests as f64 / seconds;
-    println!("first image seen after {image_s:?} s; {requests} requests in {seconds:.0} s, {rate:.2} a second");
-    println!("peak memory of the recorder {peak:.0} MiB");
-    let size = std::fs::metadata(&archive).unwrap().len();
-    println!("file {:.1} MiB", size as f64 / 1024.0 / 1024.0);
-    assert!(image_s.is_some());
-    assert!(rate <= REQUESTS_PER_SECOND * REQUEST_SHARE + 0.1, "{rate}");
-    timed(
-        "verify",
-        Command::new(ctl).args(["archive", "verify"]).arg(&archive),
+    let folder = TempFolder::new("measure").unwrap();
+    let settings = PlatformSettings::new(service.address());
+    let settings = settings.requests_per_second(REQUESTS_PER_SECOND).to_json();
+    let config = folder.write("settings.json", settings.to_string()).unwrap();
+    let archive = folder.file("a.archive");
+    let mut command = archive_command("run", &archive);
+    command.arg("--config").arg(&config);
+    let measured = measure_recording(&service, command, &archive);
+    let rate = measured.requests_per_second;
+    println!(
+        "first snapshot seen after {:?} s",
+        measured.first_snapshot_s
     );
-    let export = timed(
-        "export",
-        Command::new(ctl).args(["archive", "export"]).arg(&archive),
+    println!("{rate:.2} requests a second");
+    println!(
+        "peak memory of the recorder {:.0} MiB",
+        measured.peak_memory_mib
     );
-    let export: Value = serde_json::from_str(&export).unwrap();
-    let records = export["records"].as_array().unwrap().len();
-    assert_eq!(records, JOBS + MACHINES / MACHINES_PER_BATCH);
-    std::fs::remove_dir_all(&folder).unwrap();
-}
-
-fn has_image(ctl: &str, archive: &std::path::Path) -> bool {
-    let list = Command::new(ctl)
-        .args(["archive", "list", "--json"])
-        .arg(archive)
-        .output()
-        .unwrap();
-    let list: Value = serde_json::from_slice(&list.stdout).unwrap_or_default();
-    let segments = list["segments"].as_array();
-    segments.is_some_and(|s| {
-        s.iter()
-            .any(|s| !s["images"].as_array().unwrap().is_empty())
-    })
+    let bytes = std::fs::metadata(&archive).unwrap().len();
+    println!("file {:.1} MiB", bytes as f64 / BYTES_PER_MIB);
+    assert!(measured.first_snapshot_s.is_some());
+    let most = REQUESTS_PER_SECOND * REQUEST_SHARE + RATE_TOLERANCE;
+    assert!(rate <= most, "{rate}");
+    timed("verify", &archive);
+    let export: ExportDocument = serde_json::from_str(&timed("export", &archive)).unwrap();
+    assert_eq!(export.records.len(), JOBS + MACHINES / MACHINES_PER_BATCH);
 }
--- /dev/null
+++ b/crates/salttillerctl/tests/cli/archive_recording.rs
@@ -0,0 +1,170 @@
+//! `archive run`: what a recorder keeps through faults, and its share of requests.
+
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use salttiller_testkit::state_service::{Contents, RequestFault};
+use salttiller_testkit::PlatformSettings;
+use serde_json::json;
+
+use crate::common::{succeed, wait_for};
+use crate::deployment::{records_of, Deployment};
+
+/// How long a recorder may take to notice what happened.
+const NOTICE_LIMIT: Duration = Duration::from_secs(30);
+
+/// Killed again and again in the midst of its work, the recorder goes on without a gap, and
+/// the records can be had as they were at each revision.
+#[test]
+fn killed_at_any_moment_it_goes_on_without_a_gap() {
+    let deployment = Deployment::new("kills", 300);
+    deployment.service.keep_history();
+    let stop = AtomicBool::new(false);
+    thread::scope(|scope| {
+        scope.spawn(|| deployment.write_steadily(&stop, 1));
+        let mut random = fastrand::Rng::with_seed(2);
+        for _ in 0..12 {
+            let recorder = deployment.start_recording();
+            thread::sleep(Duration::from_millis(random.u64(50..700)));
+            recorder.kill();
+        }
+        let recorder = deployment.start_recording();
+        thread::sleep(Duration::from_millis(2500));
+        recorder.kill();
+        stop.store(true, Ordering::Relaxed);
+    });
+    deployment.verify();
+    let list = deployment.list();
+    assert_eq!(list.segments.len(), 1, "{list:?}");
+    let snapshots = deployment.snapshot_revisions();
+    assert!(snapshots.len() >= 2, "{list:?}");
+    let first = snapshots[0];
+    let last = deployment.export(None, None).revision;
+    assert!(last > first + 100, "{first} to {last}");
+    for revision in (first..=last).step_by(((last - first) / 20) as usize) {
+        let kept = records_of(deployment.export(Some(revision), None));
+        let truth = deployment.service.records_at(revision).unwrap();
+        assert!(kept == truth, "revision {revision} differs");
+    }
+}
+
+/// Waits until the archive has so many segments, the last of them with a snapshot and all up
+/// to a revision.
+fn wait_for_segment(deployment: &Deployment, what: &str, segments: usize, revision: u64) {
+    wait_for(what, NOTICE_LIMIT, || {
+        let list = deployment.list().segments;
+        let last = list.last().unwrap();
+        list.len() == segments && last.until_revision >= revision && !last.snapshots.is_empty()
+    });
+}
+
+/// Replaces the store's contents, as the connections of a store that is restarted break, with
+/// changes before it answers again.
+fn restore(deployment: &Deployment, contents: Contents, changes: u32) {
+    let service = &deployment.service;
+    service.inject_fault(Some(RequestFault::NoAnswer));
+    service.restore(contents);
+    for n in 0..changes {
+        service.commit(&[("st/job/req-7", Some(json!({"other": n})))]);
+    }
+    service.inject_fault(None);
+}
+
+/// A wiped store and one set back to an older copy that has grown past the archive since: a
+/// new segment with the cause, and the lost history stays readable to its end.
+#[test]
+fn a_lost_history_is_marked_and_kept() {
+    let deployment = Deployment::new("lost", 200);
+    let recorder = deployment.start_recording();
+    deployment.wait_for_snapshot();
+    let backup = deployment.service.contents();
+    deployment.commit_jobs(50);
+    let lost = deployment.service.contents();
+    wait_for_segment(&deployment, "all changes", 1, lost.revision);
+    restore(&deployment, backup, 120);
+    let other = deployment.service.contents();
+    assert!(other.revision > lost.revision);
+    wait_for_segment(&deployment, "the older copy", 2, other.revision);
+    restore(&deployment, Contents::default(), 0);
+    wait_for_segment(&deployment, "the wipe", 3, 0);
+    recorder.kill();
+    deployment.verify();
+    let segments = deployment.list().segments;
+    let causes: Vec<&str> = segments.iter().map(|s| s.gap.cause.as_str()).collect();
+    let expected = [
+        "first recording",
+        "the state service shows another history",
+        "the revision went back to 0",
+    ];
+    assert_eq!(causes, expected);
+    for (segment, contents) in [(1, lost), (2, other)] {
+        let export = deployment.export(None, Some(segment));
+        assert!(
+            records_of(export) == contents.records,
+            "segment {segment} differs"
+        );
+    }
+}
+
+/// A watch that is asked too late gives a gap; refusals and silence for a while don't.
+#[test]
+fn changes_no_longer_kept_are_a_gap_and_an_outage_is_none() {
+    let deployment = Deployment::new("outage", 100);
+    let service = &deployment.service;
+    let recorder = deployment.start_recording();
+    deployment.wait_for_snapshot();
+    for fault in [
+        RequestFault::Status(503),
+        RequestFault::Status(429),
+        RequestFault::NoAnswer,
+    ] {
+        service.inject_fault(Some(fault));
+        thread::sleep(Duration::from_millis(1500));
+        deployment.commit_jobs(30);
+        service.inject_fault(None);
+        let revision = service.revision();
+        wait_for("going on", NOTICE_LIMIT, || {
+            deployment.list().segments[0].until_revision >= revision
+        });
+    }
+    assert_eq!(deployment.list().segments.len(), 1);
+    service.inject_fault(Some(RequestFault::Status(503)));
+    thread::sleep(Duration::from_millis(300));
+    service.set_kept_changes(10);
+    deployment.commit_jobs(30);
+    service.inject_fault(None);
+    wait_for("the gap", NOTICE_LIMIT, || {
+        deployment.list().segments.len() == 2
+    });
+    recorder.kill();
+    let segments = deployment.list().segments;
+    let cause = "the state service no longer kept the changes";
+    assert_eq!(segments[1].gap.cause, cause, "{segments:?}");
+    deployment.verify();
+}
+
+/// In any span of this length the recorder sends no more than its share, and one at its start.
+const SHARE_SPAN: Duration = Duration::from_secs(2);
+
+/// The tool keeps to its share of the state service's requests.
+#[test]
+fn requests_keep_to_their_share() {
+    let deployment = Deployment::new("share", 8000);
+    let stop = AtomicBool::new(false);
+    thread::scope(|scope| {
+        scope.spawn(|| deployment.write_steadily(&stop, 3));
+        let ini = "[archive]\nrequest_share = 0.02\nwatch_s = 0.05\n";
+        succeed(deployment.run_command(ini).args(["--max-s", "6"]));
+        stop.store(true, Ordering::Relaxed);
+    });
+    let times = deployment.service.request_times();
+    let share = PlatformSettings::REQUESTS_PER_SECOND * 0.02;
+    let most = SHARE_SPAN.as_secs_f64() * share + 1.0;
+    assert!(times.len() > 8, "{}", times.len());
+    for (n, start) in times.iter().enumerate() {
+        let is_within = |time: &&Instant| **time < *start + SHARE_SPAN;
+        let within = times[n..].iter().take_while(is_within);
+        assert!(within.count() as f64 <= most, "more than {most} in 2 s");
+    }
+}
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -1,16 +1,20 @@
 //! A small HTTP server: a thread for each connection, one request at a time.
 
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::io::{self, Read, Write};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread;
 
 use salttiller_protocol::http::{parse_request, write_response, Request, Response};
 
-/// What a server does with a request; `None` closes the connection without an answer.
+/// Bytes read from a connection at once.
+const READ_BYTES: usize = 16 * 1024;
+
+/// What a server does with requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers a request; may take its time.
+    /// Answers a request, which may take its time; `None` closes the connection without an
+    /// answer.
     fn answer(&self, request: &Request) -> Option<Response>;
 }
 
@@ -22,25 +26,20 @@
 
 impl Server {
     /// Serves on a free port of the loopback address.
-    pub fn start(handler: Arc<dyn Handler>) -> std::io::Result<Self> {
-        let listener = TcpListener::bind("127.0.0.1:0")?;
+    ///
+    /// # Errors
+    /// No port can be listened on.
+    pub fn start(handler: Arc<dyn Handler>) -> io::Result<Self> {
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
         let stopped = Arc::new(AtomicBool::new(false));
-        let flag = stopped.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                if flag.load(Ordering::Relaxed) {
-                    return;
-                }
-                let handler = handler.clone();
-                let flag = flag.clone();
-                thread::spawn(move || serve(stream, &*handler, &flag));
-            }
-        });
+        let stop_flag = stopped.clone();
+        thread::spawn(move || accept_connections(&listener, &handler, &stop_flag));
         Ok(Server { address, stopped })
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
+    #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -54,28 +53,53 @@
     }
 }
 
-fn serve(mut stream: TcpStream, handler: &dyn Handler, stopped: &AtomicBool) {
-    let _ = stream.set_nodelay(true);
+fn accept_connections(
+    listener: &TcpListener,
+    handler: &Arc<dyn Handler>,
+    stopped: &Arc<AtomicBool>,
+) {
+    for stream in listener.incoming().flatten() {
+        if stopped.load(Ordering::Relaxed) {
+            return;
+        }
+        let handler = handler.clone();
+        let stopped = stopped.clone();
+        // The peer of a connection that breaks sees that itself.
+        thread::spawn(move || serve(stream, &*handler, &stopped));
+    }
+}
+
+/// Answers the requests of a connection until either side ends it.
+fn serve(mut stream: TcpStream, handler: &dyn Handler, stopped: &AtomicBool) -> io::Result<()> {
+    stream.set_nodelay(true)?;
     let mut received = Vec::new();
-    let mut chunk = [0; 16 * 1024];
     while !stopped.load(Ordering::Relaxed) {
-        match parse_request(&received) {
-            Ok(Some((request, used))) => {
-                received.drain(..used);
-                let Some(response) = handler.answer(&request) else {
-                    return;
-                };
-                let mut out = Vec::new();
-                write_response(&mut out, &response);
-                if stream.write_all(&out).is_err() {
-                    return;
-                }
-            }
-            Ok(None) => match stream.read(&mut chunk) {
-                Ok(0) | Err(_) => return,
-                Ok(n) => received.extend_from_slice(&chunk[..n]),
-            },
-            Err(_) => return,
+        let Some(request) = read_request(&mut stream, &mut received)? else {
+            return Ok(());
+        };
+        let Some(response) = handler.answer(&request) else {
+            return Ok(());
+        };
+        let mut bytes = Vec::new();
+        write_response(&mut bytes, &response);
+        stream.write_all(&bytes)?;
+    }
+    Ok(())
+}
+
+/// Reads one request; `None` at the end of the connection. `received` holds the bytes that
+/// were read beyond the request before.
+fn read_request(stream: &mut TcpStream, received: &mut Vec<u8>) -> io::Result<Option<Request>> {
+    let mut chunk = [0; READ_BYTES];
+    loop {
+        let parsed = parse_request(received).map_err(io::Error::other)?;
+        if let Some((request, used)) = parsed {
+            received.drain(..used);
+            return Ok(Some(request));
+        }
+        match stream.read(&mut chunk)? {
+            0 => return Ok(None),
+            length => received.extend_from_slice(&chunk[..length]),
         }
     }
 }
--- /dev/null
+++ b/crates/testkit/src/state_service/store.rs
@@ -0,0 +1,293 @@
+//! The store: records, the log of changes, transactions.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
+
+use salttiller_protocol::http::Response;
+use salttiller_protocol::state_service::{
+    encode, Changes, Event, Granted, Page, Pair, Refused, Revision,
+};
+use serde::Serialize;
+use serde_json::Value;
+
+use super::leases::Leases;
+use super::wire::{Conflict, Empty, Operation, Transaction};
+
+/// Most bytes of a page, as the protocol has it.
+const PAGE_BYTES: usize = 512 * 1024;
+/// Most records of a page, as the protocol has it.
+const PAGE_RECORDS: usize = 1000;
+/// Bytes of a record in a page besides its key and value, roughly.
+const PAIR_OVERHEAD_BYTES: usize = 40;
+/// Changes that are kept for watches unless a test sets another number.
+const KEPT_CHANGES: usize = 10_000;
+
+/// A record.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Record {
+    /// Revision of its last change.
+    pub version: u64,
+    /// Its value.
+    pub value: Value,
+}
+
+/// All records by key.
+pub type Records = BTreeMap<String, Record>;
+
+/// What the store holds; a copy of it is a backup to set the store back to.
+#[derive(Debug, Clone, Default)]
+pub struct Contents {
+    /// Number of transactions so far.
+    pub revision: u64,
+    /// The records.
+    pub records: Records,
+    /// Changes, oldest first; only the last are kept.
+    log: VecDeque<Event>,
+}
+
+/// Which records a page shows.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PageRange<'a> {
+    /// Keys have this prefix.
+    pub(super) prefix: &'a str,
+    /// Keys are greater than this one; empty: from the first.
+    pub(super) after: &'a str,
+    /// Most records, no more than the protocol allows.
+    pub(super) limit: Option<usize>,
+}
+
+/// The store.
+#[derive(Debug)]
+pub(super) struct Store {
+    contents: Contents,
+    leases: Leases,
+    /// Changes that are kept for watches.
+    kept_changes: usize,
+    /// All records by revision, if they are remembered.
+    history: Option<BTreeMap<u64, Records>>,
+}
+
+impl Store {
+    pub(super) fn new() -> Self {
+        Store {
+            contents: Contents::default(),
+            leases: Leases::default(),
+            kept_changes: KEPT_CHANGES,
+            history: None,
+        }
+    }
+
+    pub(super) fn contents(&self) -> &Contents {
+        &self.contents
+    }
+
+    pub(super) fn set_kept_changes(&mut self, changes: usize) {
+        self.kept_changes = changes;
+    }
+
+    pub(super) fn keep_history(&mut self) {
+        self.history.get_or_insert_default();
+        self.remember();
+    }
+
+    fn remember(&mut self) {
+        if let Some(history) = &mut self.history {
+            let records = self.contents.records.clone();
+            history.insert(self.contents.revision, records);
+        }
+    }
+
+    pub(super) fn records_at(&self, revision: u64) -> Option<Records> {
+        let last = self.history.as_ref()?.range(..=revision).next_back();
+        last.map(|(_, records)| records.clone())
+    }
+
+    /// Replaces all records and ends all leases.
+    pub(super) fn restore(&mut self, contents: Contents) {
+        self.contents = contents;
+        self.leases.clear();
+        if let Some(history) = &mut self.history {
+            history.retain(|revision, _| *revision <= self.contents.revision);
+        }
+    }
+
+    /// Puts and deletes records at one revision, which is returned.
+    pub(super) fn commit(&mut self, changes: Vec<(String, Option<Value>)>) -> u64 {
+        self.contents.revision += 1;
+        for (key, value) in changes {
+            match value {
+                Some(value) => self.put(key, value),
+                None => self.delete(key),
+            }
+        }
+        while self.contents.log.len() > self.kept_changes {
+            self.contents.log.pop_front();
+        }
+        self.remember();
+        self.contents.revision
+    }
+
+    fn put(&mut self, key: String, value: Value) {
+        let version = self.contents.revision;
+        let record = Record {
+            version,
+            value: value.clone(),
+        };
+        self.contents.records.insert(key.clone(), record);
+        self.contents.log.push_back(Event {
+            put: Some(key),
+            delete: None,
+            value: Some(value),
+            version,
+        });
+    }
+
+    fn delete(&mut self, key: String) {
+        if self.contents.records.remove(&key).is_none() {
+            return;
+        }
+        self.contents.log.push_back(Event {
+            put: None,
+            delete: Some(key),
+            value: None,
+            version: self.contents.revision,
+        });
+    }
+
+    /// Deletes the records whose leases have expired.
+    pub(super) fn expire_leases(&mut self) {
+        for keys in self.leases.expire() {
+            if !keys.is_empty() {
+                self.commit(keys.into_iter().map(|key| (key, None)).collect());
+            }
+        }
+    }
+
+    /// Answers with a page of records.
+    pub(super) fn page(&self, range: PageRange<'_>) -> Response {
+        let limit = range.limit.map_or(PAGE_RECORDS, |n| n.min(PAGE_RECORDS));
+        let start = if range.after.is_empty() {
+            range.prefix
+        } else {
+            range.after
+        };
+        let mut pairs = Vec::new();
+        let mut bytes = 0;
+        let mut more = false;
+        for (key, record) in self.contents.records.range(start.to_owned()..) {
+            if key == range.after || !key.starts_with(range.prefix) {
+                continue;
+            }
+            bytes += key.len() + record.value.to_string().len() + PAIR_OVERHEAD_BYTES;
+            if pairs.len() == limit || bytes > PAGE_BYTES {
+                more = true;
+                break;
+            }
+            pairs.push(pair(key, record));
+        }
+        ok(&Page {
+            pairs,
+            more,
+            revision: self.contents.revision,
+        })
+    }
+
+    /// Answers with one record.
+    pub(super) fn get(&self, key: &str) -> Response {
+        let revision = self.contents.revision;
+        match self.contents.records.get(key) {
+            Some(record) => ok(&pair(key, record)),
+            None => Response::new(404, encode(&Revision { revision })),
+        }
+    }
+
+    /// The changes after a revision of records whose keys have a prefix.
+    pub(super) fn changes_after(&self, from: u64, prefix: &str) -> Changes {
+        let is_wanted = |event: &&Event| {
+            let key = event.put.as_deref().or(event.delete.as_deref());
+            event.version > from && key.is_some_and(|key| key.starts_with(prefix))
+        };
+        let events = self.contents.log.iter().filter(is_wanted);
+        Changes {
+            revision: self.contents.revision,
+            events: events.cloned().collect(),
+        }
+    }
+
+    /// Whether all changes after a revision are still kept.
+    pub(super) fn keeps_changes_after(&self, from: u64) -> bool {
+        let log = &self.contents.log;
+        let oldest = log.front().map_or(0, |event| event.version);
+        let complete = log.len() < self.kept_changes;
+        from + 1 >= oldest || complete
+    }
+
+    /// Answers a transaction: all of it or nothing is carried out.
+    pub(super) fn transact(&mut self, transaction: Transaction) -> Response {
+        let mut conditions = transaction.conditions.into_iter();
+        if let Some(failed) = conditions.find(|c| self.version(&c.key) != c.version) {
+            let conflict = Conflict {
+                failed: vec![failed.key],
+                revision: self.contents.revision,
+            };
+            return Response::new(409, encode(&conflict));
+        }
+        let operations = transaction.operations;
+        let mut leases = operations.iter().filter_map(|operation| operation.lease);
+        if leases.any(|lease| !self.leases.exists(lease)) {
+            let error = "no such lease".to_owned();
+            return Response::new(400, encode(&Refused { error }));
+        }
+        let revision = if operations.is_empty() {
+            self.contents.revision
+        } else {
+            self.apply(operations)
+        };
+        ok(&Revision { revision })
+    }
+
+    /// Version of a record; 0 if there is none.
+    fn version(&self, key: &str) -> u64 {
+        let record = self.contents.records.get(key);
+        record.map_or(0, |record| record.version)
+    }
+
+    fn apply(&mut self, operations: Vec<Operation>) -> u64 {
+        let mut changes = Vec::new();
+        for operation in operations {
+            if let Some(key) = operation.put {
+                self.leases.attach(&key, operation.lease);
+                changes.push((key, Some(operation.value)));
+            } else if let Some(key) = operation.delete {
+                self.leases.attach(&key, None);
+                changes.push((key, None));
+            }
+        }
+        self.commit(changes)
+    }
+
+    /// Answers with a new lease.
+    pub(super) fn grant(&mut self, duration: Duration) -> Response {
+        let lease = self.leases.grant(duration);
+        ok(&Granted { lease })
+    }
+
+    /// Answers the renewal of a lease.
+    pub(super) fn renew(&mut self, lease: u64) -> Response {
+        let status = if self.leases.renew(lease) { 200 } else { 404 };
+        Response::new(status, encode(&Empty {}))
+    }
+}
+
+fn pair(key: &str, record: &Record) -> Pair {
+    Pair {
+        key: key.to_owned(),
+        value: record.value.clone(),
+        version: record.version,
+    }
+}
+
+/// An answer with status 200.
+pub(super) fn ok<T: Serialize>(body: &T) -> Response {
+    Response::new(200, encode(body))
+}
