--- a/crates/archive/src/database/file.rs
+++ b/crates/archive/src/database/file.rs
@@ -22,8 +22,8 @@
 /// Key of the deployment's name in the metadata.
 const DEPLOYMENT_KEY: &str = "deployment";
 
-/// How long to wait while another process has the file open. One step of a recording process
-/// takes some milliseconds; retention of large snapshots takes the longest.
+/// How long to wait while another process has the file open, which a recorder has only for the
+/// time of a transaction.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two attempts to open the file.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/archive/src/error.rs
+++ b/crates/archive/src/error.rs
@@ -1,4 +1,7 @@
-//! What can go wrong with an archive. Each error is one line for an operator.
+//! What can go wrong with an archive.
+//!
+//! Each error is one line for an operator, which includes the text of its cause. Causes are
+//! available through [`std::error::Error::source`] as well.
 
 mod damage;
 
@@ -10,6 +13,7 @@
 use salttiller_records::units::Micros;
 use thiserror::Error;
 
+pub use crate::encoding::EntryError;
 use crate::reconstruct::PointInTime;
 pub use damage::{Damage, EntryName};
 
@@ -61,7 +65,7 @@
     #[error("{}: in use by another process", .0.display())]
     InUse(PathBuf),
     /// The disk is full, or this process may not write more.
-    #[error("{}: no space left; nothing of this step is written", .0.display())]
+    #[error("{}: no space left; nothing of this transaction is written", .0.display())]
     NoSpace(PathBuf),
     /// The operating system refused for another reason.
     #[error("{}: {cause}", path.display())]
--- a/crates/archive/src/lib.rs
+++ b/crates/archive/src/lib.rs
@@ -17,9 +17,9 @@
 
 pub mod clock;
 pub mod database;
-pub mod digest;
+mod digest;
 pub mod documents;
-pub mod encoding;
+mod encoding;
 pub mod error;
 pub mod export;
 mod fault_injection;
--- a/crates/archive/src/model.rs
+++ b/crates/archive/src/model.rs
@@ -225,7 +225,7 @@
     pub started: Micros,
     /// Number of records.
     pub records: u64,
-    /// SHA-256 over all keys, versions and values, see [`crate::digest::RecordDigest`].
+    /// SHA-256 over all keys, versions and values in the order of the keys, see `digest.rs`.
     pub digest: Vec<u8>,
 }
 
--- a/crates/archive/src/recorder/answers.rs
+++ b/crates/archive/src/recorder/answers.rs
@@ -12,7 +12,7 @@
 use crate::model::{Change, ChangeBatch, Gap, GapCause, InvalidChange, KeyedRecord};
 
 /// How far before a new segment its preceding changes are asked for at first, in revisions.
-/// Enough for the changes that a history is recognised by, one of them at each second revision.
+/// Enough for the changes that a history is recognised by if every second revision has one.
 const PRECEDING_REVISIONS: u64 = 64;
 /// If the state service doesn't keep so many, a part of them is asked for: one in so many.
 const PRECEDING_REVISIONS_DIVISOR: u64 = 4;
--- a/crates/salttillerctl/src/recover.rs
+++ b/crates/salttillerctl/src/recover.rs
@@ -1,4 +1,8 @@
-//! `salttillerctl recover`: shows a hold after lost records, and records operators' decision.
+//! `salttillerctl recover`: shows a data-loss hold, and records operators' decision.
+//!
+//! Controllers that find that the state service lost records command nothing from then on,
+//! which is called a hold, until an operator decides. The hold and the decision are one record
+//! of the state service.
 //!
 //! Doc comments of the command line are its help text.
 
@@ -89,7 +93,7 @@
     }
 }
 
-/// Whether controllers hold by this record: operators have not decided yet.
+/// Whether the hold is in force by this record: operators have not decided yet.
 fn is_undecided(record: &HoldRecord) -> bool {
     record.accepted.is_none()
 }
