--- a/crates/archive/src/form/tests.rs
+++ b/crates/archive/src/encoding/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Tests of the forms in which the archive's file keeps its entries.
+//! Bytes of every form in which the archive's file keeps its entries.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -31,15 +31,18 @@
     let bytes = &entries(include_str!("fixtures/entries.hex"))[name];
     assert_eq!(&encode_entry(entry), bytes, "written: {name}");
     assert_eq!(
-        decode_entry::<T>(bytes).as_ref(),
+        decode_entry::<T>(bytes).ok().as_ref(),
         Some(entry),
         "read: {name}"
     );
     for at in 0..bytes.len() {
-        assert_eq!(decode_entry::<T>(&bytes[..at]), None, "{name} cut to {at}");
+        assert!(
+            decode_entry::<T>(&bytes[..at]).is_err(),
+            "{name} cut to {at}"
+        );
         let mut inverted = bytes.clone();
         inverted[at] ^= 0xff;
-        assert_eq!(decode_entry::<T>(&inverted), None, "{name} at {at}");
+        assert!(decode_entry::<T>(&inverted).is_err(), "{name} at {at}");
     }
 }
 
@@ -48,7 +51,7 @@
         cause,
         after_revision: 300,
         last_contact: 1 << 40,
-        noticed: 70_000,
+        detected: 70_000,
     }
 }
 
@@ -87,29 +90,29 @@
         gap: gap(cause),
         after: 4,
         until: 70_000,
-        verified: 69_999,
+        verified_until: 69_999,
         first_batch: 2,
         next_batch: 130,
-        context: context.clone(),
+        preceding_changes: context.clone(),
         last_contact: (1 << 40) + 5,
-        ended,
+        ended_by: ended,
     };
     keeps("segment", &segment(GapCause::FirstRecording, None));
     let went_back = gap(GapCause::RevisionWentBack { to: 200 });
     keeps(
         "segment after changes not kept",
-        &segment(GapCause::ChangesNotKept, Some(went_back)),
+        &segment(GapCause::ChangesCompacted, Some(went_back)),
     );
     let replaced = gap(GapCause::HistoryReplaced);
     keeps(
         "segment of another history",
         &segment(GapCause::HistoryReplaced, Some(replaced)),
     );
-    let image = |revision, records, digest| Image {
+    let image = |revision, records, digest| Snapshot {
         segment: 1,
         revision,
-        first_page: 300,
-        begun: 1 << 40,
+        first_page_revision: 300,
+        started: 1 << 40,
         records,
         digest,
     };
@@ -117,7 +120,8 @@
     let mut digest = RecordDigest::default();
     digest.add("st/hold", &StoredRecord::new(6, &json!("x")));
     digest.add("st/job/req-1", &record);
-    let (records, digest) = digest.finish();
+    let complete = digest.finish();
+    let (records, digest) = (complete.records, complete.digest);
     assert_eq!(digest, DIGEST, "{digest:02x?}");
     keeps("image", &image(Some(310), records, digest));
 }
@@ -138,10 +142,10 @@
         bytes.extend(body);
         let (kind, _) = name.split_once(' ').unwrap();
         let refused = match kind {
-            "record" => decode_entry::<StoredRecord>(&bytes).is_none(),
-            "batch" => decode_entry::<ChangeBatch>(&bytes).is_none(),
-            "segment" => decode_entry::<Segment>(&bytes).is_none(),
-            "image" => decode_entry::<Image>(&bytes).is_none(),
+            "record" => decode_entry::<StoredRecord>(&bytes).is_err(),
+            "batch" => decode_entry::<ChangeBatch>(&bytes).is_err(),
+            "segment" => decode_entry::<Segment>(&bytes).is_err(),
+            "image" => decode_entry::<Snapshot>(&bytes).is_err(),
             other => panic!("{other}"),
         };
         assert!(refused, "{name}");
