--- a/src/controller.rs
+++ b/src/controller.rs
@@ -305,7 +305,7 @@
             self.settings.owner_lease_life() / MILLISECOND
         );
         self.now = self.reactor.clock();
-        self.registry.want_lease(LeaseRole::Owner);
+        self.registry.request_lease(LeaseRole::Owner);
         if self.settings.operator.detect_lost_records {
             let detection = Detection::starting(self.now, self.settings.report);
             self.detection = Some(detection);
@@ -385,7 +385,7 @@
     /// Whether users do well to come here. When the state service is out for
     /// everybody, going elsewhere would not help them.
     fn ready(&self) -> bool {
-        if !self.registry.loaded() {
+        if !self.registry.is_loaded() {
             return false;
         }
         if self.fresh() {
@@ -421,7 +421,7 @@
             self.send_state();
         }
         self.tell_unreached();
-        if self.now >= self.aims_next && self.registry.loaded() {
+        if self.now >= self.aims_next && self.registry.is_loaded() {
             self.aims_next = self.now + 2 * SECOND;
             self.look_at_aims();
         }
@@ -538,7 +538,7 @@
                 StateStoreEvent::RecordsLost(finding) => self.hold(finding),
             }
         }
-        for t in self.registry.take_times() {
+        for t in self.registry.take_commit_latencies() {
             self.limiter.measured(t, self.now);
         }
     }
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -48,7 +48,7 @@
     /// many there are, so the limit on requests in progress is not for them: a job
     /// whose polls it refused again and again would be forgotten.
     pub(super) fn answers(&mut self, conn: ConnId) -> bool {
-        let able = self.registry.loaded() && !self.registry.failing();
+        let able = self.registry.is_loaded() && !self.registry.is_failing();
         if !able {
             self.refuse(conn, 503, 1);
         }
@@ -114,7 +114,7 @@
                     came: self.now,
                     give_up: self.now + ASK_PATIENCE,
                 });
-                self.registry.want_barrier();
+                self.registry.request_barrier();
                 return;
             }
         }
@@ -130,7 +130,7 @@
                 came: self.now,
                 give_up: self.now + ASK_PATIENCE,
             });
-            self.registry.want_barrier();
+            self.registry.request_barrier();
             return;
         }
         let came = self.now;
@@ -194,7 +194,7 @@
             came: self.now,
             give_up: self.now + patience,
         });
-        self.registry.want_barrier();
+        self.registry.request_barrier();
     }
 
     pub(super) fn state(&self, id: &str, stage: JobStage) -> Vec<u8> {
@@ -227,7 +227,7 @@
     pub(super) fn answer_waiting(&mut self, sent: Micros) {
         let ready = self.waiting.take_until(sent);
         if self.waiting.len() > 0 {
-            self.registry.want_barrier();
+            self.registry.request_barrier();
         }
         for w in ready {
             if self.held.is_some() {
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -36,7 +36,7 @@
                             came: self.now,
                             give_up: came + ASK_PATIENCE,
                         });
-                        self.registry.want_barrier();
+                        self.registry.request_barrier();
                     }
                     CommitOutcome::Refused | CommitOutcome::Unknown => self.refuse(conn, 503, 1),
                 }
@@ -57,7 +57,7 @@
                             came: self.now,
                             give_up,
                         });
-                        self.registry.want_barrier();
+                        self.registry.request_barrier();
                     }
                     _ => self.refuse(conn, 503, 1),
                 }
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -127,7 +127,7 @@
 
     /// Begins or ends a hold as the record of it says.
     pub(super) fn heed_hold_record(&mut self) {
-        if self.detection.is_none() || !self.registry.loaded() {
+        if self.detection.is_none() || !self.registry.is_loaded() {
             return;
         }
         let Some(record) = self.registry.replica.hold.as_ref().map(|v| &v.value) else {
@@ -194,7 +194,7 @@
     /// Keeps the hold on record and its regions owned; returns when to look again.
     pub(super) fn manage_hold(&mut self) -> Micros {
         let until = self.now + SECOND;
-        if !self.registry.loaded() {
+        if !self.registry.is_loaded() {
             return until;
         }
         self.put_hold_on_record();
@@ -304,8 +304,8 @@
             held.next_attempt = self.now + ATTEMPT_GAP;
             if matches!(outcome, CommitOutcome::Refused) {
                 // The lease went in a further loss, before its renewal would show that.
-                self.registry.drop_lease(LeaseRole::Owner);
-                self.registry.want_lease(LeaseRole::Owner);
+                self.registry.release_lease(LeaseRole::Owner);
+                self.registry.request_lease(LeaseRole::Owner);
             }
             return;
         }
@@ -427,7 +427,7 @@
         };
         let speaks = detection.look_at(reported, self.now);
         if speaks {
-            self.registry.want_barrier();
+            self.registry.request_barrier();
         }
         speaks
     }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -7,7 +7,7 @@
         let Some(r) = worker_protocol::parse_heartbeat(body) else {
             return self.reactor.respond(conn, Response::new(400, Vec::new()));
         };
-        if !self.registry.loaded() {
+        if !self.registry.is_loaded() {
             return self.refuse(conn, 503, 1);
         }
         if self.held.is_some() {
@@ -64,7 +64,7 @@
                     r.token
                 );
                 self.retake.insert(region);
-                self.registry.want_barrier();
+                self.registry.request_barrier();
                 Response::refusal(503, 1)
             }
             HeartbeatOutcome::UnknownMachine => elsewhere(None),
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -11,7 +11,7 @@
     }
 
     pub(super) fn manage_leader(&mut self) {
-        if !self.registry.loaded() {
+        if !self.registry.is_loaded() {
             return;
         }
         let rec = self.registry.replica.leader.as_ref();
@@ -46,7 +46,7 @@
         if (rec.is_some() && !stale_self) || !self.fresh() {
             self.lead_at = None;
             if rec.is_some() && self.registry.lease_id(LeaseRole::Leader).is_some() {
-                self.registry.drop_lease(LeaseRole::Leader);
+                self.registry.release_lease(LeaseRole::Leader);
             }
             return;
         }
@@ -57,7 +57,7 @@
         if now < at {
             return;
         }
-        self.registry.want_lease(LeaseRole::Leader);
+        self.registry.request_lease(LeaseRole::Leader);
         let Some(lease) = self.registry.lease_id(LeaseRole::Leader) else {
             return;
         };
--- a/src/controller/regions.rs
+++ b/src/controller/regions.rs
@@ -5,7 +5,7 @@
 impl<N: Net> Controller<N> {
     /// Takes regions that are ours to take, and notes those we have lost.
     pub(super) fn manage_regions(&mut self) {
-        if !self.registry.loaded() {
+        if !self.registry.is_loaded() {
             return;
         }
         self.release_unreached();
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -9,7 +9,7 @@
         let unsettled = |(r, _): &(peer_protocol::RegionReport, Micros)| !r.reconciled;
         if self.held.is_some() {
             "state service lost records"
-        } else if self.registry.failing() {
+        } else if self.registry.is_failing() {
             "state service down"
         } else if self.reports.len() < self.settings.size() || self.reports.values().any(unsettled)
         {
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -1,63 +1,75 @@
-//! Our side of the state service: the replica, leases, commits and the read
-//! barrier, paced under the service's rates.
+//! Client of the consensus-backed key-value store ("state service"): the replica of the
+//! records, leases, commits and the read barrier, paced under the service's rates.
+//!
+//! The controller owns one [`StateStore`]. It calls [`StateStore::pump`] for the calls to
+//! make, hands their ends to [`StateStore::on_response`] and reads [`StateStore::replica`].
+//! Nothing here does I/O.
 //!
 //! What makes it safe:
 //! - A commit whose answer is missing is *unknown*. It is sent again unchanged,
 //!   with the same conditions, until the answer is definite; a late copy then
 //!   finds its conditions broken and changes nothing.
-//! - `fresh_at` is the send time of the last completed read that asked for
-//!   everything up to "now", and `renewed_at` that of the last renewal: both are
-//!   earlier than what they prove.
-
+//! - `read_at` is the send time of the last completed read that asked for everything up to
+//!   "now", and `renewed_at` that of the last renewal: both are earlier than what they
+//!   prove.
+
+mod answer;
+mod authority;
+mod barrier;
+mod calls;
+mod changes;
 mod commits;
 mod history;
-mod leases;
+mod lease;
+mod lease_calls;
+mod loader;
+mod long_poll;
 pub mod pipelines;
-mod reads;
+mod rate_limiter;
 pub mod replica;
+mod transaction;
 
-use std::collections::{BTreeMap, VecDeque};
+pub use authority::{Authority, FRESH_FOR};
+pub use calls::StoreCall;
+pub use commits::{CommitOutcome, CommitPriority};
+pub use lease::LeaseRole;
+pub use transaction::Transaction;
 
-use serde::Deserialize;
-use serde_json::{json, Value};
+use salttiller_protocol::http::Response;
+use salttiller_protocol::state_service::Page;
+use salttiller_records::key::Key;
+use salttiller_records::units::{Micros, MILLISECOND, SECOND};
+use salttiller_recovery::Finding;
 
-use crate::fault_injection::{is_disabled, Safeguard};
 use crate::reactor::CallError;
 use crate::settings::Settings;
+use answer::read_answer;
+use authority::Freshness;
+use barrier::ReadBarrier;
+use calls::{Calls, Operation, WakeTime};
+use changes::Watch;
+use commits::CommitQueue;
+use history::History;
+use lease::Lease;
+use loader::{CompleteRead, Loader};
+use long_poll::LongPoll;
 use replica::Replica;
-use salttiller_protocol::http::Response;
-use salttiller_protocol::state_service::{self, encode, Changes, Granted, Page, Refused, Revision};
-use salttiller_records::key::{Key, PREFIX};
-use salttiller_records::units::{subtract_drift, Micros, MILLISECOND, SECOND};
-use salttiller_recovery::{Finding, RecentChanges};
-
-/// A change of the records, all or nothing.
-#[derive(Debug, Clone, Default)]
-pub struct Transaction {
-    /// Records it relies on, with the revision they must have (0: absent).
-    pub conditions: Vec<(Key, u64)>,
-    /// Puts and deletions.
-    pub changes: Vec<(Key, Option<Value>)>,
-    /// Attach the puts of this key to this lease.
-    pub lease: Option<(Key, u64)>,
-}
 
-/// How a commit ended.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CommitOutcome {
-    /// Carried out, with this revision.
-    Committed(u64),
-    /// A condition didn't hold: surely not carried out by this sending, but an
-    /// earlier unanswered one may have been. The replica must reach the revision
-    /// before anything is concluded.
-    Conflict(u64),
-    /// Surely not carried out.
-    Refused,
-    /// Its time ran out with no definite answer.
-    Unknown,
-}
-
-/// What the registry has to tell the other slices.
+/// Time to live of the leader's lease.
+const LEADER_LEASE_TTL: Micros = 4 * SECOND;
+/// Longest time between two pumps.
+const MAX_PUMP_INTERVAL: Micros = SECOND;
+/// Least interval of long polls and of barriers, however high the rate of requests.
+const MIN_READ_INTERVAL: Micros = 20 * MILLISECOND;
+/// Part of this controller's share of the request rate that all its calls may use: the rest
+/// is left for clocks that run apart.
+const USABLE_SHARE: f64 = 0.95;
+/// Part of this controller's share of the request rate for long polls.
+const LONG_POLL_SHARE: f64 = 0.3;
+/// Part of this controller's share of the request rate for barriers.
+const BARRIER_SHARE: f64 = 0.2;
+
+/// What happened in the state store, for the other modules.
 #[derive(Debug)]
 pub enum StateStoreEvent {
     /// Records that changed.
@@ -68,7 +80,7 @@
     Barrier(Micros),
     /// A read sent at this time failed.
     BarrierFailed(Micros),
-    /// A commit ended.
+    /// The commit with this ticket ended.
     Committed(u64, CommitOutcome),
     /// The process's lease is gone, and all regions held under it.
     OwnerLeaseLost,
@@ -78,370 +90,118 @@
     RecordsLost(Finding),
 }
 
-/// How far an owner may act just now.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Authority {
-    /// Not at all: another may own the region, or jobs be cancelled unheard.
-    Ended,
-    /// It may answer reports and so keep running work alive, but what it knows is too
-    /// old to start anything by: a job may have been cancelled since.
-    Answering,
-    /// It may start tasks, too.
-    Starting,
-}
-
-/// A call to the state service.
-#[derive(Debug)]
-pub struct StoreCall {
-    /// Handed back with the response.
-    pub op: u64,
-    /// Request method.
-    pub method: &'static str,
-    /// Path and query.
-    pub target: String,
-    /// Body.
-    pub body: Vec<u8>,
-    /// Time it may take.
-    pub timeout: Micros,
-}
-
-/// How soon a commit matters.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CommitPriority {
-    /// Users wait for it, or authority hangs on it.
-    Urgent,
-    /// Work waits for it.
-    Normal,
-    /// Nothing does.
-    Background,
-}
-
-struct Commit {
-    ticket: u64,
-    txn: Transaction,
-    urgency: CommitPriority,
-    asked: Micros,
-    give_up: Option<Micros>,
-    not_before: Micros,
-    /// A sending of it is unanswered: it may yet be carried out.
-    unsure: bool,
-}
-
-/// One of the two leases a process may hold.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeaseRole {
-    /// For regions.
-    Owner,
-    /// For leading.
-    Leader,
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LeaseState {
-    Unwanted,
-    Wanted {
-        not_before: Micros,
-    },
-    Acquiring {
-        sent: Micros,
-    },
-    Held {
-        id: u64,
-        renewed: Micros,
-        next: Micros,
-    },
-    Renewing {
-        id: u64,
-        renewed: Micros,
-        sent: Micros,
-    },
-}
-
-#[derive(Debug)]
-struct Lease {
-    life: Micros,
-    state: LeaseState,
-}
-
-/// What a watch was asked for.
-#[derive(Debug)]
-struct Watch {
-    /// Changes after this revision.
-    from: u64,
-    /// The changes that it must show, if it is to recognise the history.
-    compared: Option<RecentChanges>,
-}
-
-enum Operation {
-    Page { sent: Micros },
-    Follow { from: u64 },
-    Barrier { sent: Micros, watch: Watch },
-    AcquireLease(LeaseRole),
-    RenewLease(LeaseRole),
-    Commit(Box<Commit>),
-}
-
-/// A bucket of permits that fills at a rate, holding at most a second's worth.
-#[derive(Debug)]
-struct TokenBucket {
-    rate: f64,
-    level: f64,
-    cap: f64,
-    at: Micros,
-}
-
-impl TokenBucket {
-    fn new(rate: f64) -> Self {
-        let cap = rate.max(2.0);
-        TokenBucket {
-            rate,
-            level: cap,
-            cap,
-            at: 0,
-        }
-    }
-    fn fill(&mut self, now: Micros) {
-        let dt = now.saturating_sub(self.at) as f64 / 1e6;
-        self.level = (self.level + dt * self.rate).min(self.cap);
-        self.at = now;
-    }
-    fn has(&self, n: f64) -> bool {
-        // More than the bucket holds would never pass: such goes when it is full.
-        self.level >= n.min(self.cap)
-    }
-    fn wait(&self, n: f64) -> Micros {
-        let lack = n.min(self.cap) - self.level;
-        if lack <= 0.0 {
-            0
-        } else {
-            (lack / self.rate * 1e6) as Micros + MILLISECOND
-        }
-    }
-}
-
-enum Loading {
-    Needed {
-        not_before: Micros,
-    },
-    Reading {
-        fresh: Box<Replica>,
-        from: Option<String>,
-        start: Option<u64>,
-        sent: Option<Micros>,
-        waiting: bool,
-        /// The revision that was known before the first page was asked for.
-        known: u64,
-    },
-    Done,
-}
-
-/// The registry's state.
+/// The client's state.
 pub struct StateStore {
     /// The copy of the records.
     pub replica: Replica,
-    load: Loading,
-    follow_busy: bool,
-    follow_next: Micros,
-    follow_gap: Micros,
-    barrier_busy: bool,
-    barrier_next: Micros,
-    barrier_gap: Micros,
-    barrier_wanted: bool,
-    fresh_at: Option<Micros>,
-    failing: bool,
-    owner: Lease,
-    leader: Lease,
-    /// Commits that wait to be sent, by urgency.
-    queues: [VecDeque<Commit>; 3],
-    ops: BTreeMap<u64, Operation>,
-    next_op: u64,
-    next_ticket: u64,
-    in_flight: usize,
-    requests: TokenBucket,
-    writes: TokenBucket,
-    /// The lowest rate of changes that the state service will have for all controllers.
-    writes_least: f64,
-    /// How many controllers share it.
-    controllers: f64,
-    write_most: f64,
-    out: Vec<StoreCall>,
-    commit_times: Vec<Micros>,
-    commit_sent: BTreeMap<u64, Micros>,
-    /// The last changes, if lost records are looked for.
-    recent: Option<RecentChanges>,
-    /// After an interruption the next barrier recognises the history.
-    compare_next: bool,
-    /// When the next barrier does so without one.
-    compare_at: Micros,
-    /// The time of the last call.
-    now: Micros,
+    loader: Loader,
+    long_poll: LongPoll,
+    barrier: ReadBarrier,
+    freshness: Freshness,
+    history: History,
+    owner_lease: Lease,
+    leader_lease: Lease,
+    commits: CommitQueue,
+    calls: Calls,
+    /// The time of the last pump.
+    pumped_at: Micros,
 }
 
-/// How old the last complete read may be for us to take requests and start tasks.
-pub const FRESH_FOR: Micros = 3 * SECOND;
-const MARGIN: Micros = 300 * MILLISECOND;
-const COMMITS_AT_ONCE: usize = 6;
-/// The periodic read that keeps authority and readiness up.
-const SYNC_EVERY: Micros = SECOND;
-const FOLLOW_WAIT: Micros = 5 * SECOND;
-
-fn decode<T: for<'a> Deserialize<'a>>(body: &[u8]) -> Option<T> {
-    match state_service::decode(body) {
-        Ok(v) => Some(v),
-        Err(e) => {
-            log::error!("registry: answer of the state service can't be read: {e}");
-            None
-        }
-    }
+/// The interval at which `rate` reads a second are made.
+fn read_interval(rate: f64) -> Micros {
+    ((SECOND as f64 / rate) as Micros).max(MIN_READ_INTERVAL)
 }
 
 impl StateStore {
-    /// A registry that knows nothing yet.
-    pub fn new(s: &Settings) -> Self {
-        let n = s.size() as f64;
-        let share = s.store_rps / n;
-        // More than an even share each, since not all have much to write at once;
-        // when that is too much together, each comes down to its even share.
-        let most = (0.95 / n).max(0.4);
+    /// A client that knows nothing yet.
+    pub fn new(settings: &Settings) -> Self {
+        let request_rate = settings.store_rps / settings.size() as f64;
         StateStore {
             replica: Replica::default(),
-            load: Loading::Needed { not_before: 0 },
-            follow_busy: false,
-            follow_next: 0,
-            follow_gap: ((1e6 / (share * 0.3)) as Micros).max(20 * MILLISECOND),
-            barrier_busy: false,
-            barrier_next: 0,
-            barrier_gap: ((1e6 / (share * 0.2)) as Micros).max(20 * MILLISECOND),
-            barrier_wanted: false,
-            fresh_at: None,
-            failing: false,
-            owner: Lease {
-                life: s.owner_lease_life(),
-                state: LeaseState::Unwanted,
-            },
-            leader: Lease {
-                life: 4 * SECOND,
-                state: LeaseState::Unwanted,
-            },
-            queues: Default::default(),
-            ops: BTreeMap::new(),
-            next_op: 1,
-            next_ticket: 1,
-            in_flight: 0,
-            requests: TokenBucket::new(share * 0.95),
-            writes: TokenBucket::new(s.store_writes * most),
-            writes_least: s.store_writes_least,
-            controllers: n,
-            write_most: s.store_writes * most,
-            out: Vec::new(),
-            commit_times: Vec::new(),
-            commit_sent: BTreeMap::new(),
-            recent: s.operator.detect_lost_records.then(RecentChanges::default),
-            compare_next: false,
-            compare_at: 0,
-            now: 0,
+            loader: Loader::new(),
+            long_poll: LongPoll::new(read_interval(request_rate * LONG_POLL_SHARE)),
+            barrier: ReadBarrier::new(read_interval(request_rate * BARRIER_SHARE)),
+            freshness: Freshness::default(),
+            history: History::new(settings.operator.detect_lost_records),
+            owner_lease: Lease::new(LeaseRole::Owner, settings.owner_lease_life()),
+            leader_lease: Lease::new(LeaseRole::Leader, LEADER_LEASE_TTL),
+            commits: CommitQueue::new(settings),
+            calls: Calls::new(request_rate * USABLE_SHARE),
+            pumped_at: 0,
         }
     }
 
     /// Whether the replica has been read.
-    pub fn loaded(&self) -> bool {
-        matches!(self.load, Loading::Done)
+    pub fn is_loaded(&self) -> bool {
+        self.loader.is_done()
     }
 
     /// Send time of the last complete read, if there was one.
     pub fn fresh_at(&self) -> Option<Micros> {
-        self.fresh_at
+        self.freshness.read_at()
     }
 
     /// Whether the last read failed.
-    pub fn failing(&self) -> bool {
-        self.failing
+    pub fn is_failing(&self) -> bool {
+        self.freshness.is_failing()
     }
 
-    /// How far an owner may act. Two deadlines, since a lost cancellation costs
-    /// differently: a start after it is seen at once, a task that runs on is not
-    /// before `cancel_s`, and to end every answer with the short one would have each
-    /// outage end all work.
+    /// How far an owner may act.
     pub fn authority(&self, now: Micros) -> Authority {
-        if now >= self.authority_until() {
-            Authority::Ended
-        } else if self.fresh_at.is_some_and(|f| now < f + FRESH_FOR) {
-            Authority::Starting
-        } else {
-            Authority::Answering
-        }
+        self.freshness.authority(&self.owner_lease, now)
     }
 
-    /// Until when an owner may answer reports.
+    /// Until when an owner may answer heartbeats.
     pub fn authority_until(&self) -> Micros {
-        let renewed = match self.owner.state {
-            LeaseState::Held { renewed, .. } | LeaseState::Renewing { renewed, .. } => renewed,
-            _ => return 0,
-        };
-        match self.fresh_at {
-            Some(f) => (renewed.min(f) + subtract_drift(self.owner.life)).saturating_sub(MARGIN),
-            None => 0,
-        }
+        self.freshness.authority_until(&self.owner_lease)
     }
 
-    /// Until when a leader may think itself one.
+    /// Until when a leader may act as one.
     pub fn leader_until(&self) -> Micros {
-        match self.leader.state {
-            LeaseState::Held { renewed, .. } | LeaseState::Renewing { renewed, .. } => {
-                (renewed + subtract_drift(self.leader.life)).saturating_sub(MARGIN)
-            }
-            _ => 0,
-        }
+        let lease = &self.leader_lease;
+        lease
+            .renewed_at()
+            .map_or(0, |renewed_at| lease.safe_until(renewed_at))
     }
 
     /// Asks for a read that begins after now.
-    pub fn want_barrier(&mut self) {
-        self.barrier_wanted = true;
-    }
-
-    fn send(
-        &mut self,
-        op: Operation,
-        method: &'static str,
-        target: String,
-        body: Vec<u8>,
-        timeout: Micros,
-    ) {
-        let id = self.next_op;
-        self.next_op += 1;
-        self.requests.level -= 1.0;
-        self.ops.insert(id, op);
-        self.out.push(StoreCall {
-            op: id,
-            method,
-            target,
-            body,
-            timeout,
-        });
+    pub fn request_barrier(&mut self) {
+        self.barrier.request();
     }
 
-    /// Sends what is due. Returns the calls to make and when to look again.
+    /// Sends what is due. Returns the calls to make and when to pump again.
+    #[must_use]
     pub fn pump(
         &mut self,
         now: Micros,
         events: &mut Vec<StateStoreEvent>,
     ) -> (Vec<StoreCall>, Micros) {
-        self.now = now;
-        self.requests.fill(now);
-        self.writes.fill(now);
-        let mut next = now + SECOND;
-        for name in [LeaseRole::Owner, LeaseRole::Leader] {
-            self.pump_lease(name, now, &mut next);
+        self.pumped_at = now;
+        self.calls.refill(now);
+        self.commits.refill(now);
+        let mut wake = WakeTime::new(now + MAX_PUMP_INTERVAL);
+        self.pump_lease(LeaseRole::Owner, now, &mut wake);
+        self.pump_lease(LeaseRole::Leader, now, &mut wake);
+        let revision = self.replica.revision;
+        self.loader.pump(revision, now, &mut self.calls, &mut wake);
+        if self.is_loaded() {
+            self.pump_barrier(now, &mut wake);
+            self.long_poll
+                .pump(revision, now, &mut self.calls, &mut wake);
         }
-        self.pump_load(now, &mut next);
-        if self.loaded() {
-            self.pump_reads(now, &mut next);
+        self.commits.pump(now, &mut self.calls, events, &mut wake);
+        (self.calls.take_unsent(), wake.at())
+    }
+
+    fn pump_barrier(&mut self, now: Micros, wake: &mut WakeTime) {
+        let read_at = self.freshness.read_at();
+        if self.barrier.is_due(read_at, now, &self.calls, wake) {
+            let watch = self.history.next_watch(self.replica.revision, now);
+            self.barrier.send(watch, now, &mut self.calls);
         }
-        self.pump_commits(now, events, &mut next);
-        (std::mem::take(&mut self.out), next)
     }
 
-    /// Takes the end of a call.
+    /// Applies the end of the call with the id `op`.
     pub fn on_response(
         &mut self,
         op: u64,
@@ -449,47 +209,113 @@
         now: Micros,
         events: &mut Vec<StateStoreEvent>,
     ) {
-        let Some(op) = self.ops.remove(&op) else {
+        let Some(operation) = self.calls.complete(op) else {
             return;
         };
-        match op {
-            Operation::Page { sent } => self.on_page(sent, result, now, events),
-            Operation::Follow { from } => {
-                self.follow_busy = false;
-                self.follow_next = now + self.follow_gap;
-                let watch = Watch {
-                    from,
-                    compared: None,
-                };
-                if !self.on_follow(watch, result, now, events) {
-                    self.compare_next = true;
-                    self.follow_next = now + 500 * MILLISECOND;
-                }
+        match operation {
+            Operation::Page => self.on_page(result, now, events),
+            Operation::LongPoll { from } => self.on_long_poll(from, result, now, events),
+            Operation::Barrier { sent_at, watch } => {
+                self.on_barrier(sent_at, &watch, result, now, events);
+            }
+            Operation::AcquireLease(role) => self.on_lease_acquired(role, result, now),
+            Operation::RenewLease(role) => self.on_lease_renewed(role, result, now, events),
+            Operation::Commit(commit) => self.on_commit_response(*commit, result, now, events),
+        }
+    }
+
+    fn on_page(
+        &mut self,
+        result: Result<Response, CallError>,
+        now: Micros,
+        events: &mut Vec<StateStoreEvent>,
+    ) {
+        let page = read_answer::<Page>(result)
+            .inspect_err(|error| error.log("page"))
+            .ok();
+        if let Some(read) = self.loader.on_page(page, now) {
+            self.on_read_complete(read, events);
+        }
+    }
+
+    /// Replaces the replica by what a full read brought.
+    fn on_read_complete(&mut self, read: CompleteRead, events: &mut Vec<StateStoreEvent>) {
+        let finding =
+            self.history
+                .check_full_read(&self.replica, read.known_revision, &read.replica);
+        self.replica = read.replica;
+        self.history.start_at(self.replica.revision);
+        log::info!(
+            "replica loaded: revision {}, {} jobs, {} machines",
+            self.replica.revision,
+            self.replica.jobs.len(),
+            self.replica.machines.len()
+        );
+        self.freshness.read_completed(read.sent_at);
+        events.push(StateStoreEvent::Loaded);
+        events.extend(finding.map(StateStoreEvent::RecordsLost));
+    }
+
+    fn on_long_poll(
+        &mut self,
+        from: u64,
+        result: Result<Response, CallError>,
+        now: Micros,
+        events: &mut Vec<StateStoreEvent>,
+    ) {
+        self.long_poll.answered(now);
+        let watch = Watch {
+            from,
+            verified: None,
+        };
+        if !self.on_changes(&watch, result, now, events) {
+            self.history.verify_at_next_barrier();
+            self.long_poll.failed(now);
+        }
+    }
+
+    fn on_barrier(
+        &mut self,
+        sent_at: Micros,
+        watch: &Watch,
+        result: Result<Response, CallError>,
+        now: Micros,
+        events: &mut Vec<StateStoreEvent>,
+    ) {
+        self.barrier.answered();
+        if self.on_changes(watch, result, now, events) {
+            if self.is_failing() {
+                log::info!("state service reads succeed again");
             }
-            Operation::Barrier { sent, watch } => {
-                self.barrier_busy = false;
-                if self.on_follow(watch, result, now, events) {
-                    self.fresh_at = Some(self.fresh_at.unwrap_or(0).max(sent));
-                    if self.failing {
-                        log::info!("registry: state service: answers again");
-                    }
-                    self.failing = false;
-                    events.push(StateStoreEvent::Barrier(sent));
-                } else {
-                    if !self.failing && self.loaded() {
-                        log::info!("registry: state service: read failed");
-                    }
-                    self.failing = true;
-                    self.compare_next = true;
-                    self.barrier_next = now + 250 * MILLISECOND;
-                    events.push(StateStoreEvent::BarrierFailed(sent));
-                }
+            self.freshness.read_completed(sent_at);
+            events.push(StateStoreEvent::Barrier(sent_at));
+        } else {
+            if !self.is_failing() && self.is_loaded() {
+                log::info!("state service read failed");
             }
-            Operation::AcquireLease(name) => self.on_ask(name, result, now),
-            Operation::RenewLease(name) => self.on_renew(name, result, now, events),
-            Operation::Commit(c) => self.on_commit(*c, result, now, events),
+            self.freshness.read_failed();
+            self.history.verify_at_next_barrier();
+            self.barrier.failed(now);
+            events.push(StateStoreEvent::BarrierFailed(sent_at));
         }
     }
+
+    /// The known history is gone: reads all records again, under new leases, and sends
+    /// nothing that was meant for the old one. Returns the replica of the old history.
+    #[must_use]
+    pub fn forget_history(&mut self, events: &mut Vec<StateStoreEvent>) -> Replica {
+        // Late answers to these would mix the old history with the new one.
+        self.calls.abandon_all_but_commits();
+        self.long_poll.reset(self.pumped_at);
+        self.barrier.reset(self.pumped_at);
+        self.loader.restart(0);
+        self.freshness.forget_reads();
+        self.history.forget();
+        self.owner_lease.request_anew();
+        self.leader_lease.release();
+        self.commits.refuse_all(events);
+        std::mem::take(&mut self.replica)
+    }
 }
 
 #[cfg(test)]
