--- a/crates/records/src/amount.rs
+++ b/crates/records/src/amount.rs
@@ -1,11 +1,14 @@
-//! Processors and cards together, with arithmetic that never wraps.
+//! The resources that quotas limit, processors and accelerators, with arithmetic that never wraps.
 
-/// Processors and cards together, in millionths.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+use serde::{Deserialize, Serialize};
+
+/// Processors and accelerators, in millionths. Stored as `[cpus, gpus]`.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct QuotaAmount {
     /// Processors.
     pub cpus: u64,
-    /// Cards.
+    /// Accelerators.
     pub gpus: u64,
 }
 
@@ -17,22 +20,25 @@
     };
 
     /// Sum, never wrapping.
-    pub fn plus(self, o: QuotaAmount) -> QuotaAmount {
+    #[must_use]
+    pub fn plus(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount {
-            cpus: self.cpus.saturating_add(o.cpus),
-            gpus: self.gpus.saturating_add(o.gpus),
+            cpus: self.cpus.saturating_add(other.cpus),
+            gpus: self.gpus.saturating_add(other.gpus),
         }
     }
 
     /// Difference, never below zero.
-    pub fn minus(self, o: QuotaAmount) -> QuotaAmount {
+    #[must_use]
+    pub fn minus(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount {
-            cpus: self.cpus.saturating_sub(o.cpus),
-            gpus: self.gpus.saturating_sub(o.gpus),
+            cpus: self.cpus.saturating_sub(other.cpus),
+            gpus: self.gpus.saturating_sub(other.gpus),
         }
     }
 
     /// `n` times this.
+    #[must_use]
     pub fn times(self, n: u64) -> QuotaAmount {
         QuotaAmount {
             cpus: self.cpus.saturating_mul(n),
@@ -40,16 +46,31 @@
         }
     }
 
-    /// Whether this fits into `o`.
-    pub fn within(self, o: QuotaAmount) -> bool {
-        self.cpus <= o.cpus && self.gpus <= o.gpus
+    /// Whether this fits into `other`.
+    #[must_use]
+    pub fn within(self, other: QuotaAmount) -> bool {
+        self.cpus <= other.cpus && self.gpus <= other.gpus
     }
 
     /// The smaller of each.
-    pub fn min(self, o: QuotaAmount) -> QuotaAmount {
+    #[must_use]
+    pub fn min(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount {
-            cpus: self.cpus.min(o.cpus),
-            gpus: self.gpus.min(o.gpus),
+            cpus: self.cpus.min(other.cpus),
+            gpus: self.gpus.min(other.gpus),
         }
     }
 }
+
+impl From<(u64, u64)> for QuotaAmount {
+    /// Processors, accelerators.
+    fn from((cpus, gpus): (u64, u64)) -> Self {
+        QuotaAmount { cpus, gpus }
+    }
+}
+
+impl From<QuotaAmount> for (u64, u64) {
+    fn from(amount: QuotaAmount) -> Self {
+        (amount.cpus, amount.gpus)
+    }
+}
--- a/crates/records/src/record.rs
+++ b/crates/records/src/record.rs
@@ -1,10 +1,12 @@
 //! The records that the state service keeps for the controllers.
 
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
+use crate::amount::QuotaAmount;
 use crate::model::{JobSpec, RangeSet};
 use crate::units::Micros;
 
@@ -81,7 +83,7 @@
 /// the region's owner before it sends the first start to a machine: one that isn't
 /// in it has never been given a task by anyone.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct ActivationRecord(pub std::collections::BTreeMap<String, String>);
+pub struct ActivationRecord(pub BTreeMap<String, String>);
 
 /// Most machines of a lot: what one rental returns at the most.
 pub const MAX_BATCH: usize = 50;
@@ -232,10 +234,13 @@
     }
 }
 
-/// `quota/TEAM`: each region's share of the limit, as millionths of processors
-/// and cards.
+/// `quota/TEAM`: how a team's limit is shared out among the regions.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct QuotaRecord(pub std::collections::BTreeMap<String, (u64, u64)>);
+#[serde(transparent)]
+pub struct QuotaRecord {
+    /// Each region's share. Regions without one have no entry.
+    pub shares: BTreeMap<String, QuotaAmount>,
+}
 
 /// `hold`: controllers found that the state service lost records, and hold until operators
 /// decide. Versions before 0.6 pass it over.
--- a/crates/records/src/tests.rs
+++ b/crates/records/src/tests.rs
@@ -378,7 +378,9 @@
 #[test]
 fn records_of_quotas_and_types_keep_their_text() {
     let quota = [("t-0", (3_000_000, 0)), ("t-1", (1, 2_000_000))];
-    let quota = QuotaRecord(quota.map(|(r, share)| (r.to_owned(), share)).into());
+    let quota = QuotaRecord {
+        shares: quota.map(|(r, share)| (r.to_owned(), share.into())).into(),
+    };
     keeps(&quota, r#"{"t-0":[3000000,0],"t-1":[1,2000000]}"#);
     keeps(&QuotaRecord::default(), "{}");
     refuses::<QuotaRecord>(&[
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -160,7 +160,7 @@
     let Some(team) = settings.team(&spec.team) else {
         return Err(Refusal::Never("unknown team"));
     };
-    if !quota::can_ever(
+    if !quota::fits_within_limit(
         spec.kind,
         spec.task_count,
         spec.quota_per_task(),
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -101,7 +101,7 @@
     ));
     let f = json!({"name":"g8","cpus":8_000_000u64,"gpus":1_000_000u64,"mem":64_000_000u64,"fetch":1,
         "price":1,"spot_price":1,"boot":1,"zones":["a","b"]});
-    r.event("st/flavor/g8", Some(f), 1);
+    r.apply_event("st/flavor/g8", Some(f), 1);
     let with = |change: &dyn Fn(&mut JobSpec)| {
         let mut s = base.clone();
         change(&mut s);
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -544,7 +544,7 @@
     }
 
     fn on_loaded(&mut self) {
-        self.registry.replica.take_touched();
+        self.registry.replica.take_changed_machines();
         let known = &self.registry.replica.jobs;
         self.reported_cancelled.retain(|id| {
             known
@@ -559,7 +559,7 @@
     }
 
     fn on_changed(&mut self, keys: Vec<Key>) {
-        let machines = self.registry.replica.take_touched();
+        let machines = self.registry.replica.take_changed_machines();
         let respecified = self.registry.replica.take_respecified();
         let context = context!(self);
         for name in &machines {
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -126,7 +126,7 @@
 impl<N: Net> Controller<N> {
     /// Whether half of a region's machines turn to this controller.
     pub(super) fn is_asked_by_most(&self, region: &str) -> bool {
-        let stock = self.registry.replica.stock.get(region);
+        let stock = self.registry.replica.machine_counts.get(region);
         let machines: u32 = stock.map_or(0, |kinds| kinds.values().sum());
         let count = self.redirects.count(region);
         count >= LEAST_MACHINES && count * 2 >= machines as usize
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -1,6 +1,7 @@
 //! What operators are told.
 
 use super::*;
+use crate::state_store::replica::SubmissionKey;
 use crate::status::conditions::Condition;
 
 impl<N: Net> Controller<N> {
@@ -34,11 +35,11 @@
     /// Looks at how the aims are met; the leader tells the operators.
     pub(super) fn look_at_aims(&mut self) {
         let replica = &self.registry.replica;
-        let last: BTreeMap<&str, (u64, String)> = replica
+        let last: BTreeMap<&str, SubmissionKey> = replica
             .teams
             .keys()
             .filter_map(|t| {
-                let last = quota::last_guaranteed(replica, &self.settings, t)?;
+                let last = quota::last_guaranteed_job(replica, &self.settings, t)?;
                 Some((t.as_str(), last))
             })
             .collect();
@@ -53,7 +54,7 @@
             spec,
             guaranteed: last
                 .get(spec.team.as_str())
-                .is_some_and(|l| (spec.submitted_at, id) <= (l.0, &l.1)),
+                .is_some_and(|l| l.is_not_before(spec.submitted_at, id)),
             started: running.contains(id.as_str()) || replica.progress.contains_key(id),
             pipeline: replica.pipeline_end(id),
         });
@@ -149,7 +150,10 @@
                 owner: rec.map(|r| r.owner.clone()),
                 token: rec.map_or(0, |r| r.token),
                 settled: rep.is_some_and(|r| r.reconciled),
-                machines: r.stock.get(&name).map_or(0, |kinds| kinds.values().sum()),
+                machines: r
+                    .machine_counts
+                    .get(&name)
+                    .map_or(0, |kinds| kinds.values().sum()),
                 live: rep.map_or(0, |r| {
                     let live = r.capacity.iter().filter(|l| l.available);
                     live.map(|l| l.machines).sum()
--- a/src/leader/binding.rs
+++ b/src/leader/binding.rs
@@ -47,7 +47,12 @@
             .regions()
             .into_iter()
             .map(|r| {
-                let n = context.replica.level_one.get(&r).copied().unwrap_or(0);
+                let n = context
+                    .replica
+                    .jobs_per_region
+                    .get(&r)
+                    .copied()
+                    .unwrap_or(0);
                 (r, n)
             })
             .collect();
@@ -131,13 +136,13 @@
             if self.in_region(s, r, |x| if x.live { x.takes(s, is_narrow) } else { 0 }) >= need {
                 now.insert(r.clone());
             }
-            let stock = context.replica.stock.get(r).is_some_and(|kinds| {
-                kinds.keys().any(|(f, z, spot)| {
+            let stock = context.replica.machine_counts.get(r).is_some_and(|kinds| {
+                kinds.keys().any(|pool| {
                     context
                         .replica
                         .machine_types
-                        .get(f)
-                        .is_some_and(|f| s.permits_machine(&f.value, z, *spot))
+                        .get(&pool.machine_type)
+                        .is_some_and(|f| s.permits_machine(&f.value, &pool.zone, pool.spot))
                 })
             });
             let holds = |x: &PlannedCapacity| x.at_most(s, is_narrow);
--- a/src/leader/machine_assignment.rs
+++ b/src/leader/machine_assignment.rs
@@ -44,9 +44,9 @@
                 *same.entry(r).or_default() += n;
             }
         };
-        for (region, kinds) in &context.replica.stock {
-            for ((f, z, spot), n) in kinds {
-                add(region, (f, z, *spot), *n);
+        for (region, kinds) in &context.replica.machine_counts {
+            for (pool, n) in kinds {
+                add(region, (&pool.machine_type, &pool.zone, pool.spot), *n);
             }
         }
         for c in self.coming.values().filter(|c| c.recorded.is_none()) {
@@ -206,7 +206,7 @@
         }
         let keep = (4 * context.settings.list_lag).max(120 * SECOND);
         self.gone.retain(|_, at| context.now < *at + keep);
-        let cold = context.replica.machines.is_empty() && context.replica.opened.is_empty();
+        let cold = context.replica.machines.is_empty() && context.replica.activations.is_empty();
         let pending: BTreeSet<&String> = self.coming.values().flat_map(|c| &c.names).collect();
         let mut odd = BTreeMap::new();
         let mut todo: BTreeMap<Offer, Vec<String>> = BTreeMap::new();
--- a/src/leader/multi_region_gangs.rs
+++ b/src/leader/multi_region_gangs.rs
@@ -99,7 +99,7 @@
     /// goes on where the last one ended.
     pub(super) fn lead_joint(&mut self, context: &SchedulingContext<'_>, reports: &Reports) {
         let mut changes = Vec::new();
-        for id in &context.replica.joint {
+        for id in &context.replica.multi_region_gangs {
             let Some(rec) = context.replica.jobs.get(id) else {
                 continue;
             };
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -19,11 +19,14 @@
         (JobKind::Gang, u32::MAX, a(u64::MAX, 0), false),
     ] {
         assert_eq!(
-            can_ever(kind, tasks, each, Some(a(10, 0))),
+            fits_within_limit(kind, tasks, each, Some(a(10, 0))),
             fits,
             "{kind:?} {tasks}"
         );
-        assert!(can_ever(kind, tasks, each, None), "{kind:?} {tasks}");
+        assert!(
+            fits_within_limit(kind, tasks, each, None),
+            "{kind:?} {tasks}"
+        );
     }
 }
 
@@ -35,11 +38,11 @@
         let mut rec = QuotaRecord::default();
         for (r, c, g) in asks {
             let region = format!("r{r}");
-            if let Some((q, new)) = propose(Some(&rec), &region, limit, a(c, g)) {
-                prop_assert!(new.within(a(c, g)));
-                rec = q;
+            if let Some(change) = with_share(Some(&rec), &region, limit, a(c, g)) {
+                prop_assert!(change.share.within(a(c, g)));
+                rec = change.record;
             }
-            let sum = rec.0.values().fold(a(0, 0), |s, (c, g)| s.plus(a(*c, *g)));
+            let sum = rec.shares.values().fold(a(0, 0), |s, share| s.plus(*share));
             prop_assert!(sum.within(limit));
         }
     }
--- a/src/region.rs
+++ b/src/region.rs
@@ -220,12 +220,12 @@
             .iter()
             .filter(|(_, m)| m.record.activated);
         r.reconciliation.unreconciled = opened.map(|(n, _)| n.clone()).collect();
-        for id in &context.replica.open {
+        for id in &context.replica.ready_jobs {
             r.on_job(id, context, true);
         }
         for (team, q) in &context.replica.quotas {
             let s = r.quotas.by_team.entry(Rc::from(team.as_str())).or_default();
-            s.inherited = quota::share(Some(&q.value), name);
+            s.inherited = quota::recorded_share(Some(&q.value), name);
         }
         let ids: Vec<JobId> = r.jobs.keys().cloned().collect();
         for id in ids {
@@ -476,7 +476,7 @@
             self.on_machine(&n, context);
         }
         let mut ids: BTreeSet<String> = self.jobs.keys().map(|j| j.to_string()).collect();
-        ids.extend(context.replica.open.iter().cloned());
+        ids.extend(context.replica.ready_jobs.iter().cloned());
         for id in ids {
             self.on_job(&id, context, false);
         }
--- a/src/region/commits.rs
+++ b/src/region/commits.rs
@@ -174,8 +174,11 @@
                 })),
             )];
             if let Some(chunks) = context.replica.progress.get(&**id) {
-                for (r, c) in chunks.keys().take(context.settings.txn_ops - 1) {
-                    apply.push((Key::Progress(id.to_string(), r.clone(), *c), None));
+                for key in chunks.keys().take(context.settings.txn_ops - 1) {
+                    apply.push((
+                        Key::Progress(id.to_string(), key.region.clone(), key.chunk),
+                        None,
+                    ));
                 }
             }
             let mut when = when;
@@ -224,12 +227,7 @@
                 written.add(a, b);
                 let key = Key::Progress(id.to_string(), self.name.clone(), chunk);
                 let mut set = RangeSet::default();
-                if let Some(old) = context
-                    .replica
-                    .progress
-                    .get(&**id)
-                    .and_then(|p| p.get(&(self.name.clone(), chunk)))
-                {
+                if let Some(old) = context.replica.progress(id, &self.name, chunk) {
                     read_bitmap(&old.value, chunk, &mut set);
                 }
                 set.add_all(&job.unrecorded_done);
@@ -274,7 +272,7 @@
             return QuotaAmount::UNBOUNDED;
         }
         let rec = context.replica.quotas.get(team).map(|q| &q.value);
-        let mut share = quota::share(rec, &self.name);
+        let mut share = quota::recorded_share(rec, &self.name);
         match self.quotas.by_team.get(team) {
             None => share,
             Some(s) => {
@@ -307,7 +305,7 @@
                 continue;
             };
             let rec = context.replica.quotas.get(&*team);
-            let have = quota::share(rec.map(|r| &r.value), &self.name);
+            let have = quota::recorded_share(rec.map(|r| &r.value), &self.name);
             let Some(s) = self.quotas.by_team.get_mut(&team) else {
                 continue;
             };
@@ -353,11 +351,11 @@
             let target = if !target.within(have) {
                 // At the least what is needed, and somewhat more.
                 let more = target.plus(spare(4));
-                let own = quota::propose(rec.map(|r| &r.value), &self.name, limit, more);
-                s.is_limited = own.as_ref().is_none_or(|(_, new)| !target.within(*new));
+                let own = quota::with_share(rec.map(|r| &r.value), &self.name, limit, more);
+                s.is_limited = own.as_ref().is_none_or(|own| !target.within(own.share));
                 s.track_unused(used, have, context.now);
                 match own {
-                    Some((_, new)) if more.within(new) => more,
+                    Some(own) if more.within(own.share) => more,
                     _ => target,
                 }
             } else if !settled {
@@ -369,19 +367,19 @@
             } else {
                 continue;
             };
-            let Some((q, new)) = quota::propose(rec.map(|r| &r.value), &self.name, limit, target)
+            let Some(change) = quota::with_share(rec.map(|r| &r.value), &self.name, limit, target)
             else {
                 continue;
             };
             // Never below what is in use, whatever the limit says now.
-            if !used.within(new) {
+            if !used.within(change.share) {
                 continue;
             }
-            s.committing = Some(new);
+            s.committing = Some(change.share);
             let key = Key::Quota(team.to_string());
             let mut when = vec![(Key::Region(self.name.clone()), self.version)];
             when.push((key.clone(), rec.map_or(0, |r| r.version)));
-            let apply = vec![(key, Some(value(&q)))];
+            let apply = vec![(key, Some(value(&change.record)))];
             self.commit(
                 when,
                 apply,
--- a/src/region/machine_activation.rs
+++ b/src/region/machine_activation.rs
@@ -69,12 +69,10 @@
 
     pub(super) fn commit_activations(&mut self, context: &SchedulingContext<'_>) {
         let mut rolls: BTreeMap<u32, ActivationRecord> = BTreeMap::new();
-        let mine = (self.name.clone(), 0)..=(self.name.clone(), u32::MAX);
         let mut on_record: BTreeMap<u32, ActivationRecord> = context
             .replica
-            .opened
-            .range(mine)
-            .map(|((_, n), r)| (*n, r.value.clone()))
+            .activations_of(&self.name)
+            .map(|(number, r)| (number, r.value.clone()))
             .collect();
         let mut names = Vec::new();
         let mut apply = Vec::new();
--- a/src/region/preemption.rs
+++ b/src/region/preemption.rs
@@ -92,7 +92,7 @@
                 let beyond = r
                     .queue.last_guaranteed
                     .get(&o.spec.team)
-                    .is_none_or(|last| (o.spec.submitted_at, &**other) > (last.0, last.1.as_str()));
+                    .is_none_or(|last| !last.is_not_before(o.spec.submitted_at, other));
                 !o.is_over
                     && o.spec.kind != JobKind::Service
                     // Guards against work within a guarantee that is stopped for higher
--- a/src/region/queue.rs
+++ b/src/region/queue.rs
@@ -2,6 +2,7 @@
 
 use super::reservation::SHARE_HOLD_LIMIT;
 use super::*;
+use crate::state_store::replica::SubmissionKey;
 
 /// Jobs with pending tasks in scheduling order, and what that order depends on.
 #[derive(Debug, Default)]
@@ -13,7 +14,7 @@
     /// When an aged job may go first again.
     pub(super) next_aged_start_at: Micros,
     /// The last job of each team that fits into its guaranteed quota: time of submission, name.
-    pub(super) last_guaranteed: BTreeMap<String, (u64, String)>,
+    pub(super) last_guaranteed: BTreeMap<String, SubmissionKey>,
     /// Teams whose guaranteed jobs are to be determined anew.
     pub(super) stale_teams: BTreeSet<String>,
 }
@@ -129,7 +130,7 @@
             .queue
             .last_guaranteed
             .get(&s.team)
-            .is_some_and(|last| (s.submitted_at, &**id) <= (last.0, last.1.as_str()));
+            .is_some_and(|last| last.is_not_before(s.submitted_at, id));
         let suspect = self.jobs.get(id).is_some_and(|j| j.failures.is_suspect());
         // Guards against work of low priority that never begins while higher priority keeps
         // coming: once it is old enough a task starts now and then.
@@ -226,7 +227,7 @@
     /// Follows which jobs fit into their teams' guarantees.
     pub(super) fn update_guaranteed_jobs(&mut self, context: &SchedulingContext<'_>) {
         for team in std::mem::take(&mut self.queue.stale_teams) {
-            let last = quota::last_guaranteed(context.replica, context.settings, &team);
+            let last = quota::last_guaranteed_job(context.replica, context.settings, &team);
             let was = match &last {
                 Some(l) => self.queue.last_guaranteed.insert(team.clone(), l.clone()),
                 None => self.queue.last_guaranteed.remove(&team),
--- a/src/region/tests.rs
+++ b/src/region/tests.rs
@@ -32,8 +32,8 @@
     }
     fn put(&mut self, key: &str, v: serde_json::Value) {
         self.rev += 1;
-        self.replica.event(key, Some(v), self.rev).unwrap();
-        self.replica.reached(self.rev);
+        self.replica.apply_event(key, Some(v), self.rev).unwrap();
+        self.replica.complete_up_to(self.rev);
     }
     fn machine(&mut self, name: &str) {
         let v = json!({"region":"t-0","flavor":"box","zone":"a","spot":false,"opened":true});
@@ -541,7 +541,7 @@
             for (k, v) in txn.changes {
                 match v {
                     Some(v) => self.f.put(&k.text(), v),
-                    None => drop(self.f.replica.event(&k.text(), None, self.f.rev + 1)),
+                    None => drop(self.f.replica.apply_event(&k.text(), None, self.f.rev + 1)),
                 }
                 if let Key::Job(id) = &k {
                     self.r.on_job(id, &self.f.context(now), false);
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -28,6 +28,7 @@
 mod rate_limiter;
 pub mod replica;
 mod transaction;
+mod versioned;
 
 pub use authority::{Authority, FRESH_FOR};
 pub use calls::StoreCall;
--- a/src/state_store/changes.rs
+++ b/src/state_store/changes.rs
@@ -84,12 +84,12 @@
         let mut changed = Vec::new();
         for event in answer.events {
             if let Some(key) = &event.put {
-                changed.extend(self.replica.event(key, event.value, event.version));
+                changed.extend(self.replica.apply_event(key, event.value, event.version));
             } else if let Some(key) = &event.delete {
-                changed.extend(self.replica.event(key, None, event.version));
+                changed.extend(self.replica.apply_event(key, None, event.version));
             }
         }
-        self.replica.reached(answer.revision);
+        self.replica.complete_up_to(answer.revision);
         Ok((!changed.is_empty()).then_some(StateStoreEvent::Changed(changed)))
     }
 
--- a/src/state_store/commits.rs
+++ b/src/state_store/commits.rs
@@ -385,7 +385,7 @@
         commit.log_committed(now, self.backlog());
         let mut keys = Vec::new();
         for (key, value) in commit.transaction.changes {
-            self.replica.own(&key, value, revision);
+            self.replica.apply_own(&key, value, revision);
             keys.push(key);
         }
         let outcome = CommitOutcome::Committed(revision);
--- a/src/state_store/history/tests.rs
+++ b/src/state_store/history/tests.rs
@@ -21,13 +21,13 @@
         (13, 10, 12, false),
     ] {
         let mut store = StateStore::new(&settings);
-        store.replica.reached(known);
+        store.replica.complete_up_to(known);
         let key = Key::Job("req-1".into());
-        store.replica.own(&key, Some(json!({"st": "o"})), job);
+        store.replica.apply_own(&key, Some(json!({"st": "o"})), job);
         // An answer that was under way reaches further than the first page.
-        store.replica.reached(20);
+        store.replica.complete_up_to(20);
         let mut fresh = Replica::default();
-        fresh.reached(page);
+        fresh.complete_up_to(page);
         let finding = store.history.check_full_read(&store.replica, known, &fresh);
         assert_eq!(
             finding.is_some(),
--- a/src/state_store/loader.rs
+++ b/src/state_store/loader.rs
@@ -150,7 +150,7 @@
         let last_key = page.pairs.last().map(|pair| pair.key.clone());
         for pair in page.pairs {
             self.replica
-                .event(&pair.key, Some(pair.value), pair.version);
+                .apply_event(&pair.key, Some(pair.value), pair.version);
         }
         let more = page.more && last_key.is_some();
         if more {
@@ -162,7 +162,8 @@
     fn complete(mut self) -> CompleteRead {
         // Changes made while the pages were read come again by watching from the first
         // page's revision; the versions tell which are known.
-        self.replica.reached(self.first_revision.unwrap_or(0));
+        self.replica
+            .complete_up_to(self.first_revision.unwrap_or(0));
         CompleteRead {
             replica: self.replica,
             sent_at: self.sent_at.unwrap_or(0),
--- a/src/state_store/pipelines/tests.rs
+++ b/src/state_store/pipelines/tests.rs
@@ -17,8 +17,9 @@
 impl Records {
     fn put(&mut self, id: &str, v: Value) {
         self.rev += 1;
-        self.r.event(&format!("st/job/{id}"), Some(v), self.rev);
-        self.r.reached(self.rev);
+        self.r
+            .apply_event(&format!("st/job/{id}"), Some(v), self.rev);
+        self.r.complete_up_to(self.rev);
     }
 
     fn open(&mut self, id: &str, needs: &[&str], more: Value) {
@@ -103,7 +104,7 @@
                 assert_eq!(f.stand(&["1", "2", "3", "4", "5"]), stand, "{case}");
                 // What waits counts in no list of the team or the regions.
                 let ready = stand.matches('r').count();
-                assert_eq!(f.r.open.len(), ready, "{case}");
+                assert_eq!(f.r.ready_jobs.len(), ready, "{case}");
                 assert_eq!(f.r.teams.get("red").map_or(0, |t| t.len()), ready, "{case}");
             }
         }
--- a/src/state_store/tests.rs
+++ b/src/state_store/tests.rs
@@ -50,7 +50,7 @@
     };
     check(&mut store, SECOND, "/store?under=st/&page=500", None);
     store.loader = Loader::done();
-    store.replica.reached(70_000);
+    store.replica.complete_up_to(70_000);
     let now = 2 * SECOND;
     let barrier = "/follow?under=st/&from=70000&waitMs=0";
     check(&mut store, now, barrier, None);
--- /dev/null
+++ b/src/state_store/versioned.rs
@@ -0,0 +1,10 @@
+//! A record together with the revision of its last change.
+
+/// A record with the revision of its last change.
+#[derive(Debug, Clone)]
+pub struct Versioned<T> {
+    /// The record.
+    pub value: T,
+    /// Its revision.
+    pub version: u64,
+}
