--- a/crates/archive/src/export.rs
+++ b/crates/archive/src/export.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use salttiller_records::units::to_secs;
+use salttiller_records::units::to_seconds;
 
 use crate::database::{Archive, View};
 use crate::error::ArchiveError;
@@ -132,7 +132,7 @@
             segment: found.segment_id,
             revision: found.revision,
             known_until_revision: found.segment.until,
-            known_until_s: to_secs(found.segment.last_contact),
+            known_until_s: to_seconds(found.segment.last_contact),
             image_revision: found.image_revision,
             changes_applied: found.changes,
             records,
@@ -150,7 +150,7 @@
                 gap: listed_gap(&segment.gap),
                 after_revision: segment.after,
                 until_revision: segment.until,
-                last_contact_s: to_secs(segment.last_contact),
+                last_contact_s: to_seconds(segment.last_contact),
                 batches: segment.next_batch - segment.first_batch,
                 images: listed_images(view, id)?,
             });
@@ -169,7 +169,7 @@
     Ok(images
         .map(|(_, revision, image)| ListedImage {
             revision,
-            begun_s: to_secs(image.begun),
+            begun_s: to_seconds(image.begun),
             records: image.records,
         })
         .collect())
@@ -179,8 +179,8 @@
     ListedGap {
         cause: gap_cause(&gap.cause),
         after_revision: gap.after_revision,
-        last_contact_s: to_secs(gap.last_contact),
-        noticed_s: to_secs(gap.noticed),
+        last_contact_s: to_seconds(gap.last_contact),
+        noticed_s: to_seconds(gap.noticed),
     }
 }
 
--- a/crates/records/src/model/tests.rs
+++ b/crates/records/src/model/tests.rs
@@ -36,21 +36,21 @@
         let mut s = BTreeSet::new();
         for (add, at, n) in ops {
             if add {
-                r.add(at, at + n);
+                r.insert_range(at, at + n);
                 s.extend(at..at + n);
             } else {
-                r.remove(at, at + n);
+                r.remove_range(at, at + n);
                 s.retain(|x| !(at..at + n).contains(x));
             }
             prop_assert_eq!(r.len() as usize, s.len());
-            prop_assert_eq!(r.numbers().collect::<Vec<_>>(), s.iter().copied().collect::<Vec<_>>());
+            prop_assert_eq!(r.iter().collect::<Vec<_>>(), s.iter().copied().collect::<Vec<_>>());
             let mut prev: Option<u32> = None;
-            for (a, b) in r.iter() {
+            for (a, b) in r.ranges() {
                 prop_assert!(a < b && prev.is_none_or(|p| p < a));
                 prev = Some(b);
             }
         }
-        prop_assert_eq!(r.last_n(3).numbers().collect::<Vec<_>>(),
+        prop_assert_eq!(r.last_n(3).iter().collect::<Vec<_>>(),
             s.iter().rev().take(3).rev().copied().collect::<Vec<_>>());
     }
 }
--- a/crates/records/src/tests.rs
+++ b/crates/records/src/tests.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::bitmap::{bitmap, count_bits, read_bitmap, CHUNK};
+use crate::bitmap::{count_bits, decode_bitmap, encode_bitmap, CHUNK_SIZE};
 use crate::history::Fingerprint;
 use crate::key::Key;
 use crate::model::{JobKind, JobSpec, MachineType, Priority, RangeSet};
@@ -33,12 +33,12 @@
         assert_eq!(Key::parse(bad), None);
     }
     let mut set = RangeSet::from_range(5, 9);
-    set.add(CHUNK - 1, CHUNK + 3);
+    set.insert_range(CHUNK_SIZE - 1, CHUNK_SIZE + 3);
     let mut back = RangeSet::default();
     for c in 0..2 {
-        let text = bitmap(&set, c);
-        assert!(text.len() <= CHUNK as usize / 4);
-        read_bitmap(&text, c, &mut back);
+        let text = encode_bitmap(&set, c);
+        assert!(text.len() <= CHUNK_SIZE as usize / 4);
+        decode_bitmap(&text, c, &mut back);
     }
     assert_eq!(back, set);
 }
@@ -213,19 +213,23 @@
 fn progress_keeps_its_text() {
     let ranges = |ranges: &[(u32, u32)]| {
         let mut set = RangeSet::default();
-        ranges.iter().for_each(|(s, e)| set.add(*s, *e));
+        ranges.iter().for_each(|(s, e)| set.insert_range(*s, *e));
         set
     };
     for (done, chunk, text) in [
         (ranges(&[]), 0, ""),
         (ranges(&[(0, 1)]), 0, "1"),
         (ranges(&[(0, 4), (5, 9), (12, 13)]), 0, "fe11"),
-        (ranges(&[(CHUNK + 1, CHUNK + 3)]), 1, "6"),
-        (ranges(&[(2 * CHUNK + 8, 2 * CHUNK + 9)]), 2, "001"),
+        (ranges(&[(CHUNK_SIZE + 1, CHUNK_SIZE + 3)]), 1, "6"),
+        (
+            ranges(&[(2 * CHUNK_SIZE + 8, 2 * CHUNK_SIZE + 9)]),
+            2,
+            "001",
+        ),
     ] {
-        assert_eq!(bitmap(&done, chunk), text);
+        assert_eq!(encode_bitmap(&done, chunk), text);
         let mut read = RangeSet::default();
-        read_bitmap(text, chunk, &mut read);
+        decode_bitmap(text, chunk, &mut read);
         assert_eq!(
             (read, count_bits(text)),
             (done.clone(), done.len()),
@@ -238,7 +242,7 @@
         ("F g1", ranges(&[(0, 4), (12, 13)])),
     ] {
         let mut read = RangeSet::default();
-        read_bitmap(text, 0, &mut read);
+        decode_bitmap(text, 0, &mut read);
         assert_eq!(read, done, "{text}");
     }
 }
@@ -339,7 +343,13 @@
     // Without `opened`; and its place in a lot is not part of the text.
     let least = r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true}"#;
     reads(least, &machine(false, None));
-    let in_lot = machine(true, Some((Rc::from("t-0-4-1"), 3)));
+    let in_lot = machine(
+        true,
+        Some(BatchPosition {
+            batch: Rc::from("t-0-4-1"),
+            index: 3,
+        }),
+    );
     assert_eq!(serde_json::to_string(&in_lot).unwrap(), opened);
     refuses::<MachineRecord>(&[
         r#"{"flavor":"g8","zone":"a","spot":true}"#,
@@ -369,7 +379,9 @@
     ]);
     let opened = [("t-0-4-1", "3"), ("t-0-4-2", "")];
     let opened = opened.map(|(lot, bits)| (lot.to_owned(), bits.to_owned()));
-    let opened = ActivationRecord(opened.into());
+    let opened = ActivationRecord {
+        bitmaps: opened.into(),
+    };
     keeps(&opened, r#"{"t-0-4-1":"3","t-0-4-2":""}"#);
     keeps(&ActivationRecord::default(), "{}");
     refuses::<ActivationRecord>(&["[]", "null", r#"{"t-0-4-1":3}"#, r#"{"t-0-4-1":null}"#]);
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -98,8 +98,10 @@
         log::debug!("intake: submission: {e}");
         Refusal::Malformed
     })?;
-    let span = |s: f64| (s.is_finite() && (0.0..=1e9).contains(&s)).then(|| units::secs(s));
-    let amount = |a: f64| (a.is_finite() && (0.0..=1e6).contains(&a)).then(|| units::need(a));
+    let span = |s: f64| (s.is_finite() && (0.0..=1e9).contains(&s)).then(|| units::from_seconds(s));
+    let amount = |a: f64| {
+        (a.is_finite() && (0.0..=1e6).contains(&a)).then(|| units::round_up_to_millionths(a))
+    };
     let spec = || -> Option<JobSpec> {
         Some(JobSpec {
             kind: match w.furrow.as_str() {
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -405,7 +405,7 @@
                         spot: m.fallow,
                     },
                     failed: m.stage == "failed",
-                    age: units::secs(m.held),
+                    age: units::from_seconds(m.held),
                 }));
                 if l.more && got.len() >= MAX_LISTED {
                     log::error!("fleet: the cloud lists more than {MAX_LISTED} machines");
@@ -432,13 +432,13 @@
 fn machine_type(p: wire::Plot) -> MachineType {
     MachineType {
         name: p.label,
-        cpus: units::room(p.cores),
-        gpus: units::room(p.cards),
-        memory: units::room(p.memory),
-        fetch_rate: units::room(p.fetch),
-        price: units::room(p.price),
-        spot_price: units::room(p.spot_price),
-        boot_time: units::secs(p.boot),
+        cpus: units::round_down_to_millionths(p.cores),
+        gpus: units::round_down_to_millionths(p.cards),
+        memory: units::round_down_to_millionths(p.memory),
+        fetch_rate: units::round_down_to_millionths(p.fetch),
+        price: units::round_down_to_millionths(p.price),
+        spot_price: units::round_down_to_millionths(p.spot_price),
+        boot_time: units::from_seconds(p.boot),
         zones: p.fields,
     }
 }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -19,7 +19,7 @@
 use salttiller_records::record::{
     value, JobRecord, MachineBatchRecord, MultiRegionAttempt, TaskRange, MAX_BATCH,
 };
-use salttiller_records::units::{to_secs, Micros, MILLISECOND, SECOND};
+use salttiller_records::units::{to_seconds, Micros, MILLISECOND, SECOND};
 use salttiller_records::Resources;
 
 pub use provisioning::ProvisioningReports;
--- a/src/leader/demand.rs
+++ b/src/leader/demand.rs
@@ -69,7 +69,7 @@
                     .machine_types
                     .get(&r.machine_type)?
                     .value
-                    .per_cpu(r.spot);
+                    .price_per_cpu(r.spot);
                 Some((
                     price * (0.5 + r.free.cpus as f64 / r.cap.cpus.max(1) as f64),
                     r,
--- a/src/leader/scale_out.rs
+++ b/src/leader/scale_out.rs
@@ -268,7 +268,7 @@
                 continue;
             }
             let cost = f.price_of(o.spot) as f64 / (per * s.cpus).max(1) as f64
-                * (1.0 + to_secs(f.boot_time) / 100.0)
+                * (1.0 + to_seconds(f.boot_time) / 100.0)
                 * self.boots.penalty(&o);
             if best.as_ref().is_none_or(|(c, ..)| cost < *c) {
                 best = Some((cost, o, per));
--- a/src/region.rs
+++ b/src/region.rs
@@ -64,14 +64,14 @@
 use reconciliation::Reconciliation;
 use reservation::GangReservation;
 use runtime_estimates::RuntimeEstimates;
-use salttiller_records::bitmap::{bitmap, read_bitmap, CHUNK};
+use salttiller_records::bitmap::{decode_bitmap, encode_bitmap, CHUNK_SIZE};
 use salttiller_records::key::Key;
 use salttiller_records::model::{JobId, JobKind, JobSpec, MachineType, RangeSet};
 use salttiller_records::record::{
     value, ActivationRecord, JobRecord, JobStage, MachineRecord, MultiRegionAttempt, TaskRange,
     MAX_ACTIVATION_BATCHES,
 };
-use salttiller_records::units::{add_drift, to_secs, Micros, MILLISECOND, SECOND};
+use salttiller_records::units::{add_drift, to_seconds, Micros, MILLISECOND, SECOND};
 use salttiller_records::{QuotaAmount, Resources};
 use task::Assignment;
 
@@ -291,9 +291,9 @@
             return;
         };
         let was_out = job.on_machines.remove(&n);
-        job.pending.take(n);
-        job.unreconciled.take(n);
-        job.rebinding.take(n);
+        job.pending.remove(n);
+        job.unreconciled.remove(n);
+        job.rebinding.remove(n);
         if let Some(at) = &was_out {
             let held = self.inventory.machines.get_mut(at).and_then(|m| {
                 let h = m.tasks.remove(&(id.clone(), n))?;
@@ -322,8 +322,8 @@
                 } else {
                     log::debug!(
                         "region: {id}/{n}: off {at}, {to:?} after {:.1} s, of these {:.1} s before running",
-                        to_secs(now - h.since),
-                        to_secs(h.running_since.unwrap_or(now) - h.since)
+                        to_seconds(now - h.since),
+                        to_seconds(h.running_since.unwrap_or(now) - h.since)
                     );
                 }
                 let s = self.quotas.by_team.entry(h.team.clone()).or_default();
--- a/src/region/commits.rs
+++ b/src/region/commits.rs
@@ -68,7 +68,7 @@
                 if let Some(j) = self.jobs.get_mut(&id) {
                     j.commit_in_flight = false;
                     if done {
-                        j.unrecorded_done.remove_all(&set);
+                        j.unrecorded_done.subtract(&set);
                         if j.unrecorded_done.is_empty() {
                             self.unrecorded_jobs.remove(&id);
                         }
@@ -95,7 +95,7 @@
                     let back = std::mem::take(&mut j.rebinding);
                     j.commit_in_flight = false;
                     if !done {
-                        j.pending.add_all(&back);
+                        j.pending.union_with(&back);
                     }
                 }
                 self.triggers.jobs.insert(id.clone());
@@ -159,7 +159,7 @@
             return;
         }
         let mut all = context.replica.done_tasks(id);
-        all.add_all(&job.unrecorded_done);
+        all.union_with(&job.unrecorded_done);
         let job_mark = context.replica.version(&Key::Job(id.to_string()));
         let complete = job.is_complete_with(all.len());
         if complete {
@@ -213,26 +213,26 @@
         let mut written = RangeSet::default();
         let mut chunk_done: Option<u32> = None;
         let most = (context.settings.txn_ops - 1).min(8);
-        for (s, e) in job.unrecorded_done.iter() {
-            for chunk in s / CHUNK..=(e - 1) / CHUNK {
-                let (a, b) = (s.max(chunk * CHUNK), e.min((chunk + 1) * CHUNK));
+        for (s, e) in job.unrecorded_done.ranges() {
+            for chunk in s / CHUNK_SIZE..=(e - 1) / CHUNK_SIZE {
+                let (a, b) = (s.max(chunk * CHUNK_SIZE), e.min((chunk + 1) * CHUNK_SIZE));
                 if chunk_done == Some(chunk) {
-                    written.add(a, b);
+                    written.insert_range(a, b);
                     continue;
                 }
                 if apply.len() >= most {
                     break;
                 }
                 chunk_done = Some(chunk);
-                written.add(a, b);
+                written.insert_range(a, b);
                 let key = Key::Progress(id.to_string(), self.name.clone(), chunk);
                 let mut set = RangeSet::default();
                 if let Some(old) = context.replica.progress(id, &self.name, chunk) {
-                    read_bitmap(&old.value, chunk, &mut set);
+                    decode_bitmap(&old.value, chunk, &mut set);
                 }
-                set.add_all(&job.unrecorded_done);
+                set.union_with(&job.unrecorded_done);
                 when.push((key.clone(), context.replica.version(&key)));
-                apply.push((key, Some(value(&bitmap(&set, chunk)))));
+                apply.push((key, Some(value(&encode_bitmap(&set, chunk)))));
             }
         }
         job.commit_in_flight = true;
@@ -433,14 +433,14 @@
         for range in &rec.value.task_ranges {
             let mut keep = RangeSet::from_range(range.first, range.end);
             if range.region == me {
-                keep.remove_all(&set);
+                keep.subtract(&set);
             }
             owners.extend(
-                keep.iter()
+                keep.ranges()
                     .map(|(s, e)| TaskRange::new(s, e, &*range.region)),
             );
         }
-        owners.extend(set.iter().map(|(s, e)| TaskRange::new(s, e, to)));
+        owners.extend(set.ranges().map(|(s, e)| TaskRange::new(s, e, to)));
         owners.sort_by_key(|range| range.first);
         // Once the last part of a gang is with nobody, it is bound anew.
         let free = owners.iter().all(TaskRange::is_unbound);
@@ -463,7 +463,7 @@
         } else {
             rec.value.multi_region.clone()
         };
-        j.pending.remove_all(&set);
+        j.pending.subtract(&set);
         j.rebinding = set;
         j.commit_in_flight = true;
         let mut when = when;
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -26,7 +26,7 @@
         }
         let need = spec.quota_per_task().times(n as u64);
         let half = spec.task_count.div_ceil(2);
-        let tasks: Vec<u32> = job.pending.numbers().collect();
+        let tasks: Vec<u32> = job.pending.iter().collect();
         let (since, joint) = (job.pending_since, job.multi_region.clone());
         for zone in self.candidate_zones(job) {
             if self.tasks_placeable_now(id, zone.as_deref(), n as u64, context) < n as u64 {
--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -207,7 +207,7 @@
             // Only what is on no other machine can be settled here; a result
             // is final wherever it was found.
             let tasks: Vec<u32> = if job.spec.kind == JobKind::Gang {
-                job.bound.numbers().collect()
+                job.bound.iter().collect()
             } else {
                 vec![t.task]
             };
--- a/src/region/job_lifecycle.rs
+++ b/src/region/job_lifecycle.rs
@@ -73,30 +73,30 @@
             return;
         };
         let mut fresh = mine.clone();
-        fresh.remove_all(&job.bound);
+        fresh.subtract(&job.bound);
         let mut lost = job.bound.clone();
-        lost.remove_all(&mine);
+        lost.subtract(&mine);
         if fresh.is_empty() && lost.is_empty() {
             self.after_tasks_left(&id);
             return;
         }
         job.bound = mine;
         let done = context.replica.done_tasks(&id);
-        job.done.add_all(&done);
-        fresh.remove_all(&job.done);
+        job.done.union_with(&done);
+        fresh.subtract(&job.done);
         if taking {
-            job.unreconciled.add_all(&fresh);
+            job.unreconciled.union_with(&fresh);
         } else {
             // Bound here after we took the region: nobody else can have
             // started it under this region's name.
             if job.pending.is_empty() {
                 job.pending_since = context.now;
             }
-            job.pending.add_all(&fresh);
+            job.pending.union_with(&fresh);
         }
-        job.pending.remove_all(&lost);
-        job.rebinding.remove_all(&lost);
-        job.unreconciled.remove_all(&lost);
+        job.pending.subtract(&lost);
+        job.rebinding.subtract(&lost);
+        job.unreconciled.subtract(&lost);
         self.triggers.jobs.insert(id.clone());
         self.update_queue_position(&id, context);
         self.after_tasks_left(&id);
--- a/src/region/machine_activation.rs
+++ b/src/region/machine_activation.rs
@@ -1,7 +1,7 @@
 //! The records of machines: which were opened, and which are gone.
 
 use super::*;
-use salttiller_records::record::MachineBatchRecord;
+use salttiller_records::record::{BatchPosition, MachineBatchRecord};
 
 /// Changes of machines' records that are to be committed, and those in flight.
 #[derive(Debug, Default)]
@@ -82,7 +82,11 @@
             let Some(m) = self.inventory.machines.get(name) else {
                 continue;
             };
-            let Some((lot, place)) = &m.record.batch_position else {
+            let Some(BatchPosition {
+                batch: lot,
+                index: place,
+            }) = &m.record.batch_position
+            else {
                 // As an earlier version kept it.
                 if apply.len() + rolls.len() < most {
                     let mut rec = m.record.clone();
@@ -96,11 +100,11 @@
             };
             let found = on_record
                 .iter()
-                .find(|(_, r)| r.0.contains_key(&**lot))
+                .find(|(_, r)| r.bitmaps.contains_key(&**lot))
                 .or_else(|| {
                     on_record
                         .iter()
-                        .find(|(_, r)| r.0.len() < MAX_ACTIVATION_BATCHES)
+                        .find(|(_, r)| r.bitmaps.len() < MAX_ACTIVATION_BATCHES)
                 })
                 .map(|(n, _)| *n);
             let n = found.unwrap_or_else(|| on_record.keys().next_back().map_or(0, |n| n + 1));
@@ -110,15 +114,15 @@
             let roll = on_record.entry(n).or_default();
             if !rolls.contains_key(&n) {
                 // Lots that are gone leave their places.
-                roll.0
+                roll.bitmaps
                     .retain(|l, _| context.replica.batches.contains_key(l));
             }
             let mut set = RangeSet::default();
-            if let Some(bits) = roll.0.get(&**lot) {
-                read_bitmap(bits, 0, &mut set);
+            if let Some(bits) = roll.bitmaps.get(&**lot) {
+                decode_bitmap(bits, 0, &mut set);
             }
             set.insert(*place as u32);
-            roll.0.insert(lot.to_string(), bitmap(&set, 0));
+            roll.bitmaps.insert(lot.to_string(), encode_bitmap(&set, 0));
             rolls.insert(n, roll.clone());
             names.push(name.clone());
         }
@@ -156,7 +160,10 @@
                     apply.push((key, None));
                     names.push(name.clone());
                 }
-                Some((lot, place)) => {
+                Some(BatchPosition {
+                    batch: lot,
+                    index: place,
+                }) => {
                     if !lots.contains_key(lot) {
                         let known = context.replica.batches.get(&**lot);
                         if let (Some(l), true) = (known, apply.len() + lots.len() < most) {
--- a/src/region/machine_lifecycle.rs
+++ b/src/region/machine_lifecycle.rs
@@ -228,7 +228,7 @@
                     .machine_types
                     .get(&*k.machine_type)?
                     .value
-                    .per_cpu(k.spot),
+                    .price_per_cpu(k.spot),
             )
         };
         let open = self
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -56,7 +56,7 @@
         log::info!(
             "region: {}: settled {:.1} s after taking, {} machines",
             self.name,
-            to_secs(context.now - self.reconciliation.acquired_at),
+            to_seconds(context.now - self.reconciliation.acquired_at),
             self.inventory.machines.len()
         );
         for s in self.quotas.by_team.values_mut() {
@@ -71,7 +71,7 @@
             if job.pending.is_empty() {
                 job.pending_since = context.now;
             }
-            job.pending.add_all(&rest);
+            job.pending.union_with(&rest);
             // A gang of which only a part is left can't go on.
             if job.spec.kind == JobKind::Gang
                 && !job.on_machines.is_empty()
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -179,7 +179,7 @@
         };
         let span = |field: &str, s: f64| -> Result<Micros, SettingsError> {
             if s.is_finite() && s > 0.0 && s <= 1e7 {
-                Ok(units::secs(s))
+                Ok(units::from_seconds(s))
             } else {
                 Err(bad(
                     field,
@@ -200,8 +200,8 @@
                 .all(|x| x.is_finite() && *x >= 0.0 && *x < 1e9)
             {
                 Ok(QuotaAmount {
-                    cpus: units::room(cpus),
-                    gpus: units::room(gpus),
+                    cpus: units::round_down_to_millionths(cpus),
+                    gpus: units::round_down_to_millionths(gpus),
                 })
             } else {
                 Err(bad(field, "not an amount"))
@@ -271,7 +271,7 @@
                 .map(|o| Objective {
                     kind: o.kind,
                     class: o.class,
-                    within: o.within_s.map(units::secs),
+                    within: o.within_s.map(units::from_seconds),
                     share: o.share.unwrap_or(0.0),
                 })
                 .collect(),
@@ -294,10 +294,10 @@
                 None => s.write_rps,
             },
             cloud_rps: rate("facts.cloud.rps", f.facts.cloud.rps)?,
-            list_lag: units::secs(f.facts.cloud.list_lag_s),
+            list_lag: units::from_seconds(f.facts.cloud.list_lag_s),
             sockets: f.facts.quota.fd_limit,
             memory_mb: f.facts.quota.ram_mb,
-            clock_off: units::secs(f.facts.clock_off_ms / 1000.0),
+            clock_off: units::from_seconds(f.facts.clock_off_ms / 1000.0),
             operator: Operator::default(),
         })
     }
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -65,7 +65,7 @@
                     )),
                 }
             };
-            let seconds = |low: f64, high: f64| number(low, high).map(units::secs);
+            let seconds = |low: f64, high: f64| number(low, high).map(units::from_seconds);
             match (section, key) {
                 (Some("classes"), "precedence") => {
                     op.precedence = value
--- a/src/state_store/replica/machines.rs
+++ b/src/state_store/replica/machines.rs
@@ -3,9 +3,11 @@
 
 use std::rc::Rc;
 
-use salttiller_records::bitmap::read_bitmap;
+use salttiller_records::bitmap::decode_bitmap;
 use salttiller_records::model::RangeSet;
-use salttiller_records::record::{ActivationRecord, MachineBatchRecord, MachineRecord};
+use salttiller_records::record::{
+    ActivationRecord, BatchPosition, MachineBatchRecord, MachineRecord,
+};
 
 use super::{ActivationKey, PoolKey, Replica, Versioned};
 
@@ -19,7 +21,7 @@
 
 fn is_in_batch(machine: &MachineRecord, batch: &str) -> bool {
     let position = machine.batch_position.as_ref();
-    position.is_some_and(|(its_batch, _)| &**its_batch == batch)
+    position.is_some_and(|position| &*position.batch == batch)
 }
 
 impl Replica {
@@ -100,7 +102,10 @@
                 zone: record.zone.clone(),
                 spot: record.spot,
                 activated: activated.contains(index as u32),
-                batch_position: Some((batch.clone(), index)),
+                batch_position: Some(BatchPosition {
+                    batch: batch.clone(),
+                    index,
+                }),
             };
             if known != Some(&machine) {
                 self.set_machine(name, Some(machine), version);
@@ -125,8 +130,8 @@
     fn activated_in(&self, region: &str, batch: &str) -> RangeSet {
         let mut activated = RangeSet::default();
         for (_, record) in self.activations_of(region) {
-            if let Some(bits) = record.value.0.get(batch) {
-                read_bitmap(bits, 0, &mut activated);
+            if let Some(bits) = record.value.bitmaps.get(batch) {
+                decode_bitmap(bits, 0, &mut activated);
             }
         }
         activated
@@ -137,14 +142,14 @@
         let Some(record) = self.activations.get(key) else {
             return;
         };
-        for (id, bits) in &record.value.0 {
+        for (id, bits) in &record.value.bitmaps {
             let Some(batch) = self.batches.get(id) else {
                 continue;
             };
             let mut activated = RangeSet::default();
-            read_bitmap(bits, 0, &mut activated);
+            decode_bitmap(bits, 0, &mut activated);
             let names = activated
-                .numbers()
+                .iter()
                 .map_while(|index| batch.value.machines.get(index as usize));
             for name in names {
                 let Some(machine) = self.machines.get_mut(name) else {
--- a/src/state_store/replica/progress.rs
+++ b/src/state_store/replica/progress.rs
@@ -1,6 +1,6 @@
 //! Finished tasks on record.
 
-use salttiller_records::bitmap::{count_bits, read_bitmap};
+use salttiller_records::bitmap::{count_bits, decode_bitmap};
 use salttiller_records::model::RangeSet;
 
 use super::{ProgressKey, Replica, Versioned};
@@ -18,7 +18,7 @@
     pub fn done_tasks(&self, job: &str) -> RangeSet {
         let mut done = RangeSet::default();
         for (key, bitmap) in self.progress.get(job).into_iter().flatten() {
-            read_bitmap(&bitmap.value, key.chunk, &mut done);
+            decode_bitmap(&bitmap.value, key.chunk, &mut done);
         }
         done
     }
--- a/src/status.rs
+++ b/src/status.rs
@@ -14,7 +14,7 @@
 use conditions::{Condition, ConditionWatch};
 use pipelines::{expected_end, PipelineWatch, Step};
 use salttiller_records::model::JobSpec;
-use salttiller_records::units::{to_secs, Micros, SECOND};
+use salttiller_records::units::{to_seconds, Micros, SECOND};
 
 /// What operators are told.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -104,7 +104,7 @@
             Some(w) => format!(
                 "{class}, {} within {:.0} s",
                 self.objective.kind,
-                to_secs(w)
+                to_seconds(w)
             ),
             None => format!("{class}, {}", self.objective.kind),
         }
@@ -345,7 +345,7 @@
     let _ = writeln!(
         out,
         "  authority for {:.1} s, reads recent: {}",
-        to_secs(s.authority_us),
+        to_seconds(s.authority_us),
         yes(s.fresh)
     );
     for r in &s.regions {
--- a/src/status/conditions.rs
+++ b/src/status/conditions.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 use super::Signal;
-use salttiller_records::units::{to_secs, Micros, SECOND};
+use salttiller_records::units::{to_seconds, Micros, SECOND};
 
 /// Most conditions named in one round; the others are counted.
 const NAMED_AT_ONCE: usize = 3;
@@ -99,7 +99,7 @@
                 write!(
                     f,
                     ": {overdue} overdue, the first for {:.0} s",
-                    to_secs(*since)
+                    to_seconds(*since)
                 )
             }
             Condition::QuestionStorm { rate, usual } => {
@@ -222,7 +222,7 @@
     pub fn look(&mut self, now: Micros) -> Option<Condition> {
         let last = self.looked.replace(now);
         let count = std::mem::take(&mut self.count);
-        let span = to_secs(now.saturating_sub(last?));
+        let span = to_seconds(now.saturating_sub(last?));
         if span <= 0.0 {
             return None;
         }
--- a/src/status/pipelines.rs
+++ b/src/status/pipelines.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Signal;
-use salttiller_records::units::{to_secs, Micros, SECOND};
+use salttiller_records::units::{to_seconds, Micros, SECOND};
 
 /// Most pipelines named in one round; the others are counted.
 const NAMED_AT_ONCE: usize = 3;
@@ -98,7 +98,7 @@
 }
 
 fn behind(step: &Step<'_>, cause: &str) -> String {
-    let late = to_secs(step.expected - step.due);
+    let late = to_seconds(step.expected - step.due);
     let Step {
         id, last, class, ..
     } = step;
@@ -108,7 +108,7 @@
 }
 
 fn in_time(step: &Step<'_>) -> String {
-    let spare = to_secs(step.due.saturating_sub(step.expected)).max(0.0);
+    let spare = to_seconds(step.due.saturating_sub(step.expected)).max(0.0);
     format!("{} of {}: {spare:.0} s to spare", step.last, step.class)
 }
 
--- a/src/worker_protocol.rs
+++ b/src/worker_protocol.rs
@@ -201,7 +201,7 @@
             sequence: r.tally,
         },
         token: r.brand,
-        interruption_in: r.reclaim.map(units::secs),
+        interruption_in: r.reclaim.map(units::from_seconds),
         tasks,
     })
 }
@@ -280,7 +280,7 @@
         .map(|(command, sheaf)| {
             let (call, gleaning) = match command.kind {
                 CommandKind::Start => ("start", None),
-                CommandKind::Stop { grace } => ("stop", Some(units::to_secs(grace))),
+                CommandKind::Stop { grace } => ("stop", Some(units::to_seconds(grace))),
                 CommandKind::Reap => ("reap", None),
             };
             wire::Call {
