--- a/crates/archive/src/export.rs
+++ b/crates/archive/src/export.rs
@@ -1,6 +1,6 @@
 //! Export of an archive's content as documents, see [`crate::documents`].
 
-use salttiller_records::units::to_secs;
+use salttiller_records::units::to_seconds;
 
 use crate::database::{Archive, ArchiveView};
 use crate::documents::{
@@ -26,7 +26,7 @@
             segment: found.segment.id,
             revision: found.revision,
             known_until_revision: found.segment.value.until,
-            known_until_s: to_secs(found.segment.value.last_contact),
+            known_until_s: to_seconds(found.segment.value.last_contact),
             snapshot_revision: found.snapshot_revision,
             changes_applied: found.changes_applied,
             records,
@@ -72,7 +72,7 @@
         gap: list_gap(&segment.gap),
         after_revision: segment.after,
         until_revision: segment.until,
-        last_contact_s: to_secs(segment.last_contact),
+        last_contact_s: to_seconds(segment.last_contact),
         batches: segment.next_batch - segment.first_batch,
         snapshots: list_snapshots(view, row.id)?,
     })
@@ -83,7 +83,7 @@
     Ok(snapshots
         .map(|complete| ListedSnapshot {
             revision: complete.revision,
-            started_s: to_secs(complete.snapshot.started),
+            started_s: to_seconds(complete.snapshot.started),
             records: complete.snapshot.records,
         })
         .collect())
@@ -93,8 +93,8 @@
     ListedGap {
         cause: describe_cause(&gap.cause),
         after_revision: gap.after_revision,
-        last_contact_s: to_secs(gap.last_contact),
-        detected_s: to_secs(gap.detected),
+        last_contact_s: to_seconds(gap.last_contact),
+        detected_s: to_seconds(gap.detected),
     }
 }
 
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use salttiller::settings::Settings;
-use salttiller_records::units::{to_secs, MILLISECOND};
+use salttiller_records::units::{to_seconds, MILLISECOND};
 
 use super::{CommandError, SettingsFiles};
 
@@ -49,7 +49,7 @@
         settings.name,
         settings.regions().len(),
         settings.teams.len(),
-        to_secs(settings.owner_lease_life()),
+        to_seconds(settings.owner_lease_life()),
         if precedence.is_empty() {
             "none".to_owned()
         } else {
--- a/src/region.rs
+++ b/src/region.rs
@@ -64,14 +64,14 @@
 use reconciliation::Reconciliation;
 use reservation::GangReservation;
 use runtime_estimates::RuntimeEstimates;
-use salttiller_records::bitmap::{bitmap, read_bitmap, CHUNK};
+use salttiller_records::bitmap::{decode_bitmap, encode_bitmap, CHUNK_SIZE};
 use salttiller_records::key::Key;
 use salttiller_records::model::{JobId, JobKind, JobSpec, MachineType, RangeSet};
 use salttiller_records::record::{
     value, ActivationRecord, JobRecord, JobStage, MachineRecord, MultiRegionAttempt, TaskRange,
     MAX_ACTIVATION_BATCHES,
 };
-use salttiller_records::units::{add_drift, to_secs, Micros, MILLISECOND, SECOND};
+use salttiller_records::units::{add_drift, to_seconds, Micros, MILLISECOND, SECOND};
 use salttiller_records::{QuotaAmount, Resources};
 use task::Assignment;
 
@@ -220,12 +220,12 @@
             .iter()
             .filter(|(_, m)| m.record.activated);
         r.reconciliation.unreconciled = opened.map(|(n, _)| n.clone()).collect();
-        for id in &context.replica.open {
+        for id in &context.replica.ready_jobs {
             r.on_job(id, context, true);
         }
         for (team, q) in &context.replica.quotas {
             let s = r.quotas.by_team.entry(Rc::from(team.as_str())).or_default();
-            s.inherited = quota::share(Some(&q.value), name);
+            s.inherited = quota::recorded_share(Some(&q.value), name);
         }
         let ids: Vec<JobId> = r.jobs.keys().cloned().collect();
         for id in ids {
@@ -291,9 +291,9 @@
             return;
         };
         let was_out = job.on_machines.remove(&n);
-        job.pending.take(n);
-        job.unreconciled.take(n);
-        job.rebinding.take(n);
+        job.pending.remove(n);
+        job.unreconciled.remove(n);
+        job.rebinding.remove(n);
         if let Some(at) = &was_out {
             let held = self.inventory.machines.get_mut(at).and_then(|m| {
                 let h = m.tasks.remove(&(id.clone(), n))?;
@@ -322,8 +322,8 @@
                 } else {
                     log::debug!(
                         "region: {id}/{n}: off {at}, {to:?} after {:.1} s, of these {:.1} s before running",
-                        to_secs(now - h.since),
-                        to_secs(h.running_since.unwrap_or(now) - h.since)
+                        to_seconds(now - h.since),
+                        to_seconds(h.running_since.unwrap_or(now) - h.since)
                     );
                 }
                 let s = self.quotas.by_team.entry(h.team.clone()).or_default();
@@ -476,7 +476,7 @@
             self.on_machine(&n, context);
         }
         let mut ids: BTreeSet<String> = self.jobs.keys().map(|j| j.to_string()).collect();
-        ids.extend(context.replica.open.iter().cloned());
+        ids.extend(context.replica.ready_jobs.iter().cloned());
         for id in ids {
             self.on_job(&id, context, false);
         }
