--- a/src/region.rs
+++ b/src/region.rs
@@ -10,14 +10,17 @@
 mod failure_attribution;
 mod gangs;
 mod heartbeats;
+mod interruption;
 mod job;
 mod job_lifecycle;
 mod machine;
-mod machine_activation;
+mod machine_checks;
 mod machine_index;
 mod machine_inventory;
 mod machine_lifecycle;
+mod machine_membership;
 mod machine_pool;
+mod machine_records;
 mod placement;
 mod preemption;
 mod provisioning;
@@ -31,7 +34,6 @@
 
 pub use constrained_types::{only_fitting_type, ConstrainedTypes};
 pub use machine::MachineState;
-pub use machine_lifecycle::LEAST_AGE;
 pub use provisioning::is_provisioning_trouble;
 pub use queue::{latest_start, waiting_spans};
 pub use task::TaskState;
@@ -45,33 +47,26 @@
 use crate::settings::Settings;
 use crate::state_store::replica::Replica;
 use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
-use crate::worker_protocol::{
-    Command, ExitReason, Heartbeat, HeartbeatId, ReportedState, MAX_COMMANDS,
-};
+use crate::worker_protocol::{Command, ReportedState};
 use commits::CommitTracker;
-use failure_attribution::{JobFailures, MachineFailures};
+use failure_attribution::JobFailures;
 use job::Job;
 use machine::Machine;
-use machine_activation::MachineRecordChanges;
-use machine_index::{IndexEntry, MachineIndex};
+use machine_index::IndexEntry;
 use machine_inventory::MachineInventory;
 use machine_pool::MachinePool;
+use machine_records::MachineRecordChanges;
 use placement::PlacementTriggers;
-use provisioning::ProvisioningHistory;
 use queue::{JobQueue, OrderKey};
 use quota_share::QuotaShares;
-use reachability::Reachability;
 use reconciliation::Reconciliation;
 use reservation::GangReservation;
 use runtime_estimates::RuntimeEstimates;
 use salttiller_records::bitmap::{bitmap, read_bitmap, CHUNK};
 use salttiller_records::key::Key;
-use salttiller_records::model::{JobId, JobKind, JobSpec, MachineType, RangeSet};
-use salttiller_records::record::{
-    value, ActivationRecord, JobRecord, JobStage, MachineRecord, MultiRegionAttempt, TaskRange,
-    MAX_ACTIVATION_BATCHES,
-};
-use salttiller_records::units::{add_drift, to_secs, Micros, MILLISECOND, SECOND};
+use salttiller_records::model::{JobId, JobKind, JobSpec, RangeSet};
+use salttiller_records::record::{value, JobRecord, JobStage, MultiRegionAttempt, TaskRange};
+use salttiller_records::units::{to_secs, Micros, MILLISECOND, SECOND};
 use salttiller_records::{QuotaAmount, Resources};
 use task::Assignment;
 
@@ -214,12 +209,10 @@
                 r.on_machine(machine, context);
             }
         }
-        let opened = r
-            .inventory
-            .machines
-            .iter()
-            .filter(|(_, m)| m.record.activated);
-        r.reconciliation.unreconciled = opened.map(|(n, _)| n.clone()).collect();
+        let machines = r.inventory.machines();
+        let activated = machines.filter(|(_, machine)| machine.record.activated);
+        r.reconciliation
+            .expect(activated.map(|(name, _)| name.clone()));
         for id in &context.replica.open {
             r.on_job(id, context, true);
         }
@@ -232,7 +225,7 @@
             r.on_progress(&id, context);
         }
         r.try_finish_recovery(context);
-        if is_disabled(Safeguard::Recovery) && !r.reconciliation.is_complete {
+        if is_disabled(Safeguard::Recovery) && !r.reconciliation.is_complete() {
             r.finish_recovery(context);
         }
         r
@@ -240,41 +233,36 @@
 
     /// Whether all machines of a former owner are accounted for.
     pub fn is_reconciled(&self) -> bool {
-        self.reconciliation.is_complete
+        self.reconciliation.is_complete()
     }
 
     /// Whether another may take the region without waiting for machines that we know
     /// are gone: the next owner would look for them all over again.
     pub fn is_ready_to_hand_over(&self, now: Micros) -> bool {
-        let long = now > self.reconciliation.acquired_at + 60 * SECOND;
-        self.reconciliation.is_complete && (self.machine_records.to_remove.is_empty() || long)
+        let long = now > self.reconciliation.acquired_at() + 60 * SECOND;
+        self.reconciliation.is_complete() && (!self.machine_records.has_pending_removals() || long)
     }
 
     /// Machines that may hold tasks.
     pub fn activated_machines(&self) -> usize {
-        self.inventory.by_last_heartbeat.len()
+        self.inventory.activated_count()
     }
 
     /// Whether few of these have been heard of late, though they could have been answered
     /// since `able_since` and there was time for all.
     pub fn hears_from_few(&self, able_since: Micros, context: &SchedulingContext<'_>) -> bool {
         let patience = context.settings.report * 5 / 4 + 4 * SECOND;
-        if context.now < self.reconciliation.acquired_at.max(able_since) + 2 * patience {
+        if context.now < self.reconciliation.acquired_at().max(able_since) + 2 * patience {
             return false;
         }
         let since = context.now.saturating_sub(patience);
-        let recent = self
-            .inventory
-            .by_last_heartbeat
-            .range((since, Rc::from(""))..)
-            .count();
-        recent * 4 < self.inventory.by_last_heartbeat.len()
+        let recent = self.inventory.count_reported_since(since);
+        recent * 4 < self.inventory.activated_count()
     }
 
     /// A task as it stands on (or is meant for) a machine.
     fn assignment_mut(&mut self, id: &JobId, n: u32, machine: &str) -> Option<&mut Assignment> {
-        let m = self.inventory.machines.get_mut(machine)?;
-        m.tasks.get_mut(&(id.clone(), n))
+        self.inventory.assignment_mut(machine, id, n)
     }
 
     /// The only way in which a task changes its place. `at` names machine and
@@ -295,21 +283,7 @@
         job.unreconciled.take(n);
         job.rebinding.take(n);
         if let Some(at) = &was_out {
-            let held = self.inventory.machines.get_mut(at).and_then(|m| {
-                let h = m.tasks.remove(&(id.clone(), n))?;
-                m.used = m.used.minus(h.resources());
-                if !h.constrained {
-                    m.used_by_flexible = m.used_by_flexible.minus(h.resources());
-                }
-                let kept = self.inventory.index.reserved(&m.pool).is_some();
-                if (h.constrained || !kept)
-                    && !m.serves_its_purpose(kept)
-                    && h.state != TaskState::Assigned
-                {
-                    m.idle_since = now;
-                }
-                Some(h)
-            });
+            let held = self.inventory.remove_assignment(at, id, n, now);
             if let Some(h) = held {
                 if to == TaskState::Done && !h.constrained {
                     self.runtime_estimates.record(&job.spec, now - h.since, now);
@@ -333,13 +307,12 @@
                 }
                 self.triggers.teams.insert(h.team.to_string());
                 self.triggers.machines.insert(at.clone());
-                self.reindex(at);
-                let idle = self.inventory.machines.get(at).filter(|m| {
+                let idle = self.inventory.machine(at).filter(|m| {
                     m.tasks.is_empty() || (h.constrained && !m.serves_its_purpose(true))
                 });
                 if let Some(m) = idle {
                     let wait = if m.cordoned.is_some() { 0 } else { m.boot_time };
-                    self.revisit_at(at, now + wait);
+                    self.inventory.schedule_check(at, now + wait);
                 }
             }
         }
@@ -368,7 +341,7 @@
             }
             TaskState::Assigned | TaskState::Dispatched | TaskState::Reported(_) => {
                 let Some((machine, attempt)) = at else { return };
-                let Some(m) = self.inventory.machines.get_mut(machine) else {
+                let Some(m) = self.inventory.machine(machine) else {
                     return;
                 };
                 let brings = !m.images.contains(&job.spec.image);
@@ -389,13 +362,6 @@
                     since: now,
                     running_since: None,
                 };
-                m.used = m.used.plus(h.resources());
-                if !h.constrained {
-                    m.used_by_flexible = m.used_by_flexible.plus(h.resources());
-                }
-                if brings {
-                    m.images.insert(job.spec.image.clone());
-                }
                 if to == TaskState::Assigned && !h.awaits_start_barrier {
                     self.undispatched.insert((now, id.clone(), n));
                 }
@@ -404,9 +370,9 @@
                 if h.started_by_us {
                     s.used_by_our_starts = s.used_by_our_starts.plus(h.quota);
                 }
-                m.tasks.insert((id.clone(), n), h);
+                self.inventory
+                    .add_assignment(machine, (id.clone(), n), h, &job.spec.image);
                 job.on_machines.insert(n, Rc::from(machine));
-                self.reindex(machine);
             }
         }
     }
@@ -431,7 +397,7 @@
                     self.record_progress(&id, context);
                 }
             }
-            if !self.reconciliation.is_complete {
+            if !self.reconciliation.is_complete() {
                 self.try_finish_recovery(context);
             }
         }
@@ -466,7 +432,11 @@
 
     /// The replica was read anew as a whole.
     pub fn on_loaded(&mut self, context: &SchedulingContext<'_>) {
-        let mut names: BTreeSet<Rc<str>> = self.inventory.machines.keys().cloned().collect();
+        let mut names: BTreeSet<Rc<str>> = self
+            .inventory
+            .machines()
+            .map(|(name, _)| name.clone())
+            .collect();
         let here = context.replica.machines.iter();
         names.extend(
             here.filter(|(_, m)| m.value.region == self.name)
@@ -519,7 +489,7 @@
             })
             .collect();
         let mut rooms = Vec::new();
-        for (pool, g) in &self.inventory.index.pools {
+        for (pool, g) in self.inventory.index().pools() {
             let line = |live: bool, free: Resources, machines: u32| PoolCapacity {
                 machine_type: pool.machine_type.to_string(),
                 zone: pool.zone.to_string(),
@@ -536,7 +506,7 @@
         RegionReport {
             region: self.name.clone(),
             token: self.token,
-            reconciled: self.reconciliation.is_complete,
+            reconciled: self.reconciliation.is_complete(),
             capacity: rooms,
             pending_jobs: waits,
             running_tasks: self
@@ -560,8 +530,8 @@
                 .gang_parts_ready()
                 .map(|(id, attempt)| (id.to_string(), attempt))
                 .collect(),
-            estimated: self.runtime_estimates.estimated,
-            actual: self.runtime_estimates.actual,
+            estimated: self.runtime_estimates.estimated(),
+            actual: self.runtime_estimates.actual(),
         }
     }
 
--- a/src/region/commits.rs
+++ b/src/region/commits.rs
@@ -103,20 +103,10 @@
                 self.after_tasks_left(&id);
             }
             CommitKind::ActivateMachines(names) => {
-                self.machine_records.activation_in_flight = false;
-                if done {
-                    for n in names {
-                        self.machine_records.to_activate.remove(&n);
-                    }
-                }
+                self.machine_records.activation_concluded(&names, done);
             }
             CommitKind::RemoveMachines(names) => {
-                self.machine_records.removal_in_flight = false;
-                if done {
-                    for n in names {
-                        self.machine_records.to_remove.remove(&n);
-                    }
-                }
+                self.machine_records.removal_concluded(&names, done);
             }
         }
     }
@@ -281,7 +271,7 @@
                 if let Some(p) = s.committing {
                     share = share.min(p);
                 }
-                if self.reconciliation.is_complete || is_disabled(Safeguard::InheritedShares) {
+                if self.reconciliation.is_complete() || is_disabled(Safeguard::InheritedShares) {
                     share.minus(s.used)
                 } else {
                     share.minus(s.inherited).minus(s.used_by_our_starts)
@@ -298,7 +288,7 @@
         self.update_quota_demand(context);
         let (regions, settled) = (
             context.settings.size() as u64,
-            self.reconciliation.is_complete,
+            self.reconciliation.is_complete(),
         );
         let teams: Vec<Rc<str>> = self.quotas.by_team.keys().cloned().collect();
         for team in teams {
--- a/src/region/constrained_types.rs
+++ b/src/region/constrained_types.rs
@@ -1,6 +1,15 @@
 //! Machine types that some jobs depend on: capacity that is reserved for those jobs.
+//!
+//! A job is constrained if it fits on one machine type only, else flexible. Regions and the
+//! leader each keep a [`ConstrainedTypes`] of the jobs they see.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use salttiller_records::model::{JobKind, JobSpec};
+use salttiller_records::units::{Micros, SECOND};
+use salttiller_records::Resources;
+
+use crate::state_store::replica::Replica;
 
 /// How long a type stays reserved for jobs that fit nowhere else, after the last of them was
 /// seen.
@@ -68,14 +77,14 @@
 }
 
 /// The one type on which a job fits, if there is just one.
-pub fn only_fitting_type(s: &JobSpec, r: &Replica) -> Option<String> {
-    let mut fit = r
-        .machine_types
-        .values()
-        .map(|f| &f.value)
-        .filter(|f: &&MachineType| s.fits_machine_type(f));
-    match (fit.next(), fit.next()) {
-        (Some(f), None) if r.machine_types.len() > 1 => Some(f.name.clone()),
+///
+/// `None` as well while only one type is known: all jobs would depend on it.
+#[must_use]
+pub fn only_fitting_type(spec: &JobSpec, replica: &Replica) -> Option<String> {
+    let types = replica.machine_types.values().map(|record| &record.value);
+    let mut fitting = types.filter(|machine_type| spec.fits_machine_type(machine_type));
+    match (fitting.next(), fitting.next()) {
+        (Some(only), None) if replica.machine_types.len() > 1 => Some(only.name.clone()),
         _ => None,
     }
 }
--- a/src/region/failure_attribution/tests.rs
+++ b/src/region/failure_attribution/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of failures.
+//! Tests of failure attribution.
 
 use super::super::tests::Shop;
 use super::*;
@@ -11,14 +11,14 @@
     from + span
 }
 
-fn closed(shop: &Shop) -> Vec<&str> {
-    let machines = shop.r.inventory.machines.iter();
-    let closed = machines.filter(|(_, m)| m.cordoned == Some("faulty"));
-    closed.map(|(name, _)| &**name).collect()
+fn cordoned(shop: &Shop) -> Vec<&str> {
+    let machines = shop.r.inventory.machines();
+    let faulty = machines.filter(|(_, machine)| machine.cordoned == Some(CordonReason::Faulty));
+    faulty.map(|(name, _)| &**name).collect()
 }
 
-/// What each kind of failing job does to machines and to the number of tries, and what a
-/// faulty machine still brings about.
+/// What each kind of failing job does to machines and to the number of attempts, and what a
+/// faulty machine still causes.
 #[test]
 fn jobs_at_fault_are_told_from_faulty_machines() {
     // JobKind, tasks, processors of each, most starts in five minutes.
@@ -34,7 +34,7 @@
         let starts = shop.starts["req-1"];
         assert!(starts >= 4, "{kind} of {tasks}: tried {starts} times");
         assert!(starts <= most, "{kind} of {tasks}: {starts} starts");
-        assert_eq!(closed(&shop), [""; 0], "{kind} of {tasks}");
+        assert_eq!(cordoned(&shop), [""; 0], "{kind} of {tasks}");
         assert!(shop.r.jobs["req-1"].failures.is_suspect());
     }
     // Several jobs, all with results elsewhere, fail on one machine.
@@ -44,14 +44,14 @@
         shop.submit(&format!("req-{i}"), "a", "red", 8, 2_000_000, 2 * SECOND);
     }
     play(&mut shop, 3, 120);
-    assert_eq!(closed(&shop), ["m-3"]);
+    assert_eq!(cordoned(&shop), ["m-3"]);
     let suspect = shop.r.jobs.values().any(|j| j.failures.is_suspect());
     assert!(!suspect);
 }
 
-/// A faulty machine is closed also when suspect jobs ran on it.
+/// A faulty machine is cordoned also when suspect jobs ran on it.
 #[test]
-fn a_faulty_machine_is_closed_beside_jobs_at_fault() {
+fn a_faulty_machine_is_cordoned_beside_jobs_at_fault() {
     let mut shop = Shop::new(6);
     shop.submit("req-1", "a", "red", 30, 1_000_000, 2 * SECOND);
     shop.broken.insert("req-1".into());
@@ -61,11 +61,11 @@
         shop.submit(&format!("req-{i}"), "a", "red", 8, 2_000_000, now * SECOND);
     }
     play(&mut shop, now, 120);
-    assert_eq!(closed(&shop), ["m-2"]);
+    assert_eq!(cordoned(&shop), ["m-2"]);
 }
 
 /// Suspect jobs wait behind all others, ask for nothing, and are served at once when a
-/// later try succeeds. With the guard left out they keep taking machines.
+/// later try succeeds. With the safeguard disabled they keep taking machines.
 #[test]
 fn a_suspect_job_takes_nothing_from_others() {
     let served = |disabled: Option<Safeguard>| {
@@ -87,10 +87,8 @@
     assert!(tries > 10, "left out: {tries} tries");
     let (mut shop, now, tries) = served(None);
     assert!((1..=4).contains(&tries), "{tries} tries");
-    let view_waits = |shop: &Shop, now: u64| shop.waits(now * SECOND);
-    let line = view_waits(&shop, now)
-        .into_iter()
-        .find(|w| w.job == "req-1");
+    let pending = shop.waits(now * SECOND);
+    let line = pending.into_iter().find(|line| line.job == "req-1");
     let line = line.expect("still known");
     assert!(
         line.needs_new_attempt && line.pending_tasks <= 1,
@@ -103,8 +101,8 @@
     assert_eq!(begun, 400);
 }
 
-/// Failures of unknown jobs, of an older attempt, or told again and again change nothing:
-/// no machine is closed, no job is suspect, and all are reaped.
+/// Failures of unknown jobs, of an older attempt, or reported again and again change nothing:
+/// no machine is cordoned, no job is suspect, and all are reaped.
 #[test]
 fn odd_failures_change_nothing() {
     let mut shop = Shop::new(4);
@@ -120,7 +118,7 @@
         let commands = shop.report_failures("m-0", &odd, (now + times) * SECOND);
         assert!(commands > 0 && commands <= crate::worker_protocol::MAX_COMMANDS);
     }
-    assert_eq!(closed(&shop), [""; 0]);
+    assert_eq!(cordoned(&shop), [""; 0]);
     assert!(!shop.r.jobs["req-1"].failures.is_suspect());
     assert_eq!(shop.r.jobs.len(), 1);
 }
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -50,7 +50,7 @@
                     break;
                 };
                 if spec.spread_zones {
-                    if let Some(m) = self.inventory.machines.get(&name) {
+                    if let Some(m) = self.inventory.machine(&name) {
                         let c = per_zone.entry(m.record.zone.clone()).or_default();
                         *c += 1;
                         if *c >= half {
@@ -161,7 +161,7 @@
             .map(|zone| {
                 let could = self
                     .inventory
-                    .index
+                    .index()
                     .tasks_fitting_when_empty(&job.spec, wide, |k| {
                         k.permits(&job.spec) && zone.as_ref().is_none_or(|z| *z == k.zone)
                     });
@@ -209,14 +209,14 @@
         let n = job.bound.len() as u64;
         // When each machine will have been left by all that is on it now.
         let mut free_at: Vec<(Micros, u64)> = Vec::new();
-        for (k, g) in &self.inventory.index.pools {
+        for (k, g) in self.inventory.index().pools() {
             if !k.permits(&job.spec) || h.zone.as_ref().is_some_and(|z| *z != k.zone) {
                 continue;
             }
             let each = job.spec.tasks_fitting_in(g.capacity);
             for m in g
                 .available_machines()
-                .filter_map(|n| self.inventory.machines.get(n))
+                .filter_map(|n| self.inventory.machine(n))
             {
                 let ends = m
                     .tasks
--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -1,329 +1,547 @@
-//! Workers' reports, and the commands that answer them.
+//! Workers' heartbeats, and the commands that answer them.
+//!
+//! A heartbeat that is accepted lists all tasks on the machine: tasks that ended or are missing
+//! change their state, tasks that are not to run are stopped. The answer then starts the tasks
+//! that are assigned to the machine.
 
-use super::*;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+use salttiller_records::model::{JobId, JobKind};
+use salttiller_records::units::{Micros, SECOND};
+
+use super::failure_attribution;
+use super::job::Job;
+use super::machine::{Machine, MachineState};
+use super::reachability::AnswerEvidence;
+use super::{only_fitting_type, HeartbeatOutcome, Region, SchedulingContext, TaskState};
+use crate::fault_injection::{is_disabled, Safeguard};
+use crate::worker_protocol::{
+    Command, ExitReason, Heartbeat, ReportedState, ReportedTask, MAX_COMMANDS,
+};
+
+/// Back-off of a job whose task the worker did not know.
+const UNKNOWN_TASK_BACKOFF: Micros = 5 * SECOND;
+/// Back-off of a job whose task a worker rejected.
+const REJECTED_BACKOFF: Micros = SECOND;
+
+/// What follows from a task that a heartbeat lists.
+enum TaskOutcome {
+    /// It runs on the machine as it should.
+    Kept,
+    /// The worker is sent this command.
+    Reply(Command),
+    /// It is done: the worker keeps the result until that is recorded.
+    AwaitsRecord,
+}
+
+/// Where a reported task's attempt stands with the region.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Attempt {
+    /// It was dispatched to the machine by this owner, or adopted.
+    Current,
+    /// Any other.
+    Other,
+}
 
 impl Region {
-    /// Takes a report and says what to answer. The caller has checked our
-    /// authority and checks it again when the answer is written.
+    /// Applies a heartbeat and returns what to answer. The caller has checked that the region
+    /// is owned and checks it again when the answer is written.
     pub fn on_heartbeat(
         &mut self,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         context: &SchedulingContext<'_>,
     ) -> HeartbeatOutcome {
-        let Some((name, m)) = self.inventory.machines.get_key_value(&*r.machine) else {
+        let Some(name) = self.inventory.shared_name(&heartbeat.machine) else {
             return HeartbeatOutcome::UnknownMachine;
         };
-        let name = name.clone();
-        // Guards against reports that were held back, and copies: they are as
-        // old as their number says, and what they list may long be untrue.
-        let believe = is_disabled(Safeguard::ReportOrder);
-        if r.id <= m.last_heartbeat && !believe {
-            return HeartbeatOutcome::Stale;
+        if let Some(refusal) = self.refusal(&name, heartbeat) {
+            return refusal;
         }
-        // Guards against one that comes in after we have found the machine's lease
-        // over: had it been sent since, its session would be a later one.
-        if m.state == MachineState::LeaseExpired
-            && r.id.incarnation <= m.last_heartbeat.incarnation
-            && !believe
-        {
-            return HeartbeatOutcome::Stale;
+        if heartbeat.token < self.token {
+            return self.acknowledge_outdated_token(&name, context);
         }
-        // A report that a machine sent before the cloud took it back.
-        if m.is_gone {
-            return HeartbeatOutcome::UnknownMachine;
+        let starts_sent = self
+            .inventory
+            .tasks(&name)
+            .any(|(_, assignment)| assignment.state == TaskState::Dispatched);
+        let answers_lost = self.record_heartbeat(&name, heartbeat, context);
+        let mut listed = BTreeSet::new();
+        let mut replies = Vec::new();
+        for task in &heartbeat.tasks {
+            match self.on_reported_task(&name, task, context) {
+                TaskOutcome::Kept => {
+                    listed.insert((task.job.clone(), task.task));
+                }
+                TaskOutcome::Reply(command) => replies.push(command),
+                TaskOutcome::AwaitsRecord => {}
+            }
         }
-        if r.token > self.token {
-            return HeartbeatOutcome::Superseded;
+        let start_ignored = self.return_missing_tasks(&name, &listed, context);
+        let starts_carried_out = starts_sent.then_some(!start_ignored);
+        let evidence = AnswerEvidence::new(answers_lost, starts_carried_out);
+        self.update_reachability(&name, evidence, context);
+        if !self.reconciliation.is_complete() {
+            self.try_finish_recovery(context);
         }
-        if r.token < self.token {
-            return self.acknowledge_outdated_token(&name, context);
+        self.place_pending(context);
+        self.reassign_to_reporting(&name, context);
+        HeartbeatOutcome::Accepted(self.append_commands(&name, replies, context))
+    }
+
+    /// Why a heartbeat is not to be applied, if so.
+    fn refusal(&self, name: &str, heartbeat: &Heartbeat) -> Option<HeartbeatOutcome> {
+        let machine = self.inventory.machine(name)?;
+        let is_order_checked = !is_disabled(Safeguard::ReportOrder);
+        // Guards against heartbeats that were held back, and copies: they are as old as their
+        // sequence number says, and what they list may long be untrue.
+        if heartbeat.id <= machine.last_heartbeat && is_order_checked {
+            return Some(HeartbeatOutcome::Stale);
+        }
+        // Guards against one that comes in after the machine's lease was found to be expired:
+        // had it been sent since, its session would be a later one.
+        if machine.state == MachineState::LeaseExpired
+            && heartbeat.id.incarnation <= machine.last_heartbeat.incarnation
+            && is_order_checked
+        {
+            return Some(HeartbeatOutcome::Stale);
+        }
+        // The machine sent it before the cloud took the machine back.
+        if machine.is_gone {
+            return Some(HeartbeatOutcome::UnknownMachine);
         }
-        let first = m.state != MachineState::Ready;
-        let booted = m.last_heartbeat == HeartbeatId::NONE
-            && m.assigned_at > self.reconciliation.acquired_at;
-        let sent = m.tasks.values().any(|h| h.state == TaskState::Dispatched);
-        let rose = self.record_heartbeat(&name, r, context);
-        if first {
-            log::info!("region: {name}: live in {}", self.name);
-            if booted {
-                self.note_provisioned(&name, context.now);
+        (heartbeat.token > self.token).then_some(HeartbeatOutcome::Superseded)
+    }
+
+    /// Records a newer heartbeat under the current token. Returns whether it shows that the
+    /// answers before it did not arrive.
+    fn record_heartbeat(
+        &mut self,
+        name: &Rc<str>,
+        heartbeat: &Heartbeat,
+        context: &SchedulingContext<'_>,
+    ) -> bool {
+        let (settings, now) = (context.settings, context.now);
+        let acquired_at = self.reconciliation.acquired_at();
+        let machine = self.inventory.machine(name);
+        let becomes_ready = machine.is_some_and(|machine| machine.state != MachineState::Ready);
+        let was_booting = machine.is_some_and(|machine| machine.is_booting_for(acquired_at));
+        self.request_activation(name);
+        let answers_lost = self
+            .inventory
+            .record_heartbeat(name, heartbeat, settings, now);
+        if becomes_ready {
+            log::info!("region={} machine={name}: ready", self.name);
+            if was_booting {
+                self.inventory.machine_booted(name, now);
             }
-            self.reconciliation.unreconciled.remove(&name);
+            self.reconciliation.machine_reconciled(name);
             self.triggers.machines.insert(name.clone());
         }
-        let mut commands = Vec::new();
-        let mut listed: BTreeSet<(JobId, u32)> = BTreeSet::new();
-        for t in &r.tasks {
-            self.on_reported(&name, t, context, &mut listed, &mut commands);
-        }
-        let missing: Vec<(JobId, u32, TaskState)> = self.inventory.machines[&name]
-            .tasks
-            .iter()
-            .filter(|(k, h)| h.state != TaskState::Assigned && !listed.contains(*k))
-            .map(|(k, h)| (k.0.clone(), k.1, h.state))
+        answers_lost
+    }
+
+    /// Tasks that should be on the machine but were not listed are pending again. Returns
+    /// whether one of them was dispatched in the last answer.
+    fn return_missing_tasks(
+        &mut self,
+        name: &str,
+        listed: &BTreeSet<(JobId, u32)>,
+        context: &SchedulingContext<'_>,
+    ) -> bool {
+        let missing: Vec<((JobId, u32), TaskState)> = self
+            .inventory
+            .tasks(name)
+            .filter(|(_, assignment)| assignment.state != TaskState::Assigned)
+            .filter(|(task, _)| !listed.contains(*task))
+            .map(|(task, assignment)| (task.clone(), assignment.state))
             .collect();
-        let unheeded = missing.iter().any(|(_, _, p)| *p == TaskState::Dispatched);
-        let heeded = sent.then_some(!unheeded);
-        for (id, n, _) in missing {
-            self.return_to_pending(&id, n, "not on its machine", context);
-        }
-        self.update_reachability(&name, rose, heeded, context);
-        self.reindex(&name);
-        if !self.reconciliation.is_complete {
-            self.try_finish_recovery(context);
+        let start_ignored = missing
+            .iter()
+            .any(|(_, state)| *state == TaskState::Dispatched);
+        for ((id, task), _) in missing {
+            self.return_to_pending(&id, task, "not on its machine", context);
         }
-        self.place_pending(context);
-        self.reassign_to_reporting(&name, context);
-        self.append_commands(&name, context, &mut commands);
-        HeartbeatOutcome::Accepted(commands)
+        start_ignored
     }
 
-    pub(super) fn on_reported(
+    /// A heartbeat lists a task.
+    fn on_reported_task(
         &mut self,
         machine: &Rc<str>,
-        t: &crate::worker_protocol::ReportedTask,
+        task: &ReportedTask,
         context: &SchedulingContext<'_>,
-        listed: &mut BTreeSet<(JobId, u32)>,
-        commands: &mut Vec<Command>,
-    ) {
-        let rec = context.replica.jobs.get(&*t.job).map(|r| &r.value);
-        let held = self.inventory.machines[machine]
-            .tasks
-            .get(&(t.job.clone(), t.task))
-            .map(|h| (h.attempt, h.state));
-        if let ReportedState::Ended(end) = t.stage {
-            let ours = held.is_some_and(|(a, p)| a == t.attempt && p != TaskState::Assigned);
-            if ours || end == ExitReason::Done {
-                self.on_ended(machine, t, end, ours, context);
-            }
-            let open = !context.is_job_over(&t.job);
-            let recorded = self
-                .jobs
-                .get(&t.job)
-                .is_none_or(|j| j.done.contains(t.task) && !j.unrecorded_done.contains(t.task));
-            // A result is forgotten only once it is on record.
-            if end != ExitReason::Done || !open || recorded {
-                commands.push(Command::reap(t.job.clone(), t.task, t.attempt));
-            }
-            return;
+    ) -> TaskOutcome {
+        match task.stage {
+            ReportedState::Ended(reason) => self.on_reported_end(machine, task, reason, context),
+            _ => self.on_reported_running(machine, task, context),
         }
-        let key = (t.job.clone(), t.task);
-        match held {
-            Some((a, p)) if a == t.attempt => {
-                if p != TaskState::Reported(t.stage) {
-                    if let Some(m) = self.inventory.machines.get_mut(machine) {
-                        if let Some(h) = m.tasks.get_mut(&key) {
-                            h.state = TaskState::Reported(t.stage);
-                            if t.stage == ReportedState::Running {
-                                h.running_since.get_or_insert(context.now);
-                            }
-                        }
-                    }
-                }
-                listed.insert(key);
+    }
+
+    /// A listed task has ended. The worker forgets it once a result is recorded.
+    fn on_reported_end(
+        &mut self,
+        machine: &str,
+        task: &ReportedTask,
+        reason: ExitReason,
+        context: &SchedulingContext<'_>,
+    ) -> TaskOutcome {
+        let assignment = self.inventory.assignment_mut(machine, &task.job, task.task);
+        let attempt = match assignment {
+            Some(assignment)
+                if assignment.attempt == task.attempt
+                    && assignment.state != TaskState::Assigned =>
+            {
+                Attempt::Current
             }
-            _ => {
-                if self.adopt(machine, t, rec, context) {
-                    listed.insert(key);
-                } else {
-                    commands.push(Command::stop(t.job.clone(), t.task, t.attempt, 0));
+            _ => Attempt::Other,
+        };
+        if attempt == Attempt::Current || reason == ExitReason::Done {
+            self.on_ended(machine, task, reason, attempt, context);
+        }
+        let is_recorded = self.jobs.get(&task.job).is_none_or(|job| {
+            job.done.contains(task.task) && !job.unrecorded_done.contains(task.task)
+        });
+        if reason != ExitReason::Done || context.is_job_over(&task.job) || is_recorded {
+            TaskOutcome::Reply(Command::reap(task.job.clone(), task.task, task.attempt))
+        } else {
+            TaskOutcome::AwaitsRecord
+        }
+    }
+
+    /// A listed task has not ended: it is kept if it is the assigned attempt, or one that a
+    /// former owner started, else stopped.
+    fn on_reported_running(
+        &mut self,
+        machine: &str,
+        task: &ReportedTask,
+        context: &SchedulingContext<'_>,
+    ) -> TaskOutcome {
+        let assignment = self.inventory.assignment_mut(machine, &task.job, task.task);
+        if let Some(assignment) = assignment.filter(|current| current.attempt == task.attempt) {
+            let state = TaskState::Reported(task.stage);
+            if assignment.state != state {
+                assignment.state = state;
+                if task.stage == ReportedState::Running {
+                    assignment.running_since.get_or_insert(context.now);
                 }
             }
+            return TaskOutcome::Kept;
+        }
+        if self.adopt(machine, task, context) {
+            TaskOutcome::Kept
+        } else {
+            TaskOutcome::Reply(Command::stop(task.job.clone(), task.task, task.attempt, 0))
         }
     }
 
-    /// A task on a machine that we didn't start: a former owner did. Whether it
-    /// may stay.
-    pub(super) fn adopt(
+    /// A task on a machine that this owner did not start: a former owner did. Returns whether
+    /// it may stay.
+    fn adopt(
         &mut self,
         machine: &str,
-        t: &crate::worker_protocol::ReportedTask,
-        rec: Option<&JobRecord>,
+        task: &ReportedTask,
         context: &SchedulingContext<'_>,
     ) -> bool {
-        let over = context.is_job_over(&t.job);
-        if let (true, Some(spec)) = (over, rec.and_then(|r| r.spec.as_ref())) {
-            // Cancelled, but still there: counts against the limit until gone.
-            let narrow_to = only_fitting_type(spec, context.replica);
-            self.jobs.entry(t.job.clone()).or_insert_with(|| Job {
-                is_over: true,
-                ..Job::new(spec, narrow_to, context.now)
-            });
-        }
-        let Some(job) = self.jobs.get(&t.job) else {
-            log::info!("region: {}/{}: on {machine}, but not ours", t.job, t.task);
+        self.track_ended_job(&task.job, context);
+        if let Some(obstacle) = self.adoption_obstacle(machine, task, context) {
+            let (region, id, number) = (&self.name, &task.job, task.task);
+            log::info!("region={region} machine={machine} job={id} task={number}: {obstacle}");
             return false;
-        };
-        if job
-            .on_machines
-            .get(&t.task)
-            .is_some_and(|m| **m != *machine)
-        {
-            log::error!(
-                "region: {}/{}: on {machine} and on {} at once",
-                t.job,
-                t.task,
-                job.on_machines[&t.task]
-            );
-            return false;
-        }
-        if !over && !job.unreconciled.contains(t.task) && !job.on_machines.contains_key(&t.task) {
-            log::info!("region: {}/{}: on {machine}, not expected", t.job, t.task);
-            if !job.pending.contains(t.task) {
-                return false;
-            }
         }
-        log::debug!("region: {}/{}: found on {machine}", t.job, t.task);
+        log::debug!(
+            "region={} machine={machine} job={} task={}: adopted, attempt {}",
+            self.name,
+            task.job,
+            task.task,
+            task.attempt
+        );
         self.transition(
-            &t.job,
-            t.task,
-            TaskState::Reported(t.stage),
-            Some((machine, t.attempt)),
+            &task.job,
+            task.task,
+            TaskState::Reported(task.stage),
+            Some((machine, task.attempt)),
             context.now,
         );
         true
     }
 
-    pub(super) fn on_ended(
+    /// A task of a cancelled job that still runs counts against its team's quota until it is
+    /// gone.
+    fn track_ended_job(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+        if !context.is_job_over(id) {
+            return;
+        }
+        let record = context.replica.jobs.get(&**id);
+        let Some(spec) = record.and_then(|record| record.value.spec.as_ref()) else {
+            return;
+        };
+        let only_type = only_fitting_type(spec, context.replica);
+        self.jobs.entry(id.clone()).or_insert_with(|| Job {
+            is_over: true,
+            ..Job::new(spec, only_type, context.now)
+        });
+    }
+
+    /// Why a task that this owner did not start may not stay on a machine, if so.
+    fn adoption_obstacle(
+        &self,
+        machine: &str,
+        task: &ReportedTask,
+        context: &SchedulingContext<'_>,
+    ) -> Option<&'static str> {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return Some("its job is not bound here");
+        };
+        let assigned_to = job.on_machines.get(&task.task);
+        if let Some(other) = assigned_to.filter(|other| ***other != *machine) {
+            log::error!(
+                "region={} machine={machine} job={} task={}: also on machine {other}",
+                self.name,
+                task.job,
+                task.task
+            );
+            return Some("on two machines at once, stopped here");
+        }
+        let is_expected = context.is_job_over(&task.job)
+            || job.unreconciled.contains(task.task)
+            || assigned_to.is_some();
+        if is_expected {
+            return None;
+        }
+        if job.pending.contains(task.task) {
+            log::info!(
+                "region={} machine={machine} job={} task={}: unexpected, but pending: kept",
+                self.name,
+                task.job,
+                task.task
+            );
+            None
+        } else {
+            Some("unexpected, stopped")
+        }
+    }
+
+    /// A task ended that is the current attempt, or is done.
+    fn on_ended(
         &mut self,
         machine: &str,
-        t: &crate::worker_protocol::ReportedTask,
-        end: ExitReason,
-        ours: bool,
+        task: &ReportedTask,
+        reason: ExitReason,
+        attempt: Attempt,
         context: &SchedulingContext<'_>,
     ) {
-        let Some(job) = self.jobs.get_mut(&t.job) else {
+        let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let service = job.spec.kind == JobKind::Service;
-        if end == ExitReason::Done && !service {
-            if job.is_over || job.done.contains(t.task) || !job.bound.contains(t.task) {
-                if ours {
-                    self.transition(&t.job, t.task, TaskState::Done, None, context.now);
-                    self.after_tasks_left(&t.job);
-                }
-                return;
-            }
-            // Only what is on no other machine can be settled here; a result
-            // is final wherever it was found.
-            let tasks: Vec<u32> = if job.spec.kind == JobKind::Gang {
-                job.bound.numbers().collect()
-            } else {
-                vec![t.task]
-            };
-            job.failures.succeeded();
-            let gang = job.spec.kind == JobKind::Gang;
-            for n in tasks {
-                // Done, yet held on another machine: it counts there until that
-                // machine is rid of it. Guards against a gang of which one
-                // member hangs at the end: its place is not free yet.
-                let at = self
-                    .jobs
-                    .get(&t.job)
-                    .and_then(|j| j.on_machines.get(&n).filter(|m| ***m != *machine).cloned());
-                let held = at
-                    .as_ref()
-                    .and_then(|at| self.inventory.machines.get_mut(at))
-                    .and_then(|m| m.tasks.get_mut(&(t.job.clone(), n)))
-                    .filter(|h| h.state != TaskState::Assigned);
-                if let Some(h) = held {
-                    if !gang {
-                        log::error!(
-                            "region: {}/{n}: done on {machine}, but out elsewhere",
-                            t.job
-                        );
-                        h.stop_grace = Some(0);
-                    }
-                    if let Some(j) = self.jobs.get_mut(&t.job) {
-                        j.done.insert(n);
-                        j.unrecorded_done.insert(n);
-                        self.unrecorded_jobs.insert(t.job.clone());
-                    }
-                    continue;
-                }
-                self.transition(&t.job, n, TaskState::Done, None, context.now);
-            }
-            if let Some(m) = self.inventory.machines.get_mut(machine) {
-                m.failures.succeeded();
+        if reason == ExitReason::Done && job.spec.kind != JobKind::Service {
+            self.on_done(machine, task, attempt, context);
+        } else if attempt == Attempt::Current {
+            self.on_ended_without_result(machine, task, reason, context);
+        }
+    }
+
+    /// A task is done. A result is final wherever it was found.
+    fn on_done(
+        &mut self,
+        machine: &str,
+        task: &ReportedTask,
+        attempt: Attempt,
+        context: &SchedulingContext<'_>,
+    ) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        if job.is_over || job.done.contains(task.task) || !job.bound.contains(task.task) {
+            if attempt == Attempt::Current {
+                self.transition(&task.job, task.task, TaskState::Done, None, context.now);
+                self.after_tasks_left(&task.job);
             }
-            self.after_tasks_left(&t.job);
-            self.record_progress(&t.job, context);
             return;
         }
-        if !ours {
-            return;
+        job.failures.succeeded();
+        // A gang's tasks complete together.
+        let done: Vec<u32> = if job.spec.kind == JobKind::Gang {
+            job.bound.numbers().collect()
+        } else {
+            vec![task.task]
+        };
+        for number in done {
+            if !self.mark_done_elsewhere(machine, &task.job, number) {
+                self.transition(&task.job, number, TaskState::Done, None, context.now);
+            }
+        }
+        if let Some(failures) = self.inventory.failures_mut(machine) {
+            failures.succeeded();
+        }
+        self.after_tasks_left(&task.job);
+        self.record_progress(&task.job, context);
+    }
+
+    /// Marks a task as done that is still on a machine other than `machine`: it counts there
+    /// until that machine no longer lists it. Guards against a gang of which one member hangs
+    /// at the end: its capacity is not free yet. Returns whether there is such a machine.
+    fn mark_done_elsewhere(&mut self, machine: &str, id: &JobId, task: u32) -> bool {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return false;
+        };
+        let other = job.on_machines.get(&task);
+        let Some(other) = other.filter(|other| ***other != *machine) else {
+            return false;
+        };
+        let assignment = self.inventory.assignment_mut(other, id, task);
+        let dispatched = assignment.filter(|current| current.state != TaskState::Assigned);
+        let Some(assignment) = dispatched else {
+            return false;
+        };
+        if job.spec.kind != JobKind::Gang {
+            log::error!(
+                "region={} machine={machine} job={id} task={task}: done, but also on machine \
+                 {other}",
+                self.name
+            );
+            assignment.stop_grace = Some(0);
         }
-        log::debug!("region: {}/{}: ended on {machine}: {end:?}", t.job, t.task);
-        let wait = match end {
-            ExitReason::Failed => self.on_failed(machine, &t.job, context),
-            ExitReason::UnknownTask => 5 * SECOND,
+        job.done.insert(task);
+        job.unrecorded_done.insert(task);
+        self.unrecorded_jobs.insert(id.clone());
+        true
+    }
+
+    /// The current attempt of a task ended and is to be repeated.
+    fn on_ended_without_result(
+        &mut self,
+        machine: &str,
+        task: &ReportedTask,
+        reason: ExitReason,
+        context: &SchedulingContext<'_>,
+    ) {
+        log::debug!(
+            "region={} machine={machine} job={} task={}: ended: {reason:?}",
+            self.name,
+            task.job,
+            task.task
+        );
+        let backoff = match reason {
+            ExitReason::Failed => self.on_failed(machine, &task.job, context),
+            ExitReason::UnknownTask => UNKNOWN_TASK_BACKOFF,
             ExitReason::NoCapacity => {
-                log::info!("region: {machine}: refused {}/{}: full", t.job, t.task);
-                SECOND
+                log::info!(
+                    "region={} machine={machine} job={} task={}: rejected, no capacity",
+                    self.name,
+                    task.job,
+                    task.task
+                );
+                REJECTED_BACKOFF
             }
-            ExitReason::AttemptConflict => SECOND,
+            ExitReason::AttemptConflict => REJECTED_BACKOFF,
             _ => 0,
         };
-        let Some(job) = self.jobs.get_mut(&t.job) else {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if wait > 0 {
-            job.not_before = job.not_before.max(context.now + wait);
-            self.queue.wakeups.insert((job.not_before, t.job.clone()));
+        if backoff > 0 {
+            job.not_before = job.not_before.max(context.now + backoff);
+            let wakeup = (job.not_before, task.job.clone());
+            self.queue.wakeups.insert(wakeup);
         }
-        let suspect = job.failures.is_suspect();
-        self.return_to_pending(&t.job, t.task, "ended", context);
-        if suspect {
-            self.withdraw_undispatched(&t.job, context);
+        let is_suspect = job.failures.is_suspect();
+        self.return_to_pending(&task.job, task.task, "ended", context);
+        if is_suspect {
+            self.withdraw_undispatched(&task.job, context);
             let again = context.now + failure_attribution::TRY_AGAIN_AFTER + SECOND;
-            self.queue.wakeups.insert((again, t.job.clone()));
+            self.queue.wakeups.insert((again, task.job.clone()));
         }
     }
 
-    /// Adds stops and starts for a machine that was just heard from.
-    pub(super) fn append_commands(
+    /// Completes the answer to a machine's heartbeat: replies about listed tasks, then stops,
+    /// then starts, `MAX_COMMANDS` at the most.
+    fn append_commands(
         &mut self,
-        machine: &str,
+        name: &str,
+        replies: Vec<Command>,
         context: &SchedulingContext<'_>,
-        commands: &mut Vec<Command>,
-    ) {
-        let mut withdrawn = Vec::new();
-        let Some(m) = self.inventory.machines.get_mut(machine) else {
-            return;
+    ) -> Vec<Command> {
+        let mut commands = replies;
+        let Some(machine) = self.inventory.machine(name) else {
+            return commands;
         };
         commands.truncate(MAX_COMMANDS);
-        for ((id, n), h) in m.tasks.iter_mut() {
-            if commands.len() >= MAX_COMMANDS {
+        let stops = Stops::of(machine, MAX_COMMANDS - commands.len());
+        commands.extend(stops.commands);
+        // Guards against starts of jobs whose cancellation was confirmed while the state
+        // service rejects this controller: what is known of jobs is some seconds old.
+        if context.may_start {
+            let starts = self.dispatch_assigned(name, MAX_COMMANDS - commands.len(), context);
+            commands.extend(starts);
+        }
+        for (id, task) in stops.withdrawn {
+            self.transition(&id, task, TaskState::Pending, None, context.now);
+            self.update_queue_position(&id, context);
+        }
+        commands
+    }
+
+    /// Dispatches tasks that are assigned to a machine, `limit` at the most.
+    fn dispatch_assigned(
+        &mut self,
+        machine: &str,
+        limit: usize,
+        context: &SchedulingContext<'_>,
+    ) -> Vec<Command> {
+        let assigned = self
+            .inventory
+            .assignments_mut(machine)
+            .filter(|(_, assignment)| {
+                assignment.state == TaskState::Assigned
+                    && assignment.stop_grace.is_none()
+                    && !assignment.awaits_start_barrier
+            });
+        let mut starts = Vec::new();
+        for ((id, task), assignment) in assigned.take(limit) {
+            self.undispatched
+                .remove(&(assignment.since, id.clone(), *task));
+            assignment.state = TaskState::Dispatched;
+            assignment.since = context.now;
+            log::debug!(
+                "region={} machine={machine} job={id} task={task}: start, attempt {}",
+                self.name,
+                assignment.attempt
+            );
+            starts.push(Command::start(id.clone(), *task, assignment.attempt));
+        }
+        starts
+    }
+}
+
+/// Tasks of a machine that are to be stopped.
+#[derive(Default)]
+struct Stops {
+    commands: Vec<Command>,
+    /// Tasks that were not dispatched yet: they are pending again instead.
+    withdrawn: Vec<(JobId, u32)>,
+}
+
+impl Stops {
+    /// The stops of a machine, `limit` commands at the most.
+    fn of(machine: &Machine, limit: usize) -> Self {
+        let mut stops = Stops::default();
+        for ((id, task), assignment) in &machine.tasks {
+            if stops.commands.len() >= limit {
                 break;
             }
-            match (h.state, h.stop_grace) {
-                (TaskState::Assigned, Some(_)) => withdrawn.push((id.clone(), *n)),
-                (TaskState::Reported(_) | TaskState::Dispatched, Some(grace)) => {
-                    commands.push(Command::stop(id.clone(), *n, h.attempt, grace));
+            let Some(grace) = assignment.stop_grace else {
+                continue;
+            };
+            match assignment.state {
+                TaskState::Assigned => stops.withdrawn.push((id.clone(), *task)),
+                TaskState::Reported(_) | TaskState::Dispatched => {
+                    let stop = Command::stop(id.clone(), *task, assignment.attempt, grace);
+                    stops.commands.push(stop);
                 }
                 _ => {}
             }
         }
-        for ((id, n), h) in m.tasks.iter_mut() {
-            // Guards against starts of jobs whose cancellation was confirmed while
-            // the state service refuses us: what we know is some seconds old.
-            if commands.len() >= MAX_COMMANDS || !context.may_start {
-                break;
-            }
-            if h.state == TaskState::Assigned && h.stop_grace.is_none() && !h.awaits_start_barrier {
-                self.undispatched.remove(&(h.since, id.clone(), *n));
-                h.state = TaskState::Dispatched;
-                h.since = context.now;
-                log::debug!(
-                    "region: {id}/{n}: start on {machine}, attempt {}",
-                    h.attempt
-                );
-                commands.push(Command::start(id.clone(), *n, h.attempt));
-            }
-        }
-        for (id, n) in withdrawn {
-            self.transition(&id, n, TaskState::Pending, None, context.now);
-            self.update_queue_position(&id, context);
-        }
+        stops
     }
 }
--- /dev/null
+++ b/src/region/interruption.rs
@@ -0,0 +1,89 @@
+//! Stops with time for a checkpoint: before a spot interruption, and for preemption.
+
+use std::collections::BTreeSet;
+
+use salttiller_records::model::{JobId, JobKind, JobSpec};
+use salttiller_records::units::{Micros, SECOND};
+
+use super::machine::Machine;
+use super::{Region, SchedulingContext};
+
+/// Time that a stop takes beyond the checkpoint itself.
+const CHECKPOINT_MARGIN: Micros = SECOND;
+
+/// Whether tasks of the job can write a checkpoint.
+fn can_checkpoint(spec: &JobSpec) -> bool {
+    spec.checkpoint_interval > 0
+}
+
+impl Region {
+    /// Stops tasks that can write a checkpoint in good time on machines that the cloud is
+    /// about to take; others run on as long as they can.
+    pub(super) fn checkpoint_before_interruption(&mut self, context: &SchedulingContext<'_>) {
+        for id in self.jobs_to_checkpoint(context) {
+            self.stop_with_checkpoint(&id, "spot interruption of its machine", |_, machine| {
+                machine.interruption_at.is_some()
+            });
+        }
+    }
+
+    fn jobs_to_checkpoint(&self, context: &SchedulingContext<'_>) -> BTreeSet<JobId> {
+        let mut due = BTreeSet::new();
+        for machine in self.inventory.interrupted() {
+            let Some(interruption_at) = machine.interruption_at else {
+                continue;
+            };
+            for (id, _) in machine.tasks.keys() {
+                let Some(job) = self.jobs.get(id) else {
+                    continue;
+                };
+                // The stop is sent in the answer to the machine's next heartbeat, and to the
+                // other tasks of a gang with theirs.
+                let needed =
+                    job.spec.checkpoint_time + 2 * context.settings.report + CHECKPOINT_MARGIN;
+                if can_checkpoint(&job.spec)
+                    && !job.is_over
+                    && interruption_at < context.now + needed
+                {
+                    due.insert(id.clone());
+                }
+            }
+        }
+        due
+    }
+
+    /// Stops a job's tasks with enough time for a checkpoint: all of a gang's, since a gang
+    /// can only checkpoint as a whole, of others those on machines that `on` selects.
+    pub(super) fn stop_with_checkpoint(
+        &mut self,
+        id: &JobId,
+        reason: &str,
+        on: impl Fn(&str, &Machine) -> bool,
+    ) {
+        let Some(job) = self.jobs.get(id) else {
+            return;
+        };
+        let is_gang = job.spec.kind == JobKind::Gang;
+        let grace = if can_checkpoint(&job.spec) {
+            job.spec.checkpoint_time + CHECKPOINT_MARGIN
+        } else {
+            0
+        };
+        for (task, name) in &job.on_machines {
+            let machine = self.inventory.machine(name);
+            if !machine.is_some_and(|machine| is_gang || on(name, machine)) {
+                continue;
+            }
+            let Some(assignment) = self.inventory.assignment_mut(name, id, *task) else {
+                continue;
+            };
+            if assignment.stop_grace.is_none() {
+                log::info!(
+                    "region={} machine={name} job={id} task={task}: to be stopped: {reason}",
+                    self.name
+                );
+                assignment.stop_grace = Some(grace);
+            }
+        }
+    }
+}
--- a/src/region/job_lifecycle.rs
+++ b/src/region/job_lifecycle.rs
@@ -33,11 +33,7 @@
             }
             return;
         }
-        if self
-            .inventory
-            .constrained_types
-            .note(spec, context.replica, context.now)
-        {
+        if self.inventory.note_job(spec, context.replica, context.now) {
             self.update_reserved_capacity(context);
         }
         if key.is_none() && mine.is_empty() {
@@ -200,25 +196,4 @@
         self.update_queue_position(id, context);
         self.after_tasks_left(id);
     }
-
-    /// Nothing is on this machine any more.
-    pub(super) fn machine_is_empty(&mut self, name: &str, context: &SchedulingContext<'_>) {
-        let Some(m) = self.inventory.machines.get_mut(name) else {
-            return;
-        };
-        m.state = MachineState::LeaseExpired;
-        m.unconfirmed_answers = 0;
-        let held: Vec<(JobId, u32)> = m.tasks.keys().cloned().collect();
-        if !held.is_empty() {
-            log::info!(
-                "region: {name}: empty for sure, {} tasks start again",
-                held.len()
-            );
-        }
-        for (id, n) in held {
-            self.return_to_pending(&id, n, "machine gone", context);
-        }
-        self.reconciliation.unreconciled.remove(name);
-        self.reindex(name);
-    }
 }
--- a/src/region/machine.rs
+++ b/src/region/machine.rs
@@ -1,60 +1,169 @@
-//! A machine of the region as its owner knows it.
+//! A machine of the region as the region's owner knows it.
+//!
+//! The records of machines are kept by [`MachineInventory`](super::machine_inventory), which
+//! alone changes them: all other modules of the region read the fields only, since the
+//! inventory's indexes must follow each change.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
-/// How a machine stands with us.
+use salttiller_records::model::{JobId, MachineType};
+use salttiller_records::record::MachineRecord;
+use salttiller_records::units::{Micros, SECOND};
+use salttiller_records::Resources;
+
+use super::failure_attribution::MachineFailures;
+use super::machine_index::IndexEntry;
+use super::machine_pool::MachinePool;
+use super::reachability::Reachability;
+use super::task::Assignment;
+use crate::settings::Settings;
+use crate::worker_protocol::{Heartbeat, HeartbeatId};
+
+/// The boot time that is assumed of a machine whose type is not known yet.
+const DEFAULT_BOOT_TIME: Micros = 60 * SECOND;
+
+/// What the heartbeats of a machine show of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Not heard from under our token.
+    /// No heartbeat under this ownership's fencing token yet.
     Provisioning,
-    /// Heard from under our token.
+    /// It has sent a heartbeat under this ownership's fencing token.
     Ready,
-    /// Silent for longer than its lease: nothing is on it.
+    /// No heartbeat for longer than its lease: it runs no task any more.
     LeaseExpired,
 }
 
+/// Why a machine gets no more tasks.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum CordonReason {
+    /// Not needed: drained, then released. The only reason that is taken back.
+    Surplus,
+    /// Idle for longer than its idle timeout.
+    Idle,
+    /// No heartbeat while most other machines send theirs, or past its lease.
+    Silent,
+    /// The cloud announced a spot interruption, and the heartbeats ended.
+    Interrupted,
+    /// No heartbeat within the provisioning timeout.
+    ProvisioningTimeout,
+    /// The cloud no longer has it.
+    Gone,
+    /// The region's answers did not reach it several times.
+    Unreachable,
+    /// Tasks keep failing on it.
+    Faulty,
+}
+
+impl fmt::Display for CordonReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            CordonReason::Surplus => "surplus",
+            CordonReason::Idle => "idle",
+            CordonReason::Silent => "no heartbeat",
+            CordonReason::Interrupted => "spot interruption",
+            CordonReason::ProvisioningTimeout => "provisioning timeout",
+            CordonReason::Gone => "gone from the cloud",
+            CordonReason::Unreachable => "unreachable",
+            CordonReason::Faulty => "faulty",
+        })
+    }
+}
+
+/// A machine with its record, its tasks and the state derived from its heartbeats. Times are
+/// those of the steady clock.
 #[derive(Debug)]
 pub(super) struct Machine {
     pub(super) record: MachineRecord,
     pub(super) pool: MachinePool,
+    /// What the machine type provides; zero while the type is unknown.
     pub(super) capacity: Resources,
+    /// What the assigned tasks take.
     pub(super) used: Resources,
-    /// Of these, by tasks that fit on other types too.
+    /// The part of `used` taken by flexible tasks, which fit on other machine types too.
     pub(super) used_by_flexible: Resources,
+    /// Where the machine index lists it.
     pub(super) index_entry: IndexEntry,
     pub(super) state: MachineState,
+    /// The newest heartbeat under this ownership's fencing token.
     pub(super) last_heartbeat: HeartbeatId,
-    /// Our last 200 to it, or the last time a former owner may have sent one.
+    /// When a heartbeat was last answered by this owner, or the last time at which a former
+    /// owner may have answered one. The machine's lease runs from here at the latest.
     pub(super) last_answered_at: Micros,
-    /// The last newer report under our token, or when we came to know of it.
+    /// When `last_heartbeat` came in; before the first, when the machine became known.
     pub(super) last_heartbeat_at: Micros,
-    /// Since when its reports come and are answered without a break.
+    /// Since when its heartbeats have come in and been answered without a gap.
     pub(super) answered_without_gap_since: Micros,
-    /// Answers to reports that didn't carry our token, since one did.
+    /// Answers to heartbeats with an outdated token since the last one with the current token.
     pub(super) unconfirmed_answers: u32,
     pub(super) reachability: Reachability,
+    /// When the machine was assigned to the region, or first seen by this owner.
     pub(super) assigned_at: Micros,
+    /// How long machines of its type usually take to boot.
     pub(super) boot_time: Micros,
+    /// When the cloud takes the machine away, once it has announced that.
     pub(super) interruption_at: Option<Micros>,
+    /// Tasks on the machine or assigned to it, by job and number.
     pub(super) tasks: BTreeMap<(JobId, u32), Assignment>,
     pub(super) idle_since: Micros,
     pub(super) failures: MachineFailures,
+    /// Container images that it has or that assigned tasks bring to it.
     pub(super) images: BTreeSet<String>,
-    pub(super) cordoned: Option<&'static str>,
+    /// Why it gets no more tasks, if so.
+    pub(super) cordoned: Option<CordonReason>,
+    /// A request for its release is under way.
     pub(super) releasing: bool,
+    /// The cloud has confirmed that it no longer exists.
     pub(super) is_gone: bool,
-    /// Should have been up by now.
+    /// It should have booted by now.
     pub(super) is_overdue: bool,
-    /// When it is looked at next.
+    /// When it is checked next; `Micros::MAX` if no check is scheduled.
     pub(super) next_check_at: Micros,
 }
 
 impl Machine {
+    /// A machine that becomes known at `now`.
+    pub(super) fn new(
+        record: MachineRecord,
+        pool: MachinePool,
+        machine_type: Option<&MachineType>,
+        now: Micros,
+    ) -> Self {
+        Machine {
+            record,
+            pool,
+            capacity: machine_type.map_or(Resources::ZERO, MachineType::resources),
+            used: Resources::ZERO,
+            used_by_flexible: Resources::ZERO,
+            index_entry: IndexEntry::Unlisted,
+            state: MachineState::Provisioning,
+            last_heartbeat: HeartbeatId::NONE,
+            last_answered_at: now,
+            last_heartbeat_at: now,
+            answered_without_gap_since: 0,
+            unconfirmed_answers: 0,
+            reachability: Reachability::Reachable,
+            assigned_at: now,
+            boot_time: machine_type.map_or(DEFAULT_BOOT_TIME, |known| known.boot_time),
+            interruption_at: None,
+            tasks: BTreeMap::new(),
+            idle_since: now,
+            failures: MachineFailures::default(),
+            images: BTreeSet::new(),
+            cordoned: None,
+            releasing: false,
+            is_gone: false,
+            is_overdue: false,
+            next_check_at: Micros::MAX,
+        }
+    }
+
+    /// Capacity that no task takes.
     pub(super) fn free(&self) -> Resources {
         self.capacity.minus(self.used)
     }
 
-    /// Whether the level-two list may name it, now or once it is up.
+    /// Whether the machine index may list it, now or once it has booted.
     pub(super) fn is_usable(&self) -> bool {
         self.cordoned.is_none()
             && self.interruption_at.is_none()
@@ -62,13 +171,58 @@
             && self.capacity != Resources::ZERO
     }
 
-    /// Whether it holds work of the kind that it is there for: on a type that is kept
-    /// for some jobs, theirs.
-    pub(super) fn serves_its_purpose(&self, kept: bool) -> bool {
-        self.tasks.values().any(|h| h.constrained || !kept)
+    /// Whether it holds tasks of the kind that justify its cost: of a `reserved` pool those of
+    /// constrained jobs, of any other pool all.
+    pub(super) fn serves_its_purpose(&self, reserved: bool) -> bool {
+        self.tasks
+            .values()
+            .any(|assignment| assignment.constrained || !reserved)
     }
 
+    /// Whether tasks may be assigned to it, reachability aside.
     pub(super) fn accepts_tasks(&self) -> bool {
         self.state == MachineState::Ready && self.record.activated && self.is_usable()
     }
+
+    /// Whether the region's answers are known not to reach it.
+    pub(super) fn is_unreachable(&self) -> bool {
+        matches!(self.reachability, Reachability::Unreachable { .. })
+    }
+
+    /// Whether it has sent no heartbeat under this ownership's fencing token.
+    pub(super) fn has_never_reported(&self) -> bool {
+        self.last_heartbeat == HeartbeatId::NONE
+    }
+
+    /// Whether it was assigned to the region under this ownership and has not reported yet. No
+    /// former owner can have started tasks on it.
+    pub(super) fn is_booting_for(&self, acquired_at: Micros) -> bool {
+        self.has_never_reported() && self.assigned_at > acquired_at
+    }
+
+    /// Takes over a newer heartbeat under the current token. Returns whether the worker's
+    /// session restarted although its heartbeats had been answered without a gap, which shows
+    /// that the answers do not arrive.
+    pub(super) fn record_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        settings: &Settings,
+        now: Micros,
+    ) -> bool {
+        let restarted = self.last_heartbeat.incarnation != 0
+            && heartbeat.id.incarnation > self.last_heartbeat.incarnation;
+        if now > self.last_answered_at + 2 * settings.report + SECOND {
+            self.answered_without_gap_since = now;
+        }
+        // Answered without a gap for the better part of a lease: one answer alone may have
+        // been to a heartbeat that came late.
+        let answered = now > self.answered_without_gap_since + settings.lease * 3 / 4;
+        self.last_heartbeat = heartbeat.id;
+        self.last_heartbeat_at = now;
+        self.last_answered_at = now;
+        self.unconfirmed_answers = 0;
+        self.state = MachineState::Ready;
+        self.interruption_at = heartbeat.interruption_in.map(|left| now + left);
+        restarted && answered
+    }
 }
--- a/src/region/machine_index.rs
+++ b/src/region/machine_index.rs
@@ -1,6 +1,8 @@
-//! The level-two list: the region's machines by type, zone and kind, by free
-//! room and by tasks held. Kept up to date by each change, so that no event has
-//! to walk all machines.
+//! The index that placement searches: the region's machines by pool, free capacity and number
+//! of tasks.
+//!
+//! The machine inventory keeps it up to date with each change of a machine, so that no event
+//! has to walk all machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -10,286 +12,356 @@
 
 use super::machine_pool::MachinePool;
 
-/// Room in steps of a 32nd of the machine: machines in the same step stand
-/// together in the list.
+/// Steps into which each resource of a machine is divided.
+const STEPS: u8 = 32;
+/// How many machines of a step are compared: those with the fewest tasks.
+const CANDIDATES_PER_STEP: usize = 6;
+
+/// Free capacity in steps of the machine's capacity: processors, GPUs, memory. Machines of the
+/// same step are listed together.
 type Step = (u8, u8, u8);
 
-fn step(free: Resources, cap: Resources) -> Step {
-    let one = |f: u64, c: u64| (f * 32).checked_div(c).unwrap_or(32).min(32) as u8;
+/// The step of a machine with this free capacity.
+fn step_of(free: Resources, capacity: Resources) -> Step {
+    let steps = |free: u64, capacity: u64| {
+        let all = u64::from(STEPS);
+        (free * all).checked_div(capacity).unwrap_or(all).min(all) as u8
+    };
     (
-        one(free.cpus, cap.cpus),
-        one(free.gpus, cap.gpus),
-        one(free.memory, cap.memory),
+        steps(free.cpus, capacity.cpus),
+        steps(free.gpus, capacity.gpus),
+        steps(free.memory, capacity.memory),
     )
 }
 
-/// The least room that a machine in this step has.
-fn floor(s: Step, cap: Resources) -> Resources {
-    let one = |s: u8, c: u64| (c * s as u64).div_ceil(32);
+/// The least free capacity of a machine in this step.
+fn least_free(step: Step, capacity: Resources) -> Resources {
+    let least = |steps: u8, capacity: u64| (capacity * u64::from(steps)).div_ceil(u64::from(STEPS));
     Resources {
-        cpus: one(s.0, cap.cpus),
-        gpus: one(s.1, cap.gpus),
-        memory: one(s.2, cap.memory),
+        cpus: least(step.0, capacity.cpus),
+        gpus: least(step.1, capacity.gpus),
+        memory: least(step.2, capacity.memory),
     }
 }
 
-/// How a machine stands in the list.
+/// How the index lists a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum IndexEntry {
     /// Not at all.
     #[default]
     Unlisted,
-    /// Expected to come up.
+    /// Expected to boot.
     Provisioning,
-    /// Open to placing.
+    /// Tasks may be assigned to it.
     Available {
-        /// Free room.
+        /// Free capacity.
         free: Resources,
-        /// Free room for tasks that fit on other types too.
-        wide: Resources,
-        /// Tasks held.
-        held: u32,
+        /// The part of it open to flexible tasks, which fit on other machine types too.
+        free_for_flexible: Resources,
+        /// Number of tasks on it or assigned to it.
+        task_count: u32,
     },
 }
 
 impl IndexEntry {
-    /// Free room of an open machine, for tasks that fit on other types too if `wide`.
-    pub fn free_for(self, for_wide: bool) -> Option<Resources> {
+    /// Free capacity of an available machine for flexible or constrained tasks.
+    pub fn free_for(self, flexible: bool) -> Option<Resources> {
         match self {
-            IndexEntry::Available { wide, .. } if for_wide => Some(wide),
+            IndexEntry::Available {
+                free_for_flexible, ..
+            } if flexible => Some(free_for_flexible),
             IndexEntry::Available { free, .. } => Some(free),
             IndexEntry::Unlisted | IndexEntry::Provisioning => None,
         }
     }
 }
 
-type Steps = BTreeMap<Step, BTreeSet<(u32, Rc<str>)>>;
+/// Available machines by step, then by number of tasks.
+#[derive(Debug, Default)]
+struct MachinesByStep(BTreeMap<Step, BTreeSet<(u32, Rc<str>)>>);
+
+impl MachinesByStep {
+    fn insert(&mut self, step: Step, task_count: u32, name: &Rc<str>) {
+        let machines = self.0.entry(step).or_default();
+        machines.insert((task_count, name.clone()));
+    }
+
+    fn remove(&mut self, step: Step, task_count: u32, name: &Rc<str>) {
+        if let Some(machines) = self.0.get_mut(&step) {
+            machines.remove(&(task_count, name.clone()));
+            if machines.is_empty() {
+                self.0.remove(&step);
+            }
+        }
+    }
+}
 
-/// Machines of one type, zone and kind.
+/// The machines of one pool.
 #[derive(Debug, Default)]
 pub struct PoolIndex {
-    /// What each has in all.
+    /// What each machine provides.
     pub capacity: Resources,
-    /// Kept clear on each for tasks that fit nowhere else.
+    /// What is reserved on each machine for tasks that fit on no other type.
     pub reserved: Option<Resources>,
-    by_free_capacity: Steps,
-    by_flexible_capacity: Steps,
-    /// Expected to come up.
+    by_free_capacity: MachinesByStep,
+    by_flexible_capacity: MachinesByStep,
+    /// Machines that are expected to boot.
     pub provisioning: BTreeSet<Rc<str>>,
-    /// How many are open.
+    /// How many machines are available.
     pub available_count: u32,
 }
 
-fn put(steps: &mut Steps, s: Step, held: u32, name: &Rc<str>) {
-    steps.entry(s).or_default().insert((held, name.clone()));
-}
-
-fn take(steps: &mut Steps, s: Step, held: u32, name: &Rc<str>) {
-    if let Some(set) = steps.get_mut(&s) {
-        set.remove(&(held, name.clone()));
-        if set.is_empty() {
-            steps.remove(&s);
-        }
-    }
-}
-
 impl PoolIndex {
-    fn steps(&self, wide: bool) -> &Steps {
-        if wide && self.reserved.is_some() {
+    /// Machines by their free capacity for flexible or constrained tasks.
+    fn by_capacity_for(&self, flexible: bool) -> &MachinesByStep {
+        if flexible && self.reserved.is_some() {
             &self.by_flexible_capacity
         } else {
             &self.by_free_capacity
         }
     }
 
-    /// Machines by step, with the least room that each has.
+    /// For each step with available machines the least free capacity and their number.
     pub fn free_capacity_steps(&self) -> impl Iterator<Item = (Resources, u32)> + '_ {
-        self.by_free_capacity
-            .iter()
-            .map(|(s, set)| (floor(*s, self.capacity), set.len() as u32))
+        let steps = self.by_free_capacity.0.iter();
+        steps.map(|(step, machines)| (least_free(*step, self.capacity), machines.len() as u32))
     }
 
-    /// How many open machines hold no task.
+    /// How many available machines hold no task.
     pub fn idle_count(&self) -> usize {
-        let top = self
-            .by_free_capacity
-            .get(&step(self.capacity, self.capacity));
-        let set = top.into_iter().flatten();
-        set.take_while(|(held, _)| *held == 0).count()
+        let all_free = step_of(self.capacity, self.capacity);
+        let machines = self.by_free_capacity.0.get(&all_free).into_iter().flatten();
+        machines
+            .take_while(|(task_count, _)| *task_count == 0)
+            .count()
     }
 
-    /// All open machines, those with the fewest tasks of each step first.
+    /// All available machines, those with the fewest tasks of each step first.
     pub fn available_machines(&self) -> impl Iterator<Item = &Rc<str>> + '_ {
-        self.by_free_capacity.values().flatten().map(|(_, n)| n)
+        let machines = self.by_free_capacity.0.values().flatten();
+        machines.map(|(_, name)| name)
+    }
+
+    /// Machines that are available or expected to boot.
+    fn machine_count(&self) -> u64 {
+        u64::from(self.available_count) + self.provisioning.len() as u64
+    }
+
+    fn remove(&mut self, name: &Rc<str>, entry: IndexEntry) {
+        match entry {
+            IndexEntry::Unlisted => {}
+            IndexEntry::Provisioning => {
+                self.provisioning.remove(name);
+            }
+            IndexEntry::Available {
+                free,
+                free_for_flexible,
+                task_count,
+            } => {
+                self.available_count -= 1;
+                let (step, flexible_step) = self.steps_of(free, free_for_flexible);
+                self.by_free_capacity.remove(step, task_count, name);
+                self.by_flexible_capacity
+                    .remove(flexible_step, task_count, name);
+            }
+        }
+    }
+
+    fn insert(&mut self, name: &Rc<str>, entry: IndexEntry) {
+        match entry {
+            IndexEntry::Unlisted => {}
+            IndexEntry::Provisioning => {
+                self.provisioning.insert(name.clone());
+            }
+            IndexEntry::Available {
+                free,
+                free_for_flexible,
+                task_count,
+            } => {
+                self.available_count += 1;
+                let (step, flexible_step) = self.steps_of(free, free_for_flexible);
+                self.by_free_capacity.insert(step, task_count, name);
+                self.by_flexible_capacity
+                    .insert(flexible_step, task_count, name);
+            }
+        }
+    }
+
+    fn steps_of(&self, free: Resources, free_for_flexible: Resources) -> (Step, Step) {
+        (
+            step_of(free, self.capacity),
+            step_of(free_for_flexible, self.capacity),
+        )
     }
 }
 
-/// The list.
+/// The index of all pools.
 #[derive(Debug, Default)]
 pub struct MachineIndex {
-    /// By type, zone and kind.
-    pub pools: BTreeMap<MachinePool, PoolIndex>,
+    pools: BTreeMap<MachinePool, PoolIndex>,
 }
 
 impl MachineIndex {
-    /// All processors and cards of the machines that are up or coming up.
+    /// All pools that machines were ever listed in, in their order.
+    pub fn pools(&self) -> impl Iterator<Item = (&MachinePool, &PoolIndex)> + '_ {
+        self.pools.iter()
+    }
+
+    /// The machines of a pool.
+    pub fn pool(&self, key: &MachinePool) -> Option<&PoolIndex> {
+        self.pools.get(key)
+    }
+
+    /// The index's own copy of a pool's key, so that machines of a pool share its names.
+    pub fn shared_key(&self, key: MachinePool) -> MachinePool {
+        match self.pools.get_key_value(&key) {
+            Some((shared, _)) => shared.clone(),
+            None => key,
+        }
+    }
+
+    /// All processors and GPUs of machines that are available or expected to boot.
     pub fn total_quota(&self) -> QuotaAmount {
-        let mut sum = QuotaAmount::default();
-        for g in self.pools.values() {
+        let mut total = QuotaAmount::default();
+        for pool in self.pools.values() {
             let each = QuotaAmount {
-                cpus: g.capacity.cpus,
-                gpus: g.capacity.gpus,
+                cpus: pool.capacity.cpus,
+                gpus: pool.capacity.gpus,
             };
-            sum = sum.plus(each.times(u64::from(g.available_count) + g.provisioning.len() as u64));
+            total = total.plus(each.times(pool.machine_count()));
         }
-        sum
+        total
     }
 
-    /// What is kept clear on machines of a group for jobs that fit nowhere else.
+    /// What is reserved on each machine of a pool for tasks that fit on no other type.
     pub fn reserved(&self, key: &MachinePool) -> Option<Resources> {
         self.pools.get(key)?.reserved
     }
 
-    /// Changes how a machine stands.
+    /// Sets what is reserved on each machine of a pool. Returns the available machines, whose
+    /// entries the caller must update.
+    #[must_use]
+    pub fn set_reserved(&mut self, key: &MachinePool, reserved: Option<Resources>) -> Vec<Rc<str>> {
+        let Some(pool) = self.pools.get_mut(key) else {
+            return Vec::new();
+        };
+        pool.reserved = reserved;
+        pool.available_machines().cloned().collect()
+    }
+
+    /// Replaces a machine's entry.
     pub fn update(
         &mut self,
         key: &MachinePool,
-        cap: Resources,
+        capacity: Resources,
         name: &Rc<str>,
-        was: IndexEntry,
-        now: IndexEntry,
+        old: IndexEntry,
+        new: IndexEntry,
     ) {
-        let g = self.pools.entry(key.clone()).or_default();
-        match was {
-            IndexEntry::Unlisted => {}
-            IndexEntry::Provisioning => {
-                g.provisioning.remove(name);
-            }
-            IndexEntry::Available { free, wide, held } => {
-                g.available_count -= 1;
-                take(&mut g.by_free_capacity, step(free, g.capacity), held, name);
-                take(
-                    &mut g.by_flexible_capacity,
-                    step(wide, g.capacity),
-                    held,
-                    name,
-                );
-            }
-        }
-        if g.available_count == 0 {
-            g.capacity = cap;
-        }
-        match now {
-            IndexEntry::Unlisted => {}
-            IndexEntry::Provisioning => {
-                g.provisioning.insert(name.clone());
-            }
-            IndexEntry::Available { free, wide, held } => {
-                g.available_count += 1;
-                put(&mut g.by_free_capacity, step(free, g.capacity), held, name);
-                put(
-                    &mut g.by_flexible_capacity,
-                    step(wide, g.capacity),
-                    held,
-                    name,
-                );
-            }
+        let pool = self.pools.entry(key.clone()).or_default();
+        pool.remove(name, old);
+        // The steps of listed machines refer to the capacity: it changes between machines only.
+        if pool.available_count == 0 {
+            pool.capacity = capacity;
         }
+        pool.insert(name, new);
     }
 
-    /// The fitting machine with the lowest priority: the groups are those that
-    /// `allowed` names, and `priority` orders their machines (`None`: does not fit).
-    /// Of each step only the machines with the fewest tasks are looked at.
+    /// The fitting machine of the lowest rank. Searched are the pools that `allowed` selects;
+    /// `rank` orders their machines (`None`: does not fit). Of each step only the machines
+    /// with the fewest tasks are compared.
     pub fn best_machine<K: Ord>(
         &self,
-        s: &JobSpec,
-        wide: bool,
+        spec: &JobSpec,
+        flexible: bool,
         allowed: impl Fn(&MachinePool) -> bool,
-        priority: impl Fn(&MachinePool, u32, &Rc<str>) -> Option<K>,
+        rank: impl Fn(&MachinePool, u32, &Rc<str>) -> Option<K>,
     ) -> Option<Rc<str>> {
-        const LOOK: usize = 6;
         let mut best: Option<(K, &Rc<str>)> = None;
-        for (key, g) in &self.pools {
-            if g.available_count == 0 || !s.task_fits_in(g.capacity) || !allowed(key) {
-                continue;
-            }
-            let need = step(s.resources_per_task(), g.capacity);
-            for (st, set) in g.steps(wide).range((need.0, 0, 0)..) {
-                if st.1 < need.1 || st.2 < need.2 {
-                    continue;
-                }
-                let mut seen = 0;
-                for (held, name) in set {
-                    let Some(k) = priority(key, *held, name) else {
-                        continue;
-                    };
-                    if best.as_ref().is_none_or(|(b, _)| k < *b) {
-                        best = Some((k, name));
-                    }
-                    seen += 1;
-                    if seen >= LOOK {
-                        break;
+        for (key, pool) in self.candidate_pools(spec, &allowed) {
+            let needed = step_of(spec.resources_per_task(), pool.capacity);
+            let steps = pool.by_capacity_for(flexible).0.range((needed.0, 0, 0)..);
+            for (_, machines) in steps.filter(|(step, _)| has_gpus_and_memory(**step, needed)) {
+                let ranked = machines.iter().filter_map(|(task_count, name)| {
+                    rank(key, *task_count, name).map(|rank| (rank, name))
+                });
+                for (rank, name) in ranked.take(CANDIDATES_PER_STEP) {
+                    if best.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
+                        best = Some((rank, name));
                     }
                 }
             }
         }
-        best.map(|(_, n)| n.clone())
+        best.map(|(_, name)| name.clone())
     }
 
-    /// How many tasks of a job the open machines of the allowed groups take now,
-    /// at least; counted up to `most`.
+    /// How many tasks of a job the available machines of the allowed pools take now, at
+    /// least; counted up to `limit`.
     pub fn tasks_fitting_now(
         &self,
-        s: &JobSpec,
-        wide: bool,
+        spec: &JobSpec,
+        flexible: bool,
         allowed: impl Fn(&MachinePool) -> bool,
         free: impl Fn(&str) -> Resources,
-        most: u64,
+        limit: u64,
     ) -> u64 {
-        let mut n = 0u64;
-        for (key, g) in &self.pools {
-            if g.available_count == 0 || !s.task_fits_in(g.capacity) || !allowed(key) {
-                continue;
-            }
-            let need = step(s.resources_per_task(), g.capacity);
-            for (st, set) in g.steps(wide).range((need.0, 0, 0)..) {
-                let each = s.tasks_fitting_in(floor(*st, g.capacity));
+        let mut count = 0u64;
+        for (_, pool) in self.candidate_pools(spec, &allowed) {
+            let needed = step_of(spec.resources_per_task(), pool.capacity);
+            for (step, machines) in pool.by_capacity_for(flexible).0.range((needed.0, 0, 0)..) {
+                let each = spec.tasks_fitting_in(least_free(*step, pool.capacity));
                 if each > 0 {
-                    n += each * set.len() as u64;
-                } else if st.1 >= need.1 && st.2 >= need.2 {
-                    n += set
+                    count += each * machines.len() as u64;
+                } else if has_gpus_and_memory(*step, needed) {
+                    let fitting = machines
                         .iter()
-                        .map(|(_, m)| s.tasks_fitting_in(free(m)))
-                        .sum::<u64>();
+                        .map(|(_, name)| spec.tasks_fitting_in(free(name)));
+                    count += fitting.sum::<u64>();
                 }
-                if n >= most {
-                    return most;
+                if count >= limit {
+                    return limit;
                 }
             }
         }
-        n
+        count
     }
 
-    /// How many tasks of a job the machines of the allowed groups would take with
-    /// nothing else on them, those that are expected included.
+    /// How many tasks of a job the machines of the allowed pools would take with nothing else
+    /// on them, those that are expected to boot included.
     pub fn tasks_fitting_when_empty(
         &self,
-        s: &JobSpec,
-        wide: bool,
+        spec: &JobSpec,
+        flexible: bool,
         allowed: impl Fn(&MachinePool) -> bool,
     ) -> u64 {
         self.pools
             .iter()
-            .filter(|(k, g)| s.task_fits_in(g.capacity) && allowed(k))
-            .map(|(_, g)| {
-                let room = match g.reserved {
-                    Some(k) if wide => g.capacity.minus(k),
-                    _ => g.capacity,
+            .filter(|(key, pool)| spec.task_fits_in(pool.capacity) && allowed(key))
+            .map(|(_, pool)| {
+                let usable = match pool.reserved {
+                    Some(reserved) if flexible => pool.capacity.minus(reserved),
+                    _ => pool.capacity,
                 };
-                s.tasks_fitting_in(room) * (g.available_count as u64 + g.provisioning.len() as u64)
+                spec.tasks_fitting_in(usable) * pool.machine_count()
             })
             .sum()
     }
+
+    /// Allowed pools with available machines on which a task of the job fits at all.
+    fn candidate_pools<'a>(
+        &'a self,
+        spec: &'a JobSpec,
+        allowed: &'a impl Fn(&MachinePool) -> bool,
+    ) -> impl Iterator<Item = (&'a MachinePool, &'a PoolIndex)> + 'a {
+        self.pools.iter().filter(|(key, pool)| {
+            pool.available_count > 0 && spec.task_fits_in(pool.capacity) && allowed(key)
+        })
+    }
+}
+
+/// Whether a step has at least the GPUs and the memory of another.
+fn has_gpus_and_memory(step: Step, needed: Step) -> bool {
+    step.1 >= needed.1 && step.2 >= needed.2
 }
 
 #[cfg(test)]
--- a/src/region/machine_index/tests.rs
+++ b/src/region/machine_index/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of region::list.
+//! Tests of the machine index.
 
 use super::*;
 use proptest::prelude::*;
@@ -12,43 +12,47 @@
 }
 
 proptest! {
-    /// Whatever changes were made, the list finds a machine exactly when one
+    /// Whatever changes were made, the index finds a machine exactly when one
     /// fits, and one that holds the fewest tasks of those.
     #[test]
     fn finds_the_least_loaded(
         changes in proptest::collection::vec((0usize..12, 0u64..9, 0u64..9, 0u32..6), 1..60),
         cpus in 1u64..9, mem in 0u64..9,
     ) {
-        let cap = Resources { cpus: 8, gpus: 0, memory: 8 };
+        let capacity = Resources { cpus: 8, gpus: 0, memory: 8 };
         let key = MachinePool::new("box", "a", false);
-        let mut list = MachineIndex::default();
+        let mut index = MachineIndex::default();
         let mut now: BTreeMap<usize, IndexEntry> = BTreeMap::new();
-        for (m, c, g, held) in changes {
-            let name: Rc<str> = Rc::from(format!("m-{m:02}"));
-            let free = Resources { cpus: c, gpus: 0, memory: g };
-            let to = if held == 5 { IndexEntry::Unlisted } else { IndexEntry::Available { free, wide: free, held } };
-            let was = now.insert(m, to).unwrap_or_default();
-            list.update(&key, cap, &name, was, to);
+        for (number, cpus, memory, task_count) in changes {
+            let name: Rc<str> = Rc::from(format!("m-{number:02}"));
+            let free = Resources { cpus, gpus: 0, memory };
+            let new = if task_count == 5 {
+                IndexEntry::Unlisted
+            } else {
+                IndexEntry::Available { free, free_for_flexible: free, task_count }
+            };
+            let old = now.insert(number, new).unwrap_or_default();
+            index.update(&key, capacity, &name, old, new);
         }
-        let s = spec(cpus, mem);
+        let spec = spec(cpus, mem);
         let free = |name: &str| match now[&name[2..].parse::<usize>().unwrap()] {
             IndexEntry::Available { free, .. } => free,
             _ => Resources::ZERO,
         };
-        let got = list.best_machine(&s, false, |_| true, |_, held, n| s.task_fits_in(free(n)).then_some(held));
-        let want = now.values().filter_map(|l| match l {
-            IndexEntry::Available { free, held, .. } if s.task_fits_in(*free) => Some(*held),
+        let got = index.best_machine(&spec, false, |_| true, |_, task_count, name| spec.task_fits_in(free(name)).then_some(task_count));
+        let want = now.values().filter_map(|entry| match entry {
+            IndexEntry::Available { free, task_count, .. } if spec.task_fits_in(*free) => Some(*task_count),
             _ => None,
         }).min();
-        prop_assert_eq!(got.as_ref().map(|n| match now[&n[2..].parse::<usize>().unwrap()] {
-            IndexEntry::Available { held, .. } => held,
+        prop_assert_eq!(got.as_ref().map(|name| match now[&name[2..].parse::<usize>().unwrap()] {
+            IndexEntry::Available { task_count, .. } => task_count,
             _ => 99,
         }), want);
-        let all: u64 = now.values().map(|l| match l {
-            IndexEntry::Available { free, .. } => s.tasks_fitting_in(*free),
+        let all: u64 = now.values().map(|entry| match entry {
+            IndexEntry::Available { free, .. } => spec.tasks_fitting_in(*free),
             _ => 0,
         }).sum();
-        let counted = list.tasks_fitting_now(&s, false, |_| true, free, u64::MAX);
+        let counted = index.tasks_fitting_now(&spec, false, |_| true, free, u64::MAX);
         prop_assert!(counted <= all && (counted > 0) == (all > 0));
     }
 }
--- a/src/region/machine_inventory.rs
+++ b/src/region/machine_inventory.rs
@@ -1,304 +1,576 @@
-//! The region's machines over their lives: entered, heard, opened, watched,
-//! closed, returned, forgotten.
+//! The region's machines and the indexes by which they are found.
+//!
+//! [`MachineInventory`] alone changes a [`Machine`]: each method is told one event, and changes
+//! the machine together with all indexes that depend on it. What an event means for jobs,
+//! quotas and reconciliation is up to [`Region`](super::Region), which calls these methods.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+use salttiller_records::model::{JobId, JobSpec, MachineType};
+use salttiller_records::record::MachineRecord;
+use salttiller_records::units::{Micros, SECOND};
+use salttiller_records::Resources;
+
+use super::constrained_types::ConstrainedTypes;
+use super::failure_attribution::MachineFailures;
+use super::machine::{CordonReason, Machine, MachineState};
+use super::machine_index::{IndexEntry, MachineIndex};
+use super::machine_pool::MachinePool;
+use super::provisioning::ProvisioningTracker;
+use super::reachability::Reachability;
+use super::task::{Assignment, TaskState};
+use crate::settings::Settings;
+use crate::state_store::replica::Replica;
+use crate::worker_protocol::Heartbeat;
+
+/// When a machine that became known is checked first.
+const FIRST_CHECK_AFTER: Micros = 2 * SECOND;
 
 /// The region's machines, and the indexes by which they are found.
 #[derive(Debug, Default)]
 pub(super) struct MachineInventory {
-    pub(super) machines: BTreeMap<Rc<str>, Machine>,
+    machines: BTreeMap<Rc<str>, Machine>,
     /// Free capacity by pool.
-    pub(super) index: MachineIndex,
+    index: MachineIndex,
     /// Activated machines by the time of their last heartbeat.
-    pub(super) by_last_heartbeat: BTreeSet<(Micros, Rc<str>)>,
+    by_last_heartbeat: BTreeSet<(Micros, Rc<str>)>,
     /// Machines by the time of their next check.
-    pub(super) next_checks: BTreeSet<(Micros, Rc<str>)>,
+    next_checks: BTreeSet<(Micros, Rc<str>)>,
+    /// Machines with a spot interruption notice.
+    interrupted: BTreeSet<Rc<str>>,
+    /// Machines cordoned as surplus.
+    draining: BTreeSet<Rc<str>>,
+    /// How machines of each pool boot.
+    provisioning: ProvisioningTracker,
+    /// Machine types of which capacity is reserved.
+    constrained_types: ConstrainedTypes,
+}
+
+/// Queries.
+impl MachineInventory {
+    /// A machine by its name.
+    pub(super) fn machine(&self, name: &str) -> Option<&Machine> {
+        self.machines.get(name)
+    }
+
+    /// The shared copy of a known machine's name.
+    pub(super) fn shared_name(&self, name: &str) -> Option<Rc<str>> {
+        let (shared, _) = self.machines.get_key_value(name)?;
+        Some(shared.clone())
+    }
+
+    /// All machines by name.
+    pub(super) fn machines(&self) -> impl Iterator<Item = (&Rc<str>, &Machine)> + '_ {
+        self.machines.iter()
+    }
+
+    /// Number of machines.
+    pub(super) fn len(&self) -> usize {
+        self.machines.len()
+    }
+
+    /// Available machines by pool, free capacity and number of tasks.
+    pub(super) fn index(&self) -> &MachineIndex {
+        &self.index
+    }
+
+    /// Number of activated machines, those that are gone excluded.
+    pub(super) fn activated_count(&self) -> usize {
+        self.by_last_heartbeat.len()
+    }
+
+    /// How many activated machines sent their last heartbeat at `since` or later.
+    pub(super) fn count_reported_since(&self, since: Micros) -> usize {
+        let reported = self.by_last_heartbeat.range((since, Rc::from(""))..);
+        reported.count()
+    }
+
     /// Machines with a spot interruption notice.
-    pub(super) interrupted: BTreeSet<Rc<str>>,
-    /// Machines cordoned as not needed that still hold tasks.
-    pub(super) draining: BTreeSet<Rc<str>>,
-    /// How machines of each pool come up.
-    pub(super) provisioning: BTreeMap<MachinePool, ProvisioningHistory>,
-    pub(super) constrained_types: ConstrainedTypes,
+    pub(super) fn interrupted(&self) -> impl Iterator<Item = &Machine> + '_ {
+        self.interrupted
+            .iter()
+            .filter_map(|name| self.machines.get(name))
+    }
+
+    /// Whether any machine is cordoned as surplus.
+    pub(super) fn has_draining(&self) -> bool {
+        !self.draining.is_empty()
+    }
+
+    /// Whether capacity of the machine's pool is reserved for constrained jobs.
+    pub(super) fn is_reserved(&self, machine: &Machine) -> bool {
+        self.index.reserved(&machine.pool).is_some()
+    }
+
+    /// The tasks on a machine or assigned to it.
+    pub(super) fn tasks(
+        &self,
+        name: &str,
+    ) -> impl Iterator<Item = (&(JobId, u32), &Assignment)> + '_ {
+        let machine = self.machines.get(name);
+        machine.into_iter().flat_map(|machine| &machine.tasks)
+    }
+
+    /// How machines of each pool boot.
+    pub(super) fn provisioning(&self) -> &ProvisioningTracker {
+        &self.provisioning
+    }
+
+    /// The same, to be changed.
+    pub(super) fn provisioning_mut(&mut self) -> &mut ProvisioningTracker {
+        &mut self.provisioning
+    }
+
+    /// Machine types of which capacity is reserved.
+    pub(super) fn constrained_types(&self) -> &ConstrainedTypes {
+        &self.constrained_types
+    }
 }
 
-impl Region {
-    /// Enters a machine's record.
-    pub fn on_machine(&mut self, name: &str, context: &SchedulingContext<'_>) {
-        let rec = context.replica.machines.get(name).map(|r| &r.value);
-        let Some(rec) = rec.filter(|r| r.region == self.name) else {
-            // Its record goes only once it is proved gone, by us.
-            self.drop_machine(name, context);
+/// Machines, their records and types.
+impl MachineInventory {
+    /// Adds a machine that becomes known at `now`.
+    pub(super) fn add(
+        &mut self,
+        name: &str,
+        record: &MachineRecord,
+        machine_type: Option<&MachineType>,
+        now: Micros,
+    ) {
+        let key = MachinePool::new(&record.machine_type, &record.zone, record.spot);
+        let pool = self.index.shared_key(key);
+        let machine = Machine::new(record.clone(), pool, machine_type, now);
+        let shared: Rc<str> = Rc::from(name);
+        if record.activated {
+            self.by_last_heartbeat
+                .insert((machine.last_heartbeat_at, shared.clone()));
+        }
+        self.machines.insert(shared, machine);
+        self.schedule_check(name, now + FIRST_CHECK_AFTER);
+        self.reindex(name);
+    }
+
+    /// Replaces a known machine's record. Returns whether the machine was activated with it.
+    #[must_use]
+    pub(super) fn update_record(&mut self, name: &str, record: &MachineRecord) -> bool {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return false;
+        };
+        let activated = record.activated && !machine.record.activated;
+        machine.record = record.clone();
+        if activated {
+            if !machine.has_never_reported() {
+                self.by_last_heartbeat
+                    .insert((machine.last_heartbeat_at, Rc::from(name)));
+            }
+            self.reindex(name);
+        }
+        activated
+    }
+
+    /// Removes a machine from the inventory and all indexes.
+    pub(super) fn remove(&mut self, name: &str) {
+        self.stop_waiting_for_boot(name);
+        self.set_index_entry(name, IndexEntry::Unlisted);
+        let Some((shared, machine)) = self.machines.remove_entry(name) else {
             return;
         };
-        let f = context
-            .replica
-            .machine_types
-            .get(&rec.machine_type)
-            .map(|f| &f.value);
-        let cap = f.map_or(Resources::ZERO, MachineType::resources);
-        if let Some(m) = self.inventory.machines.get_mut(name) {
-            let opened = rec.activated && !m.record.activated;
-            m.record = rec.clone();
-            if opened {
-                if m.last_heartbeat != HeartbeatId::NONE {
-                    self.inventory
-                        .by_last_heartbeat
-                        .insert((m.last_heartbeat_at, Rc::from(name)));
+        self.by_last_heartbeat
+            .remove(&(machine.last_heartbeat_at, shared.clone()));
+        self.next_checks
+            .remove(&(machine.next_check_at, shared.clone()));
+        self.interrupted.remove(&shared);
+        self.draining.remove(&shared);
+    }
+
+    /// Machine types became known or changed.
+    pub(super) fn update_machine_types(&mut self, replica: &Replica) {
+        let names: Vec<Rc<str>> = self.machines.keys().cloned().collect();
+        for name in &names {
+            self.set_index_entry(name, IndexEntry::Unlisted);
+        }
+        for name in &names {
+            if let Some(machine) = self.machines.get_mut(name) {
+                let known = replica.machine_types.get(&machine.record.machine_type);
+                if let Some(machine_type) = known.map(|record| &record.value) {
+                    machine.capacity = machine_type.resources();
+                    machine.boot_time = machine_type.boot_time;
                 }
-                self.triggers.machines.insert(Rc::from(name));
-                self.reindex(name);
             }
-            return;
+            self.reindex(name);
+        }
+    }
+
+    /// Notes a job's constraints. Returns whether the capacity to reserve has changed.
+    #[must_use]
+    pub(super) fn note_job(&mut self, spec: &JobSpec, replica: &Replica, now: Micros) -> bool {
+        self.constrained_types.note(spec, replica, now)
+    }
+
+    /// Reserves capacity for the constrained jobs of late. Returns whether anything changed.
+    #[must_use]
+    pub(super) fn update_reserved_capacity(&mut self, now: Micros) -> bool {
+        let changed: Vec<(MachinePool, Option<Resources>)> = self
+            .index
+            .pools()
+            .filter(|(key, _)| !key.spot)
+            .map(|(key, pool)| {
+                let reserved = self.constrained_types.reserved_on(&key.machine_type, now);
+                (key, pool, reserved)
+            })
+            .filter(|(_, pool, reserved)| pool.reserved != *reserved)
+            .map(|(key, _, reserved)| (key.clone(), reserved))
+            .collect();
+        for (key, reserved) in &changed {
+            for name in self.index.set_reserved(key, *reserved) {
+                self.reindex(&name);
+            }
         }
-        let key: Rc<str> = Rc::from(name);
-        let group = self.group_of(rec);
-        let m = Machine {
-            record: rec.clone(),
-            pool: group,
-            capacity: cap,
-            used: Resources::ZERO,
-            used_by_flexible: Resources::ZERO,
-            index_entry: IndexEntry::Unlisted,
-            state: MachineState::Provisioning,
-            last_heartbeat: HeartbeatId::NONE,
-            last_answered_at: context.now,
-            last_heartbeat_at: context.now,
-            answered_without_gap_since: 0,
-            unconfirmed_answers: 0,
-            reachability: Reachability::Reachable,
-            assigned_at: context.now,
-            boot_time: f.map_or(60 * SECOND, |f| f.boot_time),
-            interruption_at: None,
-            tasks: BTreeMap::new(),
-            idle_since: context.now,
-            failures: MachineFailures::default(),
-            images: BTreeSet::new(),
-            cordoned: None,
-            releasing: false,
-            is_gone: false,
-            is_overdue: false,
-            next_check_at: Micros::MAX,
+        !changed.is_empty()
+    }
+}
+
+/// Heartbeats and leases.
+impl MachineInventory {
+    /// A newer heartbeat under the current token came in. Returns whether it shows that the
+    /// answers before it did not arrive; see [`Machine::record_heartbeat`].
+    #[must_use]
+    pub(super) fn record_heartbeat(
+        &mut self,
+        name: &Rc<str>,
+        heartbeat: &Heartbeat,
+        settings: &Settings,
+        now: Micros,
+    ) -> bool {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return false;
         };
-        if rec.activated {
-            self.inventory
-                .by_last_heartbeat
-                .insert((m.last_heartbeat_at, key.clone()));
+        let previous_at = machine.last_heartbeat_at;
+        let answers_lost = machine.record_heartbeat(heartbeat, settings, now);
+        if machine.record.activated {
+            self.by_last_heartbeat.remove(&(previous_at, name.clone()));
+            self.by_last_heartbeat.insert((now, name.clone()));
+        }
+        if machine.interruption_at.is_some() {
+            self.interrupted.insert(name.clone());
+        } else {
+            self.interrupted.remove(name);
         }
-        self.inventory.machines.insert(key, m);
-        self.revisit_at(name, context.now + 2 * SECOND);
         self.reindex(name);
+        answers_lost
     }
 
-    fn group_of(&self, rec: &MachineRecord) -> MachinePool {
-        let key = MachinePool::new(&rec.machine_type, &rec.zone, rec.spot);
-        // One copy of the names for all machines of a group.
-        match self.inventory.index.pools.get_key_value(&key) {
-            Some((k, _)) => k.clone(),
-            None => key,
+    /// A heartbeat with an outdated token is answered.
+    pub(super) fn record_unconfirmed_answer(&mut self, name: &str, now: Micros) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.unconfirmed_answers += 1;
+            machine.last_answered_at = now;
         }
     }
 
-    /// Machine types became known or changed.
-    pub fn on_machine_types_changed(&mut self, context: &SchedulingContext<'_>) {
-        let names: Vec<Rc<str>> = self.inventory.machines.keys().cloned().collect();
-        for n in &names {
-            self.set_index_entry(n, IndexEntry::Unlisted);
+    /// It was concluded anew whether answers reach the machine.
+    pub(super) fn set_reachability(&mut self, name: &str, reachability: Reachability) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.reachability = reachability;
+            self.reindex(name);
         }
-        for n in &names {
-            if let Some(m) = self.inventory.machines.get_mut(n) {
-                if let Some(f) = context
-                    .replica
-                    .machine_types
-                    .get(&m.record.machine_type)
-                    .map(|f| &f.value)
-                {
-                    m.capacity = f.resources();
-                    m.boot_time = f.boot_time;
-                }
+    }
+
+    /// The machine is proven to run nothing any more. Returns the tasks it was last known to
+    /// have, which the caller must take off it.
+    #[must_use]
+    pub(super) fn expire_lease(&mut self, name: &str) -> Vec<(JobId, u32)> {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return Vec::new();
+        };
+        machine.state = MachineState::LeaseExpired;
+        machine.unconfirmed_answers = 0;
+        let tasks = machine.tasks.keys().cloned().collect();
+        self.reindex(name);
+        tasks
+    }
+}
+
+/// Provisioning, cordons and release.
+impl MachineInventory {
+    /// A machine that was rented for the region has booted.
+    pub(super) fn machine_booted(&mut self, name: &str, now: Micros) {
+        if let Some(machine) = self.machines.get(name) {
+            self.provisioning.machine_booted(&machine.pool, name, now);
+        }
+    }
+
+    /// A machine should have booted by now. Returns the number of overdue machines of its pool
+    /// if this one puts the pool in trouble.
+    pub(super) fn machine_overdue(&mut self, name: &Rc<str>, now: Micros) -> Option<usize> {
+        self.set_overdue(name, true);
+        let machine = self.machines.get(name)?;
+        self.provisioning.machine_overdue(&machine.pool, name, now)
+    }
+
+    /// Sets whether a machine should have booted by now.
+    pub(super) fn set_overdue(&mut self, name: &str, overdue: bool) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.is_overdue = overdue;
+            self.reindex(name);
+        }
+    }
+
+    fn stop_waiting_for_boot(&mut self, name: &str) {
+        if let Some(machine) = self.machines.get(name) {
+            self.provisioning.forget(&machine.pool, name);
+        }
+    }
+
+    /// Cordons a machine. Returns the reason that it is cordoned for: the first one stays.
+    pub(super) fn cordon(&mut self, name: &str, reason: CordonReason) -> Option<CordonReason> {
+        let machine = self.machines.get_mut(name)?;
+        let first = *machine.cordoned.get_or_insert(reason);
+        self.reindex(name);
+        Some(first)
+    }
+
+    /// Cordons a machine as surplus: it is released once it holds no task, unless it is needed
+    /// again before.
+    pub(super) fn drain(&mut self, name: &Rc<str>) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.cordoned = Some(CordonReason::Surplus);
+            self.draining.insert(name.clone());
+            self.reindex(name);
+        }
+    }
+
+    /// Uncordons surplus machines of pools with (`reserved`) or without reserved capacity,
+    /// unless their release is under way. Returns their names.
+    #[must_use]
+    pub(super) fn uncordon_surplus(&mut self, reserved: bool) -> Vec<Rc<str>> {
+        let mut uncordoned = Vec::new();
+        for name in std::mem::take(&mut self.draining) {
+            let Some(machine) = self.machines.get_mut(&name) else {
+                continue;
+            };
+            if self.index.reserved(&machine.pool).is_some() != reserved {
+                self.draining.insert(name);
+            } else if machine.cordoned == Some(CordonReason::Surplus) && !machine.releasing {
+                machine.cordoned = None;
+                self.reindex(&name);
+                uncordoned.push(name);
             }
-            self.reindex(n);
         }
-        self.update_reserved_capacity(context);
-        self.triggers.all = true;
+        uncordoned
+    }
+
+    /// A machine's release is requested from the cloud. Returns the reason of its cordon.
+    pub(super) fn begin_release(
+        &mut self,
+        name: &str,
+        reason: CordonReason,
+    ) -> Option<CordonReason> {
+        self.stop_waiting_for_boot(name);
+        let first = self.cordon(name, reason)?;
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.releasing = true;
+        }
+        Some(first)
+    }
+
+    /// The cloud has not confirmed a release. It may be carried out late, so the machine stays
+    /// cordoned, and its release is requested again.
+    pub(super) fn release_unconfirmed(&mut self, name: &str) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.releasing = false;
+        }
     }
 
-    fn drop_machine(&mut self, name: &str, context: &SchedulingContext<'_>) {
-        if !self.inventory.machines.contains_key(name) {
+    /// The cloud has confirmed that a machine no longer exists.
+    pub(super) fn machine_gone(&mut self, name: &Rc<str>) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.is_gone = true;
+            machine.cordoned.get_or_insert(CordonReason::Gone);
+            self.by_last_heartbeat
+                .remove(&(machine.last_heartbeat_at, name.clone()));
+            self.reindex(name);
+        }
+    }
+
+    /// The failures that count against a machine.
+    pub(super) fn failures_mut(&mut self, name: &str) -> Option<&mut MachineFailures> {
+        let machine = self.machines.get_mut(name)?;
+        Some(&mut machine.failures)
+    }
+}
+
+/// Tasks on machines.
+impl MachineInventory {
+    /// A task on a machine or assigned to it.
+    pub(super) fn assignment_mut(
+        &mut self,
+        machine: &str,
+        id: &JobId,
+        task: u32,
+    ) -> Option<&mut Assignment> {
+        let machine = self.machines.get_mut(machine)?;
+        machine.tasks.get_mut(&(id.clone(), task))
+    }
+
+    /// All tasks on a machine or assigned to it.
+    pub(super) fn assignments_mut(
+        &mut self,
+        machine: &str,
+    ) -> impl Iterator<Item = (&(JobId, u32), &mut Assignment)> + '_ {
+        let machine = self.machines.get_mut(machine);
+        machine
+            .into_iter()
+            .flat_map(|machine| machine.tasks.iter_mut())
+    }
+
+    /// Adds a task, which brings its image to the machine.
+    pub(super) fn add_assignment(
+        &mut self,
+        machine: &str,
+        task: (JobId, u32),
+        assignment: Assignment,
+        image: &str,
+    ) {
+        let name = machine;
+        let Some(machine) = self.machines.get_mut(name) else {
             return;
+        };
+        machine.used = machine.used.plus(assignment.resources());
+        if !assignment.constrained {
+            machine.used_by_flexible = machine.used_by_flexible.plus(assignment.resources());
         }
-        self.machine_is_empty(name, context);
-        self.forget_provisioning(name);
-        self.set_index_entry(name, IndexEntry::Unlisted);
-        if let Some((key, m)) = self.inventory.machines.remove_entry(name) {
-            self.inventory
-                .by_last_heartbeat
-                .remove(&(m.last_heartbeat_at, key.clone()));
-            self.inventory
-                .next_checks
-                .remove(&(m.next_check_at, key.clone()));
-            self.inventory.interrupted.remove(&key);
-            self.machine_records.to_activate.remove(&key);
-            self.machine_records.to_remove.remove(&key);
-            self.inventory.draining.remove(&key);
-            self.reconciliation.unreconciled.remove(&key);
+        if !machine.images.contains(image) {
+            machine.images.insert(image.to_owned());
         }
-        self.try_finish_recovery(context);
+        machine.tasks.insert(task, assignment);
+        self.reindex(name);
     }
 
-    /// Brings the level-two list up to date with what is known of a machine.
-    pub(super) fn reindex(&mut self, name: &str) {
-        let Some(m) = self.inventory.machines.get(name) else {
+    /// Removes a task. The machine is idle from now on if the task was on it and no other
+    /// task justifies its cost.
+    pub(super) fn remove_assignment(
+        &mut self,
+        machine: &str,
+        id: &JobId,
+        task: u32,
+        now: Micros,
+    ) -> Option<Assignment> {
+        let name = machine;
+        let machine = self.machines.get_mut(name)?;
+        let assignment = machine.tasks.remove(&(id.clone(), task))?;
+        machine.used = machine.used.minus(assignment.resources());
+        if !assignment.constrained {
+            machine.used_by_flexible = machine.used_by_flexible.minus(assignment.resources());
+        }
+        let reserved = self.index.reserved(&machine.pool).is_some();
+        if (assignment.constrained || !reserved)
+            && !machine.serves_its_purpose(reserved)
+            && assignment.state != TaskState::Assigned
+        {
+            machine.idle_since = now;
+        }
+        self.reindex(name);
+        Some(assignment)
+    }
+
+    /// A task that was to bring an image to the machine is not started there: unless another
+    /// task of its job is, the machine won't have the image.
+    pub(super) fn forget_image(&mut self, machine: &str, id: &JobId, image: &str) {
+        let Some(machine) = self.machines.get_mut(machine) else {
             return;
         };
-        let hears = !matches!(m.reachability, Reachability::Unreachable { .. });
-        let to = if m.accepts_tasks() && hears {
-            let free = m.free();
-            let wide = match self.inventory.index.reserved(&m.pool) {
-                Some(k) => free.min_each(m.capacity.minus(k).minus(m.used_by_flexible)),
-                None => free,
-            };
-            IndexEntry::Available {
-                free,
-                wide,
-                held: m.tasks.len() as u32,
+        let first = (id.clone(), 0);
+        let mut others = machine.tasks.range_mut(first..);
+        match others.next().filter(|((job, _), _)| job == id) {
+            Some((_, other)) => other.image_missing = true,
+            None => {
+                machine.images.remove(image);
             }
-        } else if m.is_usable() && hears && m.state != MachineState::LeaseExpired && !m.is_overdue {
-            IndexEntry::Provisioning
-        } else {
-            IndexEntry::Unlisted
-        };
-        self.set_index_entry(name, to);
+        }
     }
+}
 
-    fn set_index_entry(&mut self, name: &str, to: IndexEntry) {
-        let Some((key, _)) = self.inventory.machines.get_key_value(name) else {
+/// The schedule of checks, and the index.
+impl MachineInventory {
+    /// Schedules a machine's next check at this time, if not before.
+    pub(super) fn schedule_check(&mut self, name: &str, at: Micros) {
+        let Some(shared) = self.shared_name(name) else {
             return;
         };
-        let key = key.clone();
-        let Some(m) = self.inventory.machines.get_mut(name) else {
+        let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        if m.index_entry != to {
-            let was = std::mem::replace(&mut m.index_entry, to);
-            self.inventory
-                .index
-                .update(&m.pool, m.capacity, &key, was, to);
+        if at < machine.next_check_at {
+            self.next_checks
+                .remove(&(machine.next_check_at, shared.clone()));
+            machine.next_check_at = at;
+            self.next_checks.insert((at, shared));
         }
     }
 
-    /// Follows what is kept clear for jobs that fit on one type only.
-    pub(super) fn update_reserved_capacity(&mut self, context: &SchedulingContext<'_>) {
-        let changed: Vec<(MachinePool, Option<Resources>)> = self
-            .inventory
-            .index
-            .pools
-            .iter()
-            .filter(|(k, _)| !k.spot)
-            .map(|(k, g)| {
-                (
-                    k,
-                    g,
-                    self.inventory
-                        .constrained_types
-                        .reserved_on(&k.machine_type, context.now),
-                )
-            })
-            .filter(|(_, g, kept)| g.reserved != *kept)
-            .map(|(k, _, kept)| (k.clone(), kept))
-            .collect();
-        for (key, kept) in changed {
-            let Some(g) = self.inventory.index.pools.get_mut(&key) else {
-                continue;
-            };
-            let names: Vec<Rc<str>> = g.available_machines().cloned().collect();
-            g.reserved = kept;
-            for n in names {
-                self.reindex(&n);
-            }
-            self.triggers.all = true;
+    /// Takes the machine whose check has been due for longest off the schedule.
+    pub(super) fn take_due_check(&mut self, now: Micros) -> Option<Rc<str>> {
+        let (at, _) = self.next_checks.first()?;
+        if *at > now {
+            return None;
+        }
+        let (_, name) = self.next_checks.pop_first()?;
+        if let Some(machine) = self.machines.get_mut(&name) {
+            machine.next_check_at = Micros::MAX;
         }
+        Some(name)
     }
 
-    /// Has a machine looked at at this time, if not before.
-    pub(super) fn revisit_at(&mut self, name: &str, at: Micros) {
-        let Some((key, _)) = self.inventory.machines.get_key_value(name) else {
-            return;
-        };
-        let key = key.clone();
-        if let Some(m) = self.inventory.machines.get_mut(name) {
-            if at < m.next_check_at {
-                self.inventory
-                    .next_checks
-                    .remove(&(m.next_check_at, key.clone()));
-                m.next_check_at = at;
-                self.inventory.next_checks.insert((at, key));
-            }
+    /// Brings the index up to date with what is known of a machine.
+    fn reindex(&mut self, name: &str) {
+        if let Some(machine) = self.machines.get(name) {
+            let entry = self.index_entry(machine);
+            self.set_index_entry(name, entry);
         }
     }
 
-    /// Has tasks that can save stopped in good time on machines that the cloud
-    /// is about to take; the others run on as long as they can. A gang's tasks are
-    /// told together, since it can only save as a whole.
-    pub(super) fn checkpoint_before_interruption(&mut self, context: &SchedulingContext<'_>) {
-        let mut stop: BTreeSet<JobId> = BTreeSet::new();
-        for m in self
-            .inventory
-            .interrupted
-            .iter()
-            .filter_map(|n| self.inventory.machines.get(n))
-        {
-            let Some(at) = m.interruption_at else {
-                continue;
-            };
-            for (id, _) in m.tasks.keys() {
-                let Some(job) = self.jobs.get(id) else {
-                    continue;
-                };
-                // Told at its next report, and all of a gang at theirs.
-                let needs = job.spec.checkpoint_time + 2 * context.settings.report + SECOND;
-                if job.spec.checkpoint_interval > 0 && !job.is_over && at < context.now + needs {
-                    stop.insert(id.clone());
+    fn index_entry(&self, machine: &Machine) -> IndexEntry {
+        if machine.is_unreachable() {
+            return IndexEntry::Unlisted;
+        }
+        if machine.accepts_tasks() {
+            let free = machine.free();
+            let free_for_flexible = match self.index.reserved(&machine.pool) {
+                Some(reserved) => {
+                    let open = machine.capacity.minus(reserved);
+                    free.min_each(open.minus(machine.used_by_flexible))
                 }
-            }
+                None => free,
+            };
+            return IndexEntry::Available {
+                free,
+                free_for_flexible,
+                task_count: machine.tasks.len() as u32,
+            };
         }
-        for id in stop {
-            self.stop_with_checkpoint(&id, "its machine or a mate's is taken", |_, m| {
-                m.interruption_at.is_some()
-            });
+        let will_accept_tasks = machine.is_usable()
+            && machine.state != MachineState::LeaseExpired
+            && !machine.is_overdue;
+        if will_accept_tasks {
+            IndexEntry::Provisioning
+        } else {
+            IndexEntry::Unlisted
         }
     }
 
-    /// Has a job's tasks stopped with enough time to save: all of a gang's, of
-    /// others those on machines that `on` picks.
-    pub(super) fn stop_with_checkpoint(
-        &mut self,
-        id: &JobId,
-        why: &str,
-        on: impl Fn(&str, &Machine) -> bool,
-    ) {
-        let Some(job) = self.jobs.get(id) else {
+    fn set_index_entry(&mut self, name: &str, entry: IndexEntry) {
+        let Some(shared) = self.shared_name(name) else {
             return;
         };
-        let (gang, save) = (job.spec.kind == JobKind::Gang, job.spec.checkpoint_time);
-        let grace = if job.spec.checkpoint_interval > 0 {
-            save + SECOND
-        } else {
-            0
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
         };
-        for (n, name) in &job.on_machines {
-            let Some(m) = self.inventory.machines.get_mut(name) else {
-                continue;
-            };
-            if !gang && !on(name, m) {
-                continue;
-            }
-            if let Some(h) = m.tasks.get_mut(&(id.clone(), *n)) {
-                if h.stop_grace.is_none() {
-                    log::info!("region: {id}/{n}: to be stopped, {why}");
-                    h.stop_grace = Some(grace);
-                }
-            }
+        if machine.index_entry != entry {
+            let old = std::mem::replace(&mut machine.index_entry, entry);
+            self.index
+                .update(&machine.pool, machine.capacity, &shared, old, entry);
         }
     }
 }
--- a/src/region/placement.rs
+++ b/src/region/placement.rs
@@ -36,7 +36,7 @@
         }
         let rooms: Vec<(Resources, &Machine)> = machines
             .iter()
-            .filter_map(|n| self.inventory.machines.get(n))
+            .filter_map(|n| self.inventory.machine(n))
             .filter(|m| matches!(m.index_entry, IndexEntry::Available { .. }))
             .map(|m| (m.free(), m))
             .collect();
@@ -77,7 +77,7 @@
             self.update_queue_position(&id, context);
             short |= self.jobs.get(&id).is_some_and(|j| j.quota_blocked);
         }
-        if !self.inventory.draining.is_empty() {
+        if self.inventory.has_draining() {
             let next = self.queue.ready.values().take(AHEAD);
             let waits: BTreeSet<bool> = next
                 .filter_map(|id| self.jobs.get(id))
@@ -106,17 +106,17 @@
         let job = self.jobs.get(id)?;
         let s = &job.spec;
         let wide = job.only_type.is_none();
-        self.inventory.index.best_machine(
+        self.inventory.index().best_machine(
             s,
             wide,
             |k| self.may_use_pool(id, job, k, zone, full, context),
             |k, held, name| {
-                let m = self.inventory.machines.get(name)?;
+                let m = self.inventory.machine(name)?;
                 let free = m.index_entry.free_for(wide)?;
                 s.task_fits_in(free).then(|| {
                     (
                         // What may run elsewhere keeps off a type that others need.
-                        wide && self.inventory.index.reserved(k).is_some(),
+                        wide && self.inventory.index().reserved(k).is_some(),
                         job.failures.failed_on(name),
                         held,
                         !m.images.contains(&s.image),
@@ -145,8 +145,7 @@
         let todo: Vec<(Micros, JobId, u32)> =
             self.undispatched.iter().take(LOOK).cloned().collect();
         for (since, id, n) in todo {
-            let (Some(job), Some(m)) = (self.jobs.get(&id), self.inventory.machines.get(name))
-            else {
+            let (Some(job), Some(m)) = (self.jobs.get(&id), self.inventory.machine(name)) else {
                 continue;
             };
             let s = &job.spec;
@@ -157,7 +156,7 @@
             let Some(other) = job.on_machines.get(&n).filter(|o| *o != name) else {
                 continue;
             };
-            let Some(o) = self.inventory.machines.get(other) else {
+            let Some(o) = self.inventory.machine(other) else {
                 continue;
             };
             let Some(h) = o.tasks.get(&(id.clone(), n)) else {
@@ -166,7 +165,7 @@
             // Where a job's tasks are together is settled; only the machine changes.
             let bound = s.kind == JobKind::Gang || s.single_zone || s.spread_zones;
             let fewer = m.tasks.len() < o.tasks.len();
-            let scarce = wide && self.inventory.index.reserved(&m.pool).is_some();
+            let scarce = wide && self.inventory.index().reserved(&m.pool).is_some();
             if scarce
                 || h.stop_grace.is_some()
                 || !s.task_fits_in(room)
@@ -211,18 +210,8 @@
     /// A task that was to bring its image to a machine doesn't go there: unless
     /// another task of its job does, the machine won't have it.
     pub(super) fn forget_image(&mut self, machine: &str, id: &JobId) {
-        let Some(image) = self.jobs.get(id).map(|j| &j.spec.image) else {
-            return;
-        };
-        if let Some(m) = self.inventory.machines.get_mut(machine) {
-            let first = (id.clone(), 0);
-            let mut mates = m.tasks.range_mut(first..).take_while(|(k, _)| k.0 == *id);
-            match mates.next() {
-                Some((_, mate)) => mate.image_missing = true,
-                None => {
-                    m.images.remove(image);
-                }
-            }
+        if let Some(job) = self.jobs.get(id) {
+            self.inventory.forget_image(machine, id, &job.spec.image);
         }
     }
 
@@ -239,7 +228,7 @@
         k.permits(&job.spec)
             && zone.is_none_or(|z| z == &*k.zone)
             && !full.contains(&*k.zone)
-            && self.inventory.index.pools.get(k).is_none_or(|g| {
+            && self.inventory.index().pool(k).is_none_or(|g| {
                 !is_reserved_for_another(self.reservation.as_ref(), id, job, k, g, context)
             })
     }
@@ -260,12 +249,11 @@
         let free = |n: &str| {
             let room = self
                 .inventory
-                .machines
-                .get(n)
+                .machine(n)
                 .and_then(|m| m.index_entry.free_for(wide));
             room.unwrap_or_default()
         };
-        self.inventory.index.tasks_fitting_now(
+        self.inventory.index().tasks_fitting_now(
             &job.spec,
             wide,
             |k| self.may_use_pool(id, job, k, zone, &none, context),
@@ -288,7 +276,7 @@
         }
         // Guards against a small region that wants its whole hold for each job in line
         // on top of the others, and keeps the limit from where there is room.
-        let mut left = self.inventory.index.total_quota();
+        let mut left = self.inventory.index().total_quota();
         let ids: Vec<JobId> = self.queue.ready.values().take(LOOK).cloned().collect();
         for (i, id) in ids.iter().enumerate() {
             let Some(job) = self.jobs.get(id) else {
@@ -302,7 +290,7 @@
             let mut n = if suspect && room < waiting {
                 0
             } else if spec.kind == JobKind::Gang {
-                let could = self.inventory.index.tasks_fitting_when_empty(
+                let could = self.inventory.index().tasks_fitting_when_empty(
                     &spec,
                     job.only_type.is_none(),
                     |k| k.permits(&spec),
@@ -314,7 +302,7 @@
                 }
             } else {
                 if i < AHEAD {
-                    let could = self.inventory.index.tasks_fitting_when_empty(
+                    let could = self.inventory.index().tasks_fitting_when_empty(
                         &spec,
                         job.only_type.is_none(),
                         |k| k.permits(&spec),
@@ -375,7 +363,7 @@
                     return;
                 }
                 for m in job.on_machines.values() {
-                    if let Some(m) = self.inventory.machines.get(m) {
+                    if let Some(m) = self.inventory.machine(m) {
                         *zones.entry(m.record.zone.clone()).or_default() += 1;
                     }
                 }
@@ -439,10 +427,9 @@
         }
         let zones: BTreeSet<Rc<str>> = self
             .inventory
-            .index
-            .pools
-            .keys()
-            .map(|k| k.zone.clone())
+            .index()
+            .pools()
+            .map(|(k, _)| k.zone.clone())
             .collect();
         zones.into_iter().map(Some).collect()
     }
--- a/src/region/preemption.rs
+++ b/src/region/preemption.rs
@@ -14,7 +14,7 @@
     pub(super) fn preempt(&mut self, context: &SchedulingContext<'_>) {
         const LOOK: usize = 8;
         if context.now < self.next_preemption_at
-            || !self.reconciliation.is_complete
+            || !self.reconciliation.is_complete()
             || !context.may_start
         {
             return;
@@ -105,7 +105,7 @@
             // Machines on which stopping would make room, the cheapest first.
             let mut found: Vec<(Micros, u64, Rc<str>, Vec<JobId>)> = Vec::new();
             let mut have = 0;
-            for (k, g) in &self.inventory.index.pools {
+            for (k, g) in self.inventory.index().pools() {
                 if !k.permits(&spec) || zone.as_ref().is_some_and(|z| *z != k.zone) {
                     continue;
                 }
@@ -118,7 +118,7 @@
                 }
                 for (name, m) in g
                     .available_machines()
-                    .filter_map(|n| Some((n, self.inventory.machines.get(n)?)))
+                    .filter_map(|n| Some((n, self.inventory.machine(n)?)))
                 {
                     let now = spec.tasks_fitting_in(m.free());
                     if m.tasks.values().any(|h| h.stop_grace.is_some()) {
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -1,16 +1,25 @@
-//! Accounting for all machines after a region was taken.
+//! Reconciliation after a change of ownership.
+//!
+//! A new owner does not know which tasks its predecessor started. Until every machine that
+//! the predecessor may have used has sent a heartbeat under the new fencing token, or is
+//! proven to run nothing, tasks bound before stay unreconciled and are not started again.
 
-use super::*;
+use std::collections::BTreeSet;
+use std::rc::Rc;
 
-/// How far the accounting for a former owner's machines has come.
+use salttiller_records::model::{JobId, JobKind};
+use salttiller_records::units::{add_drift, to_secs, Micros, SECOND};
+use salttiller_records::QuotaAmount;
+
+use super::{Region, SchedulingContext};
+
+/// Which machines of a former owner are still unreconciled.
 #[derive(Debug)]
 pub(super) struct Reconciliation {
-    /// Every machine that a former owner may have used is accounted for.
-    pub(super) is_complete: bool,
-    /// When the region was acquired.
-    pub(super) acquired_at: Micros,
+    is_complete: bool,
+    acquired_at: Micros,
     /// Activated machines of a former owner that have neither reported nor been proven empty.
-    pub(super) unreconciled: BTreeSet<Rc<str>>,
+    unreconciled: BTreeSet<Rc<str>>,
 }
 
 impl Reconciliation {
@@ -22,25 +31,49 @@
             unreconciled: BTreeSet::new(),
         }
     }
+
+    /// Sets the machines that a former owner may have used.
+    pub(super) fn expect(&mut self, machines: impl Iterator<Item = Rc<str>>) {
+        self.unreconciled = machines.collect();
+    }
+
+    /// A machine has reported under the current token, or is proven to run nothing.
+    pub(super) fn machine_reconciled(&mut self, name: &str) {
+        self.unreconciled.remove(name);
+    }
+
+    /// Whether a former owner's tasks may still run on the machine.
+    pub(super) fn is_unreconciled(&self, name: &str) -> bool {
+        self.unreconciled.contains(name)
+    }
+
+    /// Whether every machine that a former owner may have used is reconciled.
+    pub(super) fn is_complete(&self) -> bool {
+        self.is_complete
+    }
+
+    /// When the region was acquired.
+    pub(super) fn acquired_at(&self) -> Micros {
+        self.acquired_at
+    }
 }
 
 impl Region {
-    /// Ends the accounting once every machine that a former owner may have used
-    /// is heard from or provably empty.
+    /// Completes reconciliation once no machine is left to wait for.
     pub(super) fn try_finish_recovery(&mut self, context: &SchedulingContext<'_>) {
         if self.reconciliation.is_complete {
             return;
         }
-        if let Some(name) = self.reconciliation.unreconciled.first() {
+        if let Some(machine) = self.reconciliation.unreconciled.first() {
             log::debug!(
-                "region: {}: still waits for {name} and {} more",
+                "region={} machine={machine}: unreconciled, with {} more",
                 self.name,
                 self.reconciliation.unreconciled.len() - 1
             );
             return;
         }
-        // Guards against records of machines that we can't read: what may be on
-        // those is over only when every lease that a former owner gave is.
+        // Guards against records of machines that can't be read: tasks on those have ended
+        // for sure only when every lease that a former owner granted has expired.
         if !context.replica.unreadable.is_empty()
             && context.now
                 < self.reconciliation.acquired_at + add_drift(context.settings.lease) + SECOND
@@ -50,36 +83,40 @@
         self.finish_recovery(context);
     }
 
+    /// Completes reconciliation: tasks that no machine has reported are pending from now on.
     pub(super) fn finish_recovery(&mut self, context: &SchedulingContext<'_>) {
         self.reconciliation.is_complete = true;
         self.triggers.all = true;
         log::info!(
-            "region: {}: settled {:.1} s after taking, {} machines",
+            "region={} token={}: reconciled {:.1} s after acquisition, {} machines",
             self.name,
+            self.token,
             to_secs(context.now - self.reconciliation.acquired_at),
-            self.inventory.machines.len()
+            self.inventory.len()
         );
-        for s in self.quotas.by_team.values_mut() {
-            s.inherited = QuotaAmount::default();
+        for share in self.quotas.by_team.values_mut() {
+            share.inherited = QuotaAmount::default();
         }
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
-            let Some(job) = self.jobs.get_mut(&id) else {
-                continue;
-            };
-            let rest = std::mem::take(&mut job.unreconciled);
-            if job.pending.is_empty() {
-                job.pending_since = context.now;
-            }
-            job.pending.add_all(&rest);
-            // A gang of which only a part is left can't go on.
-            if job.spec.kind == JobKind::Gang
-                && !job.on_machines.is_empty()
-                && !job.pending.is_empty()
-            {
-                self.break_gang(&id, context);
-            }
-            self.update_queue_position(&id, context);
+            self.release_unreconciled_tasks(&id, context);
+        }
+    }
+
+    fn release_unreconciled_tasks(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let tasks = std::mem::take(&mut job.unreconciled);
+        if job.pending.is_empty() {
+            job.pending_since = context.now;
+        }
+        job.pending.add_all(&tasks);
+        // A gang of which only a part still runs can't go on.
+        if job.spec.kind == JobKind::Gang && !job.on_machines.is_empty() && !job.pending.is_empty()
+        {
+            self.break_gang(id, context);
         }
+        self.update_queue_position(id, context);
     }
 }
--- a/src/region/runtime_estimates.rs
+++ b/src/region/runtime_estimates.rs
@@ -1,24 +1,39 @@
-//! What finished tasks took, against what was said of them.
+//! Actual run times of finished tasks against their owners' estimates.
+//!
+//! The leader corrects the estimates of pending work by the ratio of the two sums.
 
-use super::*;
+use salttiller_records::model::JobSpec;
+use salttiller_records::units::{Micros, SECOND};
 
-/// What finished tasks that fit many types took, and what their owners had said;
-/// what is older weighs less.
+/// Estimated and actual processor time of finished flexible tasks, each an exponentially
+/// decaying sum.
 #[derive(Debug, Default)]
 pub(super) struct RuntimeEstimates {
-    pub(super) estimated: f64,
-    pub(super) actual: f64,
-    pub(super) at: Micros,
+    estimated: f64,
+    actual: f64,
+    updated_at: Micros,
 }
 
 impl RuntimeEstimates {
-    /// How fast it forgets.
-    const SPAN: f64 = 90.0 * SECOND as f64;
+    /// Time in which a recorded task's weight falls to 1/e, in microseconds.
+    const DECAY_TIME: f64 = 90.0 * SECOND as f64;
 
-    pub(super) fn record(&mut self, s: &JobSpec, took: Micros, now: Micros) {
-        let fade = (-(now.saturating_sub(self.at) as f64) / Self::SPAN).exp();
-        self.at = now;
-        self.estimated = self.estimated * fade + (s.cpus * s.estimated_run_time) as f64;
-        self.actual = self.actual * fade + (s.cpus * took) as f64;
+    /// Records a task of a job that finished at `now` after `run_time`.
+    pub(super) fn record(&mut self, spec: &JobSpec, run_time: Micros, now: Micros) {
+        let age = now.saturating_sub(self.updated_at) as f64;
+        let decay = (-age / Self::DECAY_TIME).exp();
+        self.updated_at = now;
+        self.estimated = self.estimated * decay + (spec.cpus * spec.estimated_run_time) as f64;
+        self.actual = self.actual * decay + (spec.cpus * run_time) as f64;
+    }
+
+    /// Decayed sum of estimated processor time.
+    pub(super) fn estimated(&self) -> f64 {
+        self.estimated
+    }
+
+    /// Decayed sum of actual processor time.
+    pub(super) fn actual(&self) -> f64 {
+        self.actual
     }
 }
--- a/src/region/tests.rs
+++ b/src/region/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of region.
 
 use super::*;
-use crate::worker_protocol::{CommandKind, ReportedTask};
+use crate::worker_protocol::{CommandKind, ExitReason, Heartbeat, HeartbeatId, ReportedTask};
 use serde_json::json;
 
 struct Fixture {
@@ -664,10 +664,10 @@
         shop.second(s * SECOND, Some("m-0"));
     }
     assert_eq!(
-        shop.r.inventory.machines["m-0"].index_entry,
+        shop.r.inventory.machine("m-0").unwrap().index_entry,
         IndexEntry::Unlisted
     );
-    assert!(shop.r.inventory.machines["m-0"].tasks.is_empty());
+    assert!(shop.r.inventory.machine("m-0").unwrap().tasks.is_empty());
     for s in 8..16 {
         shop.second(s * SECOND, Some("m-0"));
     }
@@ -676,7 +676,7 @@
         shop.second(s * SECOND, None);
     }
     assert!(matches!(
-        shop.r.inventory.machines["m-0"].index_entry,
+        shop.r.inventory.machine("m-0").unwrap().index_entry,
         IndexEntry::Available { .. }
     ));
 }
