--- a/src/controller.rs
+++ b/src/controller.rs
@@ -491,7 +491,7 @@
                     let context = context!(self);
                     if let CloudEvent::Released(names) = &ev {
                         for r in self.regions.values_mut() {
-                            r.on_released(names, true, &context);
+                            r.on_released(names, &context);
                         }
                     }
                     if let Some(l) = &mut self.leader {
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,6 +1,7 @@
 //! Messages between controllers.
 
 use super::*;
+use crate::region::MachinePool;
 
 impl<N: Net> Controller<N> {
     /// Tells the other controllers how we are: the leader all and often, since it
@@ -178,7 +179,8 @@
             } => {
                 let context = context!(self);
                 if let Some(r) = self.regions.get_mut(&region) {
-                    r.cordon_surplus((&machine_type, &zone, spot), count, &context);
+                    let pool = MachinePool::new(&machine_type, &zone, spot);
+                    r.cordon_surplus(&pool, count, &context);
                 }
             }
             Message::Go {
--- a/src/region.rs
+++ b/src/region.rs
@@ -34,6 +34,7 @@
 
 pub use constrained_types::{only_fitting_type, ConstrainedTypes};
 pub use machine::MachineState;
+pub use machine_pool::MachinePool;
 pub use provisioning::is_provisioning_trouble;
 pub use queue::{latest_start, waiting_spans};
 pub use task::TaskState;
@@ -54,7 +55,6 @@
 use machine::Machine;
 use machine_index::IndexEntry;
 use machine_inventory::MachineInventory;
-use machine_pool::MachinePool;
 use machine_records::MachineRecordChanges;
 use placement::PlacementTriggers;
 use queue::{JobQueue, OrderKey};
@@ -224,9 +224,9 @@
         for id in ids {
             r.on_progress(&id, context);
         }
-        r.try_finish_recovery(context);
+        r.try_complete_reconciliation(context);
         if is_disabled(Safeguard::Recovery) && !r.reconciliation.is_complete() {
-            r.finish_recovery(context);
+            r.complete_reconciliation(context);
         }
         r
     }
@@ -398,7 +398,7 @@
                 }
             }
             if !self.reconciliation.is_complete() {
-                self.try_finish_recovery(context);
+                self.try_complete_reconciliation(context);
             }
         }
         self.place_pending(context);
--- a/src/region/failure_attribution.rs
+++ b/src/region/failure_attribution.rs
@@ -132,7 +132,7 @@
 
 impl Region {
     /// A task of a job failed on a machine. Returns the job's back-off.
-    pub(super) fn on_failed(
+    pub(super) fn on_task_failed(
         &mut self,
         machine: &str,
         id: &JobId,
--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -35,7 +35,16 @@
     AwaitsRecord,
 }
 
-/// Where a reported task's attempt stands with the region.
+/// What follows from all tasks that a heartbeat lists.
+#[derive(Default)]
+struct ReportedTasks {
+    /// Tasks that run on the machine as they should.
+    kept: BTreeSet<(JobId, u32)>,
+    /// What the worker is sent about the others.
+    replies: Vec<Command>,
+}
+
+/// Which attempt of a task a worker reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Attempt {
     /// It was dispatched to the machine by this owner, or adopted.
@@ -66,27 +75,17 @@
             .tasks(&name)
             .any(|(_, assignment)| assignment.state == TaskState::Dispatched);
         let answers_lost = self.record_heartbeat(&name, heartbeat, context);
-        let mut listed = BTreeSet::new();
-        let mut replies = Vec::new();
-        for task in &heartbeat.tasks {
-            match self.on_reported_task(&name, task, context) {
-                TaskOutcome::Kept => {
-                    listed.insert((task.job.clone(), task.task));
-                }
-                TaskOutcome::Reply(command) => replies.push(command),
-                TaskOutcome::AwaitsRecord => {}
-            }
-        }
-        let start_ignored = self.return_missing_tasks(&name, &listed, context);
+        let ReportedTasks { kept, replies } = self.apply_reported_tasks(&name, heartbeat, context);
+        let start_ignored = self.return_missing_tasks(&name, &kept, context);
         let starts_carried_out = starts_sent.then_some(!start_ignored);
         let evidence = AnswerEvidence::new(answers_lost, starts_carried_out);
         self.update_reachability(&name, evidence, context);
         if !self.reconciliation.is_complete() {
-            self.try_finish_recovery(context);
+            self.try_complete_reconciliation(context);
         }
         self.place_pending(context);
         self.reassign_to_reporting(&name, context);
-        HeartbeatOutcome::Accepted(self.append_commands(&name, replies, context))
+        HeartbeatOutcome::Accepted(self.answer_commands(&name, replies, context))
     }
 
     /// Why a heartbeat is not to be applied, if so.
@@ -141,19 +140,38 @@
         answers_lost
     }
 
-    /// Tasks that should be on the machine but were not listed are pending again. Returns
-    /// whether one of them was dispatched in the last answer.
+    fn apply_reported_tasks(
+        &mut self,
+        machine: &Rc<str>,
+        heartbeat: &Heartbeat,
+        context: &SchedulingContext<'_>,
+    ) -> ReportedTasks {
+        let mut reported = ReportedTasks::default();
+        for task in &heartbeat.tasks {
+            match self.on_reported_task(machine, task, context) {
+                TaskOutcome::Kept => {
+                    reported.kept.insert((task.job.clone(), task.task));
+                }
+                TaskOutcome::Reply(command) => reported.replies.push(command),
+                TaskOutcome::AwaitsRecord => {}
+            }
+        }
+        reported
+    }
+
+    /// Tasks that should be on the machine but are not among those kept are pending again.
+    /// Returns whether one of them was dispatched in the last answer.
     fn return_missing_tasks(
         &mut self,
         name: &str,
-        listed: &BTreeSet<(JobId, u32)>,
+        kept: &BTreeSet<(JobId, u32)>,
         context: &SchedulingContext<'_>,
     ) -> bool {
         let missing: Vec<((JobId, u32), TaskState)> = self
             .inventory
             .tasks(name)
             .filter(|(_, assignment)| assignment.state != TaskState::Assigned)
-            .filter(|(task, _)| !listed.contains(*task))
+            .filter(|(task, _)| !kept.contains(*task))
             .map(|(task, assignment)| (task.clone(), assignment.state))
             .collect();
         let start_ignored = missing
@@ -416,25 +434,21 @@
         reason: ExitReason,
         context: &SchedulingContext<'_>,
     ) {
-        log::debug!(
-            "region={} machine={machine} job={} task={}: ended: {reason:?}",
+        let level = match reason {
+            ExitReason::NoCapacity => log::Level::Info,
+            _ => log::Level::Debug,
+        };
+        log::log!(
+            level,
+            "region={} machine={machine} job={} task={}: ended without a result: {reason:?}",
             self.name,
             task.job,
             task.task
         );
         let backoff = match reason {
-            ExitReason::Failed => self.on_failed(machine, &task.job, context),
+            ExitReason::Failed => self.on_task_failed(machine, &task.job, context),
             ExitReason::UnknownTask => UNKNOWN_TASK_BACKOFF,
-            ExitReason::NoCapacity => {
-                log::info!(
-                    "region={} machine={machine} job={} task={}: rejected, no capacity",
-                    self.name,
-                    task.job,
-                    task.task
-                );
-                REJECTED_BACKOFF
-            }
-            ExitReason::AttemptConflict => REJECTED_BACKOFF,
+            ExitReason::NoCapacity | ExitReason::AttemptConflict => REJECTED_BACKOFF,
             _ => 0,
         };
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -456,7 +470,7 @@
 
     /// Completes the answer to a machine's heartbeat: replies about listed tasks, then stops,
     /// then starts, `MAX_COMMANDS` at the most.
-    fn append_commands(
+    fn answer_commands(
         &mut self,
         name: &str,
         replies: Vec<Command>,
--- a/src/region/machine_checks.rs
+++ b/src/region/machine_checks.rs
@@ -82,8 +82,8 @@
 /// What the lack of heartbeats shows of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Silence {
-    /// Nothing yet.
-    None,
+    /// It reports, or may still do.
+    NotSilent,
     /// It runs no task any more.
     LeaseExpired,
     /// It is gone or cut off: the cloud's answer to its release proves it empty long before
@@ -103,7 +103,7 @@
     pub(super) fn check_due_machines(&mut self, context: &SchedulingContext<'_>) {
         let pass = CheckPass {
             context,
-            most_report: self.do_most_machines_report(context),
+            most_report: self.most_machines_report(context),
         };
         let mut to_release = Vec::new();
         while let Some(name) = self.inventory.take_due_check(context.now) {
@@ -125,7 +125,7 @@
     }
 
     /// Whether at least half of the activated machines reported lately.
-    fn do_most_machines_report(&self, context: &SchedulingContext<'_>) -> bool {
+    fn most_machines_report(&self, context: &SchedulingContext<'_>) -> bool {
         let since = context.now.saturating_sub(3 * context.settings.report);
         let reported = self.inventory.count_reported_since(since);
         reported * 2 >= self.inventory.activated_count()
@@ -139,12 +139,12 @@
             return CheckOutcome::Stop;
         }
         match self.silence(name, machine, pass) {
-            Silence::None => {}
+            Silence::NotSilent => {}
             Silence::Lost(reason) => return CheckOutcome::Release(reason),
             Silence::LeaseExpired => {
                 log::info!("region={} machine={name}: lease expired", self.name);
-                self.machine_is_empty(name, pass.context);
-                self.try_finish_recovery(pass.context);
+                self.on_machine_empty(name, pass.context);
+                self.try_complete_reconciliation(pass.context);
             }
         }
         let state = self.inventory.machine(name).map(|machine| machine.state);
@@ -167,7 +167,7 @@
             }
         };
         if !must_report {
-            return Silence::None;
+            return Silence::NotSilent;
         }
         let (now, settings) = (pass.context.now, pass.context.settings);
         let silent_for = |timeout: Micros| now > machine.last_heartbeat_at + timeout;
@@ -184,7 +184,7 @@
         {
             Silence::Lost(CordonReason::Silent)
         } else {
-            Silence::None
+            Silence::NotSilent
         }
     }
 
--- a/src/region/machine_inventory.rs
+++ b/src/region/machine_inventory.rs
@@ -375,14 +375,6 @@
         Some(first)
     }
 
-    /// The cloud has not confirmed a release. It may be carried out late, so the machine stays
-    /// cordoned, and its release is requested again.
-    pub(super) fn release_unconfirmed(&mut self, name: &str) {
-        if let Some(machine) = self.machines.get_mut(name) {
-            machine.releasing = false;
-        }
-    }
-
     /// The cloud has confirmed that a machine no longer exists.
     pub(super) fn machine_gone(&mut self, name: &Rc<str>) {
         if let Some(machine) = self.machines.get_mut(name) {
--- a/src/region/machine_lifecycle.rs
+++ b/src/region/machine_lifecycle.rs
@@ -12,7 +12,7 @@
 
 impl Region {
     /// The machine is proven to run no task any more: its tasks are pending again.
-    pub(super) fn machine_is_empty(&mut self, name: &str, context: &SchedulingContext<'_>) {
+    pub(super) fn on_machine_empty(&mut self, name: &str, context: &SchedulingContext<'_>) {
         if self.inventory.machine(name).is_none() {
             return;
         }
@@ -45,18 +45,15 @@
         self.triggers.machines.extend(uncordoned);
     }
 
-    /// The leader finds that all regions together can do without some machines of a pool
-    /// (type, zone, spot): those with the fewest tasks are drained. Tasks are never moved or
-    /// stopped for it.
+    /// The leader finds that all regions together can do without some machines of a pool:
+    /// those with the fewest tasks are drained. Tasks are never moved or stopped for it.
     pub fn cordon_surplus(
         &mut self,
-        pool: (&str, &str, bool),
+        pool: &MachinePool,
         count: u32,
         context: &SchedulingContext<'_>,
     ) {
-        let (machine_type, zone, spot) = pool;
-        let key = MachinePool::new(machine_type, zone, spot);
-        let Some(pool) = self.inventory.index().pool(&key) else {
+        let Some(pool) = self.inventory.index().pool(pool) else {
             return;
         };
         let mut candidates: Vec<(usize, Rc<str>)> = pool
@@ -76,21 +73,17 @@
         }
     }
 
-    /// The cloud has answered a request to release machines: `gone` if they no longer exist
-    /// for sure.
-    pub fn on_released(&mut self, names: &[String], gone: bool, context: &SchedulingContext<'_>) {
+    /// The cloud has confirmed that machines no longer exist. Names of other regions' machines
+    /// may be among them.
+    pub fn on_released(&mut self, names: &[String], context: &SchedulingContext<'_>) {
         for name in names {
             let Some(name) = self.inventory.shared_name(name) else {
                 continue;
             };
-            if gone {
-                self.inventory.machine_gone(&name);
-                self.machine_is_empty(&name, context);
-                self.machine_records.request_removal(name);
-            } else {
-                self.inventory.release_unconfirmed(&name);
-            }
+            self.inventory.machine_gone(&name);
+            self.on_machine_empty(&name, context);
+            self.machine_records.request_removal(name);
         }
-        self.try_finish_recovery(context);
+        self.try_complete_reconciliation(context);
     }
 }
--- a/src/region/machine_membership.rs
+++ b/src/region/machine_membership.rs
@@ -41,10 +41,10 @@
         if self.inventory.machine(name).is_none() {
             return;
         }
-        self.machine_is_empty(name, context);
+        self.on_machine_empty(name, context);
         self.inventory.remove(name);
         self.machine_records.forget(name);
         self.reconciliation.machine_reconciled(name);
-        self.try_finish_recovery(context);
+        self.try_complete_reconciliation(context);
     }
 }
--- a/src/region/machine_records.rs
+++ b/src/region/machine_records.rs
@@ -361,17 +361,17 @@
                 builder.add(name, &machine.record);
             }
         }
-        let transaction = builder.finish();
-        if transaction.machines.is_empty() {
+        let RecordTransaction {
+            conditions,
+            changes,
+            machines,
+        } = builder.finish();
+        if machines.is_empty() {
             return;
         }
         self.machine_records.activations.in_flight = true;
-        self.commit(
-            transaction.conditions,
-            transaction.changes,
-            CommitPriority::Normal,
-            CommitKind::ActivateMachines(transaction.machines),
-        );
+        let kind = CommitKind::ActivateMachines(machines);
+        self.commit(conditions, changes, CommitPriority::Normal, kind);
     }
 
     fn commit_removals(&mut self, context: &SchedulingContext<'_>) {
@@ -381,16 +381,16 @@
                 builder.add(name, &machine.record);
             }
         }
-        let transaction = builder.finish();
-        if transaction.machines.is_empty() {
+        let RecordTransaction {
+            conditions,
+            changes,
+            machines,
+        } = builder.finish();
+        if machines.is_empty() {
             return;
         }
         self.machine_records.removals.in_flight = true;
-        self.commit(
-            transaction.conditions,
-            transaction.changes,
-            CommitPriority::Background,
-            CommitKind::RemoveMachines(transaction.machines),
-        );
+        let kind = CommitKind::RemoveMachines(machines);
+        self.commit(conditions, changes, CommitPriority::Background, kind);
     }
 }
--- a/src/region/reachability.rs
+++ b/src/region/reachability.rs
@@ -41,7 +41,7 @@
     /// All starts that were sent were carried out.
     StartsCarriedOut,
     /// No start was sent.
-    None,
+    NoStartSent,
 }
 
 impl AnswerEvidence {
@@ -51,7 +51,7 @@
             (true, _) => AnswerEvidence::SessionRestarted,
             (false, Some(false)) => AnswerEvidence::StartIgnored,
             (false, Some(true)) => AnswerEvidence::StartsCarriedOut,
-            (false, None) => AnswerEvidence::None,
+            (false, None) => AnswerEvidence::NoStartSent,
         }
     }
 }
@@ -153,3 +153,6 @@
         self.inventory.schedule_check(name, context.now);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/region/reachability/tests.rs
@@ -0,0 +1,53 @@
+//! Tests of reachability.
+
+use super::*;
+
+const LEASE: Micros = 20;
+
+/// Every transition: the state before, what the heartbeat shows, and the state after.
+#[test]
+fn transitions() {
+    use AnswerEvidence::{NoStartSent, SessionRestarted, StartIgnored, StartsCarriedOut};
+    use Reachability::{Reachable, Suspect};
+    let unreachable = |since, times| Reachability::Unreachable { since, times };
+    let now = 100;
+    for (before, evidence, after) in [
+        (Reachable, NoStartSent, Reachable),
+        (Reachable, StartsCarriedOut, Reachable),
+        (Reachable, StartIgnored, Suspect(1)),
+        (Reachable, SessionRestarted, unreachable(now, 1)),
+        (Suspect(1), NoStartSent, Suspect(1)),
+        (Suspect(1), StartsCarriedOut, Reachable),
+        (Suspect(1), StartIgnored, unreachable(now, 1)),
+        (Suspect(1), SessionRestarted, unreachable(now, 1)),
+        // Reachable again only once the session has lasted for longer than a lease.
+        (unreachable(80, 1), NoStartSent, unreachable(80, 1)),
+        (unreachable(80, 1), StartsCarriedOut, unreachable(80, 1)),
+        (unreachable(79, 1), NoStartSent, Reachable),
+        (unreachable(79, 1), StartsCarriedOut, Reachable),
+        // Found unreachable again: the time starts anew, and the times are counted.
+        (unreachable(79, 1), StartIgnored, unreachable(now, 2)),
+        (unreachable(79, 3), SessionRestarted, unreachable(now, 4)),
+    ] {
+        assert_eq!(
+            before.after(evidence, now, LEASE),
+            after,
+            "{before:?}, {evidence:?}"
+        );
+    }
+}
+
+/// A restarted session outweighs starts that were carried out; no start proves nothing.
+#[test]
+fn evidence() {
+    for (restarted, carried_out, expected) in [
+        (false, None, AnswerEvidence::NoStartSent),
+        (false, Some(true), AnswerEvidence::StartsCarriedOut),
+        (false, Some(false), AnswerEvidence::StartIgnored),
+        (true, None, AnswerEvidence::SessionRestarted),
+        (true, Some(true), AnswerEvidence::SessionRestarted),
+        (true, Some(false), AnswerEvidence::SessionRestarted),
+    ] {
+        assert_eq!(AnswerEvidence::new(restarted, carried_out), expected);
+    }
+}
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -60,7 +60,7 @@
 
 impl Region {
     /// Completes reconciliation once no machine is left to wait for.
-    pub(super) fn try_finish_recovery(&mut self, context: &SchedulingContext<'_>) {
+    pub(super) fn try_complete_reconciliation(&mut self, context: &SchedulingContext<'_>) {
         if self.reconciliation.is_complete {
             return;
         }
@@ -80,11 +80,11 @@
         {
             return;
         }
-        self.finish_recovery(context);
+        self.complete_reconciliation(context);
     }
 
     /// Completes reconciliation: tasks that no machine has reported are pending from now on.
-    pub(super) fn finish_recovery(&mut self, context: &SchedulingContext<'_>) {
+    pub(super) fn complete_reconciliation(&mut self, context: &SchedulingContext<'_>) {
         self.reconciliation.is_complete = true;
         self.triggers.all = true;
         log::info!(
--- a/src/region/tests.rs
+++ b/src/region/tests.rs
@@ -189,7 +189,7 @@
         assert_eq!(got, released, "{reporting:?}");
         assert!(!r.is_reconciled());
         if released {
-            r.on_released(&["m-3".into()], true, &f.context(17 * SECOND));
+            r.on_released(&["m-3".into()], &f.context(17 * SECOND));
         }
         assert_eq!(r.is_reconciled(), released);
         r.tick(&f.context(19 * SECOND));
@@ -706,7 +706,7 @@
     let late = report("m-1", 99, 7, &[("req-1", 0, 5)]);
     let v = f.context(31 * SECOND);
     r.on_heartbeat(&report("m-1", 40, 7, &[]), &v);
-    r.machine_is_empty("m-1", &v);
+    r.on_machine_empty("m-1", &v);
     assert_eq!(r.on_heartbeat(&late, &v), HeartbeatOutcome::Stale);
 }
 
