--- a/src/region.rs
+++ b/src/region.rs
@@ -9,6 +9,7 @@
 mod constrained_types;
 mod failure_attribution;
 mod gangs;
+mod heartbeat_answers;
 mod heartbeats;
 mod interruption;
 mod job;
@@ -31,6 +32,7 @@
 mod reservation;
 mod runtime_estimates;
 mod task;
+mod task_reports;
 
 pub use constrained_types::{only_fitting_type, ConstrainedTypes};
 pub use machine::MachineState;
@@ -344,7 +346,7 @@
                 let Some(m) = self.inventory.machine(machine) else {
                     return;
                 };
-                let brings = !m.images.contains(&job.spec.image);
+                let brings = !m.has_image(&job.spec.image);
                 if to == TaskState::Assigned {
                     job.last_assigned = now;
                 }
--- a/src/region/machine.rs
+++ b/src/region/machine.rs
@@ -16,7 +16,7 @@
 use super::machine_index::IndexEntry;
 use super::machine_pool::MachinePool;
 use super::reachability::Reachability;
-use super::task::Assignment;
+use super::task::{Assignment, TaskState};
 use crate::settings::Settings;
 use crate::worker_protocol::{Heartbeat, HeartbeatId};
 
@@ -79,9 +79,9 @@
     /// What the machine type provides; zero while the type is unknown.
     pub(super) capacity: Resources,
     /// What the assigned tasks take.
-    pub(super) used: Resources,
+    used: Resources,
     /// The part of `used` taken by flexible tasks, which fit on other machine types too.
-    pub(super) used_by_flexible: Resources,
+    used_by_flexible: Resources,
     /// Where the machine index lists it.
     pub(super) index_entry: IndexEntry,
     pub(super) state: MachineState,
@@ -93,7 +93,7 @@
     /// When `last_heartbeat` came in; before the first, when the machine became known.
     pub(super) last_heartbeat_at: Micros,
     /// Since when its heartbeats have come in and been answered without a gap.
-    pub(super) answered_without_gap_since: Micros,
+    answered_without_gap_since: Micros,
     /// Answers to heartbeats with an outdated token since the last one with the current token.
     pub(super) unconfirmed_answers: u32,
     pub(super) reachability: Reachability,
@@ -108,7 +108,7 @@
     pub(super) idle_since: Micros,
     pub(super) failures: MachineFailures,
     /// Container images that it has or that assigned tasks bring to it.
-    pub(super) images: BTreeSet<String>,
+    images: BTreeSet<String>,
     /// Why it gets no more tasks, if so.
     pub(super) cordoned: Option<CordonReason>,
     /// A request for its release is under way.
@@ -163,6 +163,40 @@
         self.capacity.minus(self.used)
     }
 
+    /// The part of its free capacity that flexible tasks may take, which fit on other machine
+    /// types too. `reserved`: what is reserved on each machine of its pool.
+    fn free_for_flexible(&self, reserved: Option<Resources>) -> Resources {
+        match reserved {
+            Some(reserved) => {
+                let open = self.capacity.minus(reserved);
+                self.free().min_each(open.minus(self.used_by_flexible))
+            }
+            None => self.free(),
+        }
+    }
+
+    /// How the index is to list it. `reserved`: what is reserved on each machine of its pool.
+    pub(super) fn expected_index_entry(&self, reserved: Option<Resources>) -> IndexEntry {
+        if self.is_unreachable() {
+            IndexEntry::Unlisted
+        } else if self.accepts_tasks() {
+            IndexEntry::Available {
+                free: self.free(),
+                free_for_flexible: self.free_for_flexible(reserved),
+                task_count: self.tasks.len() as u32,
+            }
+        } else if self.is_usable() && self.state != MachineState::LeaseExpired && !self.is_overdue {
+            IndexEntry::Provisioning
+        } else {
+            IndexEntry::Unlisted
+        }
+    }
+
+    /// Whether it has a container image, or an assigned task brings it.
+    pub(super) fn has_image(&self, image: &str) -> bool {
+        self.images.contains(image)
+    }
+
     /// Whether the machine index may list it, now or once it has booted.
     pub(super) fn is_usable(&self) -> bool {
         self.cordoned.is_none()
@@ -200,6 +234,59 @@
         self.has_never_reported() && self.assigned_at > acquired_at
     }
 
+    /// Adds a task, which brings its image to the machine.
+    pub(super) fn add_assignment(
+        &mut self,
+        task: (JobId, u32),
+        assignment: Assignment,
+        image: &str,
+    ) {
+        self.used = self.used.plus(assignment.resources());
+        if !assignment.constrained {
+            self.used_by_flexible = self.used_by_flexible.plus(assignment.resources());
+        }
+        if !self.has_image(image) {
+            self.images.insert(image.to_owned());
+        }
+        self.tasks.insert(task, assignment);
+    }
+
+    /// Removes a task. The machine is idle from `now` on if the task was on it and no other
+    /// task justifies its cost; see [`Machine::serves_its_purpose`] for `reserved`.
+    pub(super) fn remove_assignment(
+        &mut self,
+        task: &(JobId, u32),
+        reserved: bool,
+        now: Micros,
+    ) -> Option<Assignment> {
+        let assignment = self.tasks.remove(task)?;
+        self.used = self.used.minus(assignment.resources());
+        if !assignment.constrained {
+            self.used_by_flexible = self.used_by_flexible.minus(assignment.resources());
+        }
+        let served_its_purpose = assignment.constrained || !reserved;
+        if served_its_purpose
+            && !self.serves_its_purpose(reserved)
+            && assignment.state != TaskState::Assigned
+        {
+            self.idle_since = now;
+        }
+        Some(assignment)
+    }
+
+    /// A task that was to bring an image to the machine is not started there: unless another
+    /// task of its job is, the machine won't have the image.
+    pub(super) fn forget_image(&mut self, id: &JobId, image: &str) {
+        let first = (id.clone(), 0);
+        let mut others = self.tasks.range_mut(first..);
+        match others.next().filter(|((job, _), _)| job == id) {
+            Some((_, other)) => other.image_missing = true,
+            None => {
+                self.images.remove(image);
+            }
+        }
+    }
+
     /// Takes over a newer heartbeat under the current token. Returns whether the worker's
     /// session restarted although its heartbeats had been answered without a gap, which shows
     /// that the answers do not arrive.
--- a/src/region/machine_inventory.rs
+++ b/src/region/machine_inventory.rs
@@ -19,7 +19,8 @@
 use super::machine_pool::MachinePool;
 use super::provisioning::ProvisioningTracker;
 use super::reachability::Reachability;
-use super::task::{Assignment, TaskState};
+use super::task::Assignment;
+use crate::peer_protocol::ProvisioningHealth;
 use crate::settings::Settings;
 use crate::state_store::replica::Replica;
 use crate::worker_protocol::Heartbeat;
@@ -117,9 +118,9 @@
         &self.provisioning
     }
 
-    /// The same, to be changed.
-    pub(super) fn provisioning_mut(&mut self) -> &mut ProvisioningTracker {
-        &mut self.provisioning
+    /// Pools with overdue machines.
+    pub(super) fn provisioning_health(&mut self, now: Micros) -> Vec<ProvisioningHealth> {
+        self.provisioning.health(now)
     }
 
     /// Machine types of which capacity is reserved.
@@ -420,66 +421,36 @@
     /// Adds a task, which brings its image to the machine.
     pub(super) fn add_assignment(
         &mut self,
-        machine: &str,
+        name: &str,
         task: (JobId, u32),
         assignment: Assignment,
         image: &str,
     ) {
-        let name = machine;
-        let Some(machine) = self.machines.get_mut(name) else {
-            return;
-        };
-        machine.used = machine.used.plus(assignment.resources());
-        if !assignment.constrained {
-            machine.used_by_flexible = machine.used_by_flexible.plus(assignment.resources());
-        }
-        if !machine.images.contains(image) {
-            machine.images.insert(image.to_owned());
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.add_assignment(task, assignment, image);
+            self.reindex(name);
         }
-        machine.tasks.insert(task, assignment);
-        self.reindex(name);
     }
 
-    /// Removes a task. The machine is idle from now on if the task was on it and no other
-    /// task justifies its cost.
+    /// Removes a task.
     pub(super) fn remove_assignment(
         &mut self,
-        machine: &str,
+        name: &str,
         id: &JobId,
         task: u32,
         now: Micros,
     ) -> Option<Assignment> {
-        let name = machine;
         let machine = self.machines.get_mut(name)?;
-        let assignment = machine.tasks.remove(&(id.clone(), task))?;
-        machine.used = machine.used.minus(assignment.resources());
-        if !assignment.constrained {
-            machine.used_by_flexible = machine.used_by_flexible.minus(assignment.resources());
-        }
         let reserved = self.index.reserved(&machine.pool).is_some();
-        if (assignment.constrained || !reserved)
-            && !machine.serves_its_purpose(reserved)
-            && assignment.state != TaskState::Assigned
-        {
-            machine.idle_since = now;
-        }
+        let assignment = machine.remove_assignment(&(id.clone(), task), reserved, now)?;
         self.reindex(name);
         Some(assignment)
     }
 
-    /// A task that was to bring an image to the machine is not started there: unless another
-    /// task of its job is, the machine won't have the image.
-    pub(super) fn forget_image(&mut self, machine: &str, id: &JobId, image: &str) {
-        let Some(machine) = self.machines.get_mut(machine) else {
-            return;
-        };
-        let first = (id.clone(), 0);
-        let mut others = machine.tasks.range_mut(first..);
-        match others.next().filter(|((job, _), _)| job == id) {
-            Some((_, other)) => other.image_missing = true,
-            None => {
-                machine.images.remove(image);
-            }
+    /// A task that was to bring an image to the machine is not started there.
+    pub(super) fn forget_image(&mut self, name: &str, id: &JobId, image: &str) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.forget_image(id, image);
         }
     }
 }
@@ -518,40 +489,12 @@
     /// Brings the index up to date with what is known of a machine.
     fn reindex(&mut self, name: &str) {
         if let Some(machine) = self.machines.get(name) {
-            let entry = self.index_entry(machine);
+            let reserved = self.index.reserved(&machine.pool);
+            let entry = machine.expected_index_entry(reserved);
             self.set_index_entry(name, entry);
         }
     }
 
-    fn index_entry(&self, machine: &Machine) -> IndexEntry {
-        if machine.is_unreachable() {
-            return IndexEntry::Unlisted;
-        }
-        if machine.accepts_tasks() {
-            let free = machine.free();
-            let free_for_flexible = match self.index.reserved(&machine.pool) {
-                Some(reserved) => {
-                    let open = machine.capacity.minus(reserved);
-                    free.min_each(open.minus(machine.used_by_flexible))
-                }
-                None => free,
-            };
-            return IndexEntry::Available {
-                free,
-                free_for_flexible,
-                task_count: machine.tasks.len() as u32,
-            };
-        }
-        let will_accept_tasks = machine.is_usable()
-            && machine.state != MachineState::LeaseExpired
-            && !machine.is_overdue;
-        if will_accept_tasks {
-            IndexEntry::Provisioning
-        } else {
-            IndexEntry::Unlisted
-        }
-    }
-
     fn set_index_entry(&mut self, name: &str, entry: IndexEntry) {
         let Some(shared) = self.shared_name(name) else {
             return;
--- a/src/region/placement.rs
+++ b/src/region/placement.rs
@@ -119,7 +119,7 @@
                         wide && self.inventory.index().reserved(k).is_some(),
                         job.failures.failed_on(name),
                         held,
-                        !m.images.contains(&s.image),
+                        !m.has_image(&s.image),
                         !k.spot && s.allows_spot,
                     )
                 })
@@ -184,7 +184,7 @@
                     .map_or(0, |f| f.value.fetch_rate);
                 (s.image_size * SECOND).checked_div(speed).unwrap_or(0)
             };
-            let here = if m.images.contains(&s.image) {
+            let here = if m.has_image(&s.image) {
                 0
             } else {
                 fetch(&m.pool)
--- a/src/region/provisioning.rs
+++ b/src/region/provisioning.rs
@@ -120,7 +120,7 @@
     }
 
     /// Pools with overdue machines.
-    fn health(&mut self, now: Micros) -> Vec<ProvisioningHealth> {
+    pub(super) fn health(&mut self, now: Micros) -> Vec<ProvisioningHealth> {
         let mut pools = Vec::new();
         for (pool, history) in &mut self.by_pool {
             history.expire(now);
@@ -143,6 +143,6 @@
 impl Region {
     /// What the leader is sent about provisioning in this region: pools with overdue machines.
     pub fn provisioning_health(&mut self, now: Micros) -> Vec<ProvisioningHealth> {
-        self.inventory.provisioning_mut().health(now)
+        self.inventory.provisioning_health(now)
     }
 }
