--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -48,8 +48,7 @@
         let answers_lost = self.record_heartbeat(&name, heartbeat, context);
         let ReportedTasks { kept, replies } = self.apply_reported_tasks(&name, heartbeat, context);
         let start_ignored = self.return_missing_tasks(&name, &kept, context);
-        let starts_carried_out = starts_sent.then_some(!start_ignored);
-        let evidence = AnswerEvidence::new(answers_lost, starts_carried_out);
+        let evidence = AnswerEvidence::new(answers_lost, starts_sent, start_ignored);
         self.update_reachability(&name, evidence, context);
         if !self.reconciliation.is_complete() {
             self.try_complete_reconciliation(context);
--- a/src/region/reachability.rs
+++ b/src/region/reachability.rs
@@ -45,13 +45,16 @@
 }
 
 impl AnswerEvidence {
-    /// `starts_carried_out` is `None` if no start was sent.
-    pub(super) fn new(session_restarted: bool, starts_carried_out: Option<bool>) -> Self {
-        match (session_restarted, starts_carried_out) {
-            (true, _) => AnswerEvidence::SessionRestarted,
-            (false, Some(false)) => AnswerEvidence::StartIgnored,
-            (false, Some(true)) => AnswerEvidence::StartsCarriedOut,
-            (false, None) => AnswerEvidence::NoStartSent,
+    /// A restarted session outweighs what became of the starts in the last answer.
+    pub(super) fn new(session_restarted: bool, starts_sent: bool, start_ignored: bool) -> Self {
+        if session_restarted {
+            AnswerEvidence::SessionRestarted
+        } else if !starts_sent {
+            AnswerEvidence::NoStartSent
+        } else if start_ignored {
+            AnswerEvidence::StartIgnored
+        } else {
+            AnswerEvidence::StartsCarriedOut
         }
     }
 }
--- a/src/region/reachability/tests.rs
+++ b/src/region/reachability/tests.rs
@@ -40,14 +40,14 @@
 /// A restarted session outweighs starts that were carried out; no start proves nothing.
 #[test]
 fn evidence() {
-    for (restarted, carried_out, expected) in [
-        (false, None, AnswerEvidence::NoStartSent),
-        (false, Some(true), AnswerEvidence::StartsCarriedOut),
-        (false, Some(false), AnswerEvidence::StartIgnored),
-        (true, None, AnswerEvidence::SessionRestarted),
-        (true, Some(true), AnswerEvidence::SessionRestarted),
-        (true, Some(false), AnswerEvidence::SessionRestarted),
+    for (restarted, sent, ignored, expected) in [
+        (false, false, false, AnswerEvidence::NoStartSent),
+        (false, true, false, AnswerEvidence::StartsCarriedOut),
+        (false, true, true, AnswerEvidence::StartIgnored),
+        (true, false, false, AnswerEvidence::SessionRestarted),
+        (true, true, false, AnswerEvidence::SessionRestarted),
+        (true, true, true, AnswerEvidence::SessionRestarted),
     ] {
-        assert_eq!(AnswerEvidence::new(restarted, carried_out), expected);
+        assert_eq!(AnswerEvidence::new(restarted, sent, ignored), expected);
     }
 }
