--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -1,329 +1,155 @@
-//! Workers' reports, and the commands that answer them.
+//! Acceptance of workers' heartbeats.
+//!
+//! A heartbeat that is accepted lists all tasks on the machine (see `task_reports`): those
+//! missing are pending again. The answer stops and starts tasks (see `heartbeat_answers`).
 
-use super::*;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+use salttiller_records::model::JobId;
+
+use super::machine::MachineState;
+use super::reachability::AnswerEvidence;
+use super::task_reports::TaskOutcome;
+use super::{HeartbeatOutcome, Region, SchedulingContext, TaskState};
+use crate::fault_injection::{is_disabled, Safeguard};
+use crate::worker_protocol::{Command, Heartbeat};
+
+/// What follows from all tasks that a heartbeat lists.
+#[derive(Default)]
+struct ReportedTasks {
+    /// Tasks that run on the machine as they should.
+    kept: BTreeSet<(JobId, u32)>,
+    /// What the worker is sent about the others.
+    replies: Vec<Command>,
+}
 
 impl Region {
-    /// Takes a report and says what to answer. The caller has checked our
-    /// authority and checks it again when the answer is written.
+    /// Applies a heartbeat and returns what to answer. The caller has checked that the region
+    /// is owned and checks it again when the answer is written.
     pub fn on_heartbeat(
         &mut self,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         context: &SchedulingContext<'_>,
     ) -> HeartbeatOutcome {
-        let Some((name, m)) = self.inventory.machines.get_key_value(&*r.machine) else {
+        let Some(name) = self.inventory.shared_name(&heartbeat.machine) else {
             return HeartbeatOutcome::UnknownMachine;
         };
-        let name = name.clone();
-        // Guards against reports that were held back, and copies: they are as
-        // old as their number says, and what they list may long be untrue.
-        let believe = is_disabled(Safeguard::ReportOrder);
-        if r.id <= m.last_heartbeat && !believe {
-            return HeartbeatOutcome::Stale;
-        }
-        // Guards against one that comes in after we have found the machine's lease
-        // over: had it been sent since, its session would be a later one.
-        if m.state == MachineState::LeaseExpired
-            && r.id.incarnation <= m.last_heartbeat.incarnation
-            && !believe
-        {
-            return HeartbeatOutcome::Stale;
-        }
-        // A report that a machine sent before the cloud took it back.
-        if m.is_gone {
-            return HeartbeatOutcome::UnknownMachine;
-        }
-        if r.token > self.token {
-            return HeartbeatOutcome::Superseded;
+        if let Some(refusal) = self.refusal(&name, heartbeat) {
+            return refusal;
         }
-        if r.token < self.token {
+        if heartbeat.token < self.token {
             return self.acknowledge_outdated_token(&name, context);
         }
-        let first = m.state != MachineState::Ready;
-        let booted = m.last_heartbeat == HeartbeatId::NONE
-            && m.assigned_at > self.reconciliation.acquired_at;
-        let sent = m.tasks.values().any(|h| h.state == TaskState::Dispatched);
-        let rose = self.record_heartbeat(&name, r, context);
-        if first {
-            log::info!("region: {name}: live in {}", self.name);
-            if booted {
-                self.note_provisioned(&name, context.now);
-            }
-            self.reconciliation.unreconciled.remove(&name);
-            self.triggers.machines.insert(name.clone());
-        }
-        let mut commands = Vec::new();
-        let mut listed: BTreeSet<(JobId, u32)> = BTreeSet::new();
-        for t in &r.tasks {
-            self.on_reported(&name, t, context, &mut listed, &mut commands);
-        }
-        let missing: Vec<(JobId, u32, TaskState)> = self.inventory.machines[&name]
-            .tasks
-            .iter()
-            .filter(|(k, h)| h.state != TaskState::Assigned && !listed.contains(*k))
-            .map(|(k, h)| (k.0.clone(), k.1, h.state))
-            .collect();
-        let unheeded = missing.iter().any(|(_, _, p)| *p == TaskState::Dispatched);
-        let heeded = sent.then_some(!unheeded);
-        for (id, n, _) in missing {
-            self.return_to_pending(&id, n, "not on its machine", context);
-        }
-        self.update_reachability(&name, rose, heeded, context);
-        self.reindex(&name);
-        if !self.reconciliation.is_complete {
-            self.try_finish_recovery(context);
+        let starts_sent = self
+            .inventory
+            .tasks(&name)
+            .any(|(_, assignment)| assignment.state == TaskState::Dispatched);
+        let answers_lost = self.record_heartbeat(&name, heartbeat, context);
+        let ReportedTasks { kept, replies } = self.apply_reported_tasks(&name, heartbeat, context);
+        let start_ignored = self.return_missing_tasks(&name, &kept, context);
+        let evidence = AnswerEvidence::new(answers_lost, starts_sent, start_ignored);
+        self.update_reachability(&name, evidence, context);
+        if !self.reconciliation.is_complete() {
+            self.try_complete_reconciliation(context);
         }
         self.place_pending(context);
         self.reassign_to_reporting(&name, context);
-        self.append_commands(&name, context, &mut commands);
-        HeartbeatOutcome::Accepted(commands)
+        HeartbeatOutcome::Accepted(self.answer_commands(&name, replies, context))
     }
 
-    pub(super) fn on_reported(
-        &mut self,
-        machine: &Rc<str>,
-        t: &crate::worker_protocol::ReportedTask,
-        context: &SchedulingContext<'_>,
-        listed: &mut BTreeSet<(JobId, u32)>,
-        commands: &mut Vec<Command>,
-    ) {
-        let rec = context.replica.jobs.get(&*t.job).map(|r| &r.value);
-        let held = self.inventory.machines[machine]
-            .tasks
-            .get(&(t.job.clone(), t.task))
-            .map(|h| (h.attempt, h.state));
-        if let ReportedState::Ended(end) = t.stage {
-            let ours = held.is_some_and(|(a, p)| a == t.attempt && p != TaskState::Assigned);
-            if ours || end == ExitReason::Done {
-                self.on_ended(machine, t, end, ours, context);
-            }
-            let open = !context.is_job_over(&t.job);
-            let recorded = self
-                .jobs
-                .get(&t.job)
-                .is_none_or(|j| j.done.contains(t.task) && !j.unrecorded_done.contains(t.task));
-            // A result is forgotten only once it is on record.
-            if end != ExitReason::Done || !open || recorded {
-                commands.push(Command::reap(t.job.clone(), t.task, t.attempt));
-            }
-            return;
+    /// Why a heartbeat is not to be applied, if so.
+    fn refusal(&self, name: &str, heartbeat: &Heartbeat) -> Option<HeartbeatOutcome> {
+        let machine = self.inventory.machine(name)?;
+        let is_order_checked = !is_disabled(Safeguard::ReportOrder);
+        // Guards against heartbeats that were held back, and copies: they are as old as their
+        // sequence number says, and what they list may long be untrue.
+        if heartbeat.id <= machine.last_heartbeat && is_order_checked {
+            return Some(HeartbeatOutcome::Stale);
+        }
+        // Guards against one that comes in after the machine's lease was found to be expired:
+        // had it been sent since, its session would be a later one.
+        if machine.state == MachineState::LeaseExpired
+            && heartbeat.id.incarnation <= machine.last_heartbeat.incarnation
+            && is_order_checked
+        {
+            return Some(HeartbeatOutcome::Stale);
         }
-        let key = (t.job.clone(), t.task);
-        match held {
-            Some((a, p)) if a == t.attempt => {
-                if p != TaskState::Reported(t.stage) {
-                    if let Some(m) = self.inventory.machines.get_mut(machine) {
-                        if let Some(h) = m.tasks.get_mut(&key) {
-                            h.state = TaskState::Reported(t.stage);
-                            if t.stage == ReportedState::Running {
-                                h.running_since.get_or_insert(context.now);
-                            }
-                        }
-                    }
-                }
-                listed.insert(key);
-            }
-            _ => {
-                if self.adopt(machine, t, rec, context) {
-                    listed.insert(key);
-                } else {
-                    commands.push(Command::stop(t.job.clone(), t.task, t.attempt, 0));
-                }
-            }
+        // The machine sent it before the cloud took the machine back.
+        if machine.is_gone {
+            return Some(HeartbeatOutcome::UnknownMachine);
         }
+        (heartbeat.token > self.token).then_some(HeartbeatOutcome::Superseded)
     }
 
-    /// A task on a machine that we didn't start: a former owner did. Whether it
-    /// may stay.
-    pub(super) fn adopt(
+    /// Records a newer heartbeat under the current token. Returns whether it shows that the
+    /// answers before it did not arrive.
+    fn record_heartbeat(
         &mut self,
-        machine: &str,
-        t: &crate::worker_protocol::ReportedTask,
-        rec: Option<&JobRecord>,
+        name: &Rc<str>,
+        heartbeat: &Heartbeat,
         context: &SchedulingContext<'_>,
     ) -> bool {
-        let over = context.is_job_over(&t.job);
-        if let (true, Some(spec)) = (over, rec.and_then(|r| r.spec.as_ref())) {
-            // Cancelled, but still there: counts against the limit until gone.
-            let narrow_to = only_fitting_type(spec, context.replica);
-            self.jobs.entry(t.job.clone()).or_insert_with(|| Job {
-                is_over: true,
-                ..Job::new(spec, narrow_to, context.now)
-            });
-        }
-        let Some(job) = self.jobs.get(&t.job) else {
-            log::info!("region: {}/{}: on {machine}, but not ours", t.job, t.task);
-            return false;
-        };
-        if job
-            .on_machines
-            .get(&t.task)
-            .is_some_and(|m| **m != *machine)
-        {
-            log::error!(
-                "region: {}/{}: on {machine} and on {} at once",
-                t.job,
-                t.task,
-                job.on_machines[&t.task]
-            );
-            return false;
-        }
-        if !over && !job.unreconciled.contains(t.task) && !job.on_machines.contains_key(&t.task) {
-            log::info!("region: {}/{}: on {machine}, not expected", t.job, t.task);
-            if !job.pending.contains(t.task) {
-                return false;
+        let (settings, now) = (context.settings, context.now);
+        let acquired_at = self.reconciliation.acquired_at();
+        let machine = self.inventory.machine(name);
+        let becomes_ready = machine.is_some_and(|machine| machine.state != MachineState::Ready);
+        let was_booting = machine.is_some_and(|machine| machine.is_booting_for(acquired_at));
+        self.request_activation(name);
+        let answers_lost = self
+            .inventory
+            .record_heartbeat(name, heartbeat, settings, now);
+        if becomes_ready {
+            log::info!("region={} machine={name}: ready", self.name);
+            if was_booting {
+                self.inventory.machine_booted(name, now);
             }
+            self.reconciliation.machine_reconciled(name);
+            self.triggers.machines.insert(name.clone());
         }
-        log::debug!("region: {}/{}: found on {machine}", t.job, t.task);
-        self.transition(
-            &t.job,
-            t.task,
-            TaskState::Reported(t.stage),
-            Some((machine, t.attempt)),
-            context.now,
-        );
-        true
+        answers_lost
     }
 
-    pub(super) fn on_ended(
+    fn apply_reported_tasks(
         &mut self,
-        machine: &str,
-        t: &crate::worker_protocol::ReportedTask,
-        end: ExitReason,
-        ours: bool,
+        machine: &Rc<str>,
+        heartbeat: &Heartbeat,
         context: &SchedulingContext<'_>,
-    ) {
-        let Some(job) = self.jobs.get_mut(&t.job) else {
-            return;
-        };
-        let service = job.spec.kind == JobKind::Service;
-        if end == ExitReason::Done && !service {
-            if job.is_over || job.done.contains(t.task) || !job.bound.contains(t.task) {
-                if ours {
-                    self.transition(&t.job, t.task, TaskState::Done, None, context.now);
-                    self.after_tasks_left(&t.job);
+    ) -> ReportedTasks {
+        let mut reported = ReportedTasks::default();
+        for task in &heartbeat.tasks {
+            match self.on_reported_task(machine, task, context) {
+                TaskOutcome::Kept => {
+                    reported.kept.insert((task.job.clone(), task.task));
                 }
-                return;
+                TaskOutcome::Reply(command) => reported.replies.push(command),
+                TaskOutcome::AwaitsRecord => {}
             }
-            // Only what is on no other machine can be settled here; a result
-            // is final wherever it was found.
-            let tasks: Vec<u32> = if job.spec.kind == JobKind::Gang {
-                job.bound.iter().collect()
-            } else {
-                vec![t.task]
-            };
-            job.failures.succeeded();
-            let gang = job.spec.kind == JobKind::Gang;
-            for n in tasks {
-                // Done, yet held on another machine: it counts there until that
-                // machine is rid of it. Guards against a gang of which one
-                // member hangs at the end: its place is not free yet.
-                let at = self
-                    .jobs
-                    .get(&t.job)
-                    .and_then(|j| j.on_machines.get(&n).filter(|m| ***m != *machine).cloned());
-                let held = at
-                    .as_ref()
-                    .and_then(|at| self.inventory.machines.get_mut(at))
-                    .and_then(|m| m.tasks.get_mut(&(t.job.clone(), n)))
-                    .filter(|h| h.state != TaskState::Assigned);
-                if let Some(h) = held {
-                    if !gang {
-                        log::error!(
-                            "region: {}/{n}: done on {machine}, but out elsewhere",
-                            t.job
-                        );
-                        h.stop_grace = Some(0);
-                    }
-                    if let Some(j) = self.jobs.get_mut(&t.job) {
-                        j.done.insert(n);
-                        j.unrecorded_done.insert(n);
-                        self.unrecorded_jobs.insert(t.job.clone());
-                    }
-                    continue;
-                }
-                self.transition(&t.job, n, TaskState::Done, None, context.now);
-            }
-            if let Some(m) = self.inventory.machines.get_mut(machine) {
-                m.failures.succeeded();
-            }
-            self.after_tasks_left(&t.job);
-            self.record_progress(&t.job, context);
-            return;
-        }
-        if !ours {
-            return;
-        }
-        log::debug!("region: {}/{}: ended on {machine}: {end:?}", t.job, t.task);
-        let wait = match end {
-            ExitReason::Failed => self.on_failed(machine, &t.job, context),
-            ExitReason::UnknownTask => 5 * SECOND,
-            ExitReason::NoCapacity => {
-                log::info!("region: {machine}: refused {}/{}: full", t.job, t.task);
-                SECOND
-            }
-            ExitReason::AttemptConflict => SECOND,
-            _ => 0,
-        };
-        let Some(job) = self.jobs.get_mut(&t.job) else {
-            return;
-        };
-        if wait > 0 {
-            job.not_before = job.not_before.max(context.now + wait);
-            self.queue.wakeups.insert((job.not_before, t.job.clone()));
-        }
-        let suspect = job.failures.is_suspect();
-        self.return_to_pending(&t.job, t.task, "ended", context);
-        if suspect {
-            self.withdraw_undispatched(&t.job, context);
-            let again = context.now + failure_attribution::TRY_AGAIN_AFTER + SECOND;
-            self.queue.wakeups.insert((again, t.job.clone()));
         }
+        reported
     }
 
-    /// Adds stops and starts for a machine that was just heard from.
-    pub(super) fn append_commands(
+    /// Tasks that should be on the machine but are not among those kept are pending again.
+    /// Returns whether one of them was dispatched in the last answer.
+    fn return_missing_tasks(
         &mut self,
-        machine: &str,
+        name: &str,
+        kept: &BTreeSet<(JobId, u32)>,
         context: &SchedulingContext<'_>,
-        commands: &mut Vec<Command>,
-    ) {
-        let mut withdrawn = Vec::new();
-        let Some(m) = self.inventory.machines.get_mut(machine) else {
-            return;
-        };
-        commands.truncate(MAX_COMMANDS);
-        for ((id, n), h) in m.tasks.iter_mut() {
-            if commands.len() >= MAX_COMMANDS {
-                break;
-            }
-            match (h.state, h.stop_grace) {
-                (TaskState::Assigned, Some(_)) => withdrawn.push((id.clone(), *n)),
-                (TaskState::Reported(_) | TaskState::Dispatched, Some(grace)) => {
-                    commands.push(Command::stop(id.clone(), *n, h.attempt, grace));
-                }
-                _ => {}
-            }
-        }
-        for ((id, n), h) in m.tasks.iter_mut() {
-            // Guards against starts of jobs whose cancellation was confirmed while
-            // the state service refuses us: what we know is some seconds old.
-            if commands.len() >= MAX_COMMANDS || !context.may_start {
-                break;
-            }
-            if h.state == TaskState::Assigned && h.stop_grace.is_none() && !h.awaits_start_barrier {
-                self.undispatched.remove(&(h.since, id.clone(), *n));
-                h.state = TaskState::Dispatched;
-                h.since = context.now;
-                log::debug!(
-                    "region: {id}/{n}: start on {machine}, attempt {}",
-                    h.attempt
-                );
-                commands.push(Command::start(id.clone(), *n, h.attempt));
-            }
-        }
-        for (id, n) in withdrawn {
-            self.transition(&id, n, TaskState::Pending, None, context.now);
-            self.update_queue_position(&id, context);
+    ) -> bool {
+        let missing: Vec<((JobId, u32), TaskState)> = self
+            .inventory
+            .tasks(name)
+            .filter(|(_, assignment)| assignment.state != TaskState::Assigned)
+            .filter(|(task, _)| !kept.contains(*task))
+            .map(|(task, assignment)| (task.clone(), assignment.state))
+            .collect();
+        let start_ignored = missing
+            .iter()
+            .any(|(_, state)| *state == TaskState::Dispatched);
+        for ((id, task), _) in missing {
+            self.return_to_pending(&id, task, "not on its machine", context);
         }
+        start_ignored
     }
 }
--- a/src/region/tests.rs
+++ b/src/region/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of region.
 
 use super::*;
-use crate::worker_protocol::{CommandKind, ReportedTask};
+use crate::worker_protocol::{CommandKind, ExitReason, Heartbeat, HeartbeatId, ReportedTask};
 use serde_json::json;
 
 struct Fixture {
@@ -189,7 +189,7 @@
         assert_eq!(got, released, "{reporting:?}");
         assert!(!r.is_reconciled());
         if released {
-            r.on_released(&["m-3".into()], true, &f.context(17 * SECOND));
+            r.on_released(&["m-3".into()], &f.context(17 * SECOND));
         }
         assert_eq!(r.is_reconciled(), released);
         r.tick(&f.context(19 * SECOND));
@@ -664,10 +664,10 @@
         shop.second(s * SECOND, Some("m-0"));
     }
     assert_eq!(
-        shop.r.inventory.machines["m-0"].index_entry,
+        shop.r.inventory.machine("m-0").unwrap().index_entry,
         IndexEntry::Unlisted
     );
-    assert!(shop.r.inventory.machines["m-0"].tasks.is_empty());
+    assert!(shop.r.inventory.machine("m-0").unwrap().tasks.is_empty());
     for s in 8..16 {
         shop.second(s * SECOND, Some("m-0"));
     }
@@ -676,7 +676,7 @@
         shop.second(s * SECOND, None);
     }
     assert!(matches!(
-        shop.r.inventory.machines["m-0"].index_entry,
+        shop.r.inventory.machine("m-0").unwrap().index_entry,
         IndexEntry::Available { .. }
     ));
 }
@@ -706,7 +706,7 @@
     let late = report("m-1", 99, 7, &[("req-1", 0, 5)]);
     let v = f.context(31 * SECOND);
     r.on_heartbeat(&report("m-1", 40, 7, &[]), &v);
-    r.machine_is_empty("m-1", &v);
+    r.on_machine_empty("m-1", &v);
     assert_eq!(r.on_heartbeat(&late, &v), HeartbeatOutcome::Stale);
 }
 
