--- a/src/controller.rs
+++ b/src/controller.rs
@@ -574,7 +574,7 @@
         }
         for id in &respecified {
             for r in self.regions.values_mut() {
-                r.on_job(id, &context, false);
+                r.on_job(id, &context);
             }
         }
         let mut shown = Vec::new();
@@ -582,7 +582,7 @@
             match &key {
                 Key::Job(id) => {
                     for r in self.regions.values_mut() {
-                        r.on_job(id, &context, false);
+                        r.on_job(id, &context);
                     }
                     let over = context.replica.jobs.get(id);
                     if over.is_some_and(|r| r.value.stage != JobStage::Open) {
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -215,7 +215,7 @@
                 let opened = r.activated_machines();
                 opened >= LEAST_MACHINES
                     && news.machines * 2 >= opened
-                    && r.hears_from_few(able_since, &context)
+                    && r.receives_few_heartbeats(able_since, &context)
             })
             .filter(|(r, _)| self.releases.may_release(&r.name, now))
             .map(|(r, _)| (r.name.clone(), r.version))
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -11,7 +11,7 @@
 use crate::cloud::{offers, CloudClient, CloudEvent, Listed, Offer, Refusals};
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::peer_protocol::{Message, RegionReport};
-use crate::region::{only_fitting_type, waiting_spans, ConstrainedTypes, SchedulingContext};
+use crate::region::{only_fitting_type, start_windows, ConstrainedTypes, SchedulingContext};
 use crate::state_store::replica::Versioned;
 use crate::state_store::{CommitPriority, Transaction};
 use salttiller_records::key::Key;
@@ -491,7 +491,7 @@
             left = left.min(span);
         }
     };
-    for span in waiting_spans(s, context.settings) {
+    for span in start_windows(s, context.settings) {
         aim(span);
     }
     (left / 2).max(5 * SECOND)
--- a/src/region/failure_attribution.rs
+++ b/src/region/failure_attribution.rs
@@ -161,10 +161,7 @@
                 m.failures.forgive(id);
             }
         }
-        if self.reservation.as_ref().is_some_and(|h| h.job == *id) {
-            self.reservation = None;
-            self.triggers.all = true;
-        }
+        self.release_reservation_of(id);
     }
 
     /// Takes back what was assigned of a suspect array and not sent yet: it is tried a
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -1,247 +1,203 @@
-//! Gangs: placed whole, parts of joint ones, places held for the one whose turn it is.
+//! Gangs: placed as a whole, and the start barrier of gangs over several regions.
 
-use super::placement::AHEAD;
-use super::*;
+use salttiller_records::model::JobId;
+use salttiller_records::units::{Micros, SECOND};
 
-/// A gang has been with us for so long when places begin to be kept for it. Until
-/// then smaller ones go ahead, since more of them are in time that way; a minute
-/// leaves three for the places to fill up, of the four in which it must begin.
-const HOLD_AFTER: Micros = 60 * SECOND;
+use super::job::Job;
+use super::placement::ZoneLimits;
+use super::task::{AssignmentTarget, TaskState};
+use super::{Region, SchedulingContext};
+
+/// How long after a timeout of the start barrier a gang is placed again.
+const BARRIER_RETRY_DELAY: Micros = 2 * SECOND;
 
 impl Region {
+    /// Places all tasks of a gang that are bound here, or none. If there is no capacity for
+    /// them, it may get a reservation.
     pub(super) fn place_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
-        let Some(job) = self.jobs.get(id) else { return };
-        let spec = job.spec.clone();
-        // Of a gang over several regions, only this region's part is placed here.
-        let n = job.bound.len();
-        let whole = n == spec.task_count || job.multi_region.is_some();
-        if job.restarting_gang
-            || !job.on_machines.is_empty()
-            || job.pending.len() != n
-            || !whole
-            || job.needs_new_attempt()
-            || job.has_unbound_part
-        {
+        let Some(job) = self.jobs.get(id).filter(|job| is_placeable(job)) else {
             return;
-        }
-        let need = spec.quota_per_task().times(n as u64);
-        let half = spec.task_count.div_ceil(2);
+        };
+        let spec = job.spec.clone();
         let tasks: Vec<u32> = job.pending.numbers().collect();
-        let (since, joint) = (job.pending_since, job.multi_region.clone());
+        let count = tasks.len() as u64;
+        let multi_region_attempt = job.multi_region.as_ref().map(|gang| gang.attempt);
         for zone in self.candidate_zones(job) {
-            if self.tasks_placeable_now(id, zone.as_deref(), n as u64, context) < n as u64 {
+            let mut limits = ZoneLimits::for_job(&spec, zone);
+            if self.tasks_placeable_now(id, &limits, count, context) < count {
                 continue;
             }
-            if !need.within(self.quota_headroom(&spec.team, context)) {
-                if let Some(j) = self.jobs.get_mut(id) {
-                    j.quota_blocked = true;
-                }
+            let needed = spec.quota_per_task().times(count);
+            if !needed.within(self.quota_headroom(&spec.team, context)) {
+                self.mark_quota_blocked(id);
                 return;
             }
-            let attempt = match &joint {
-                Some(j) => j.attempt,
-                None => self.next_attempt(),
-            };
-            let mut per_zone: BTreeMap<String, u32> = BTreeMap::new();
-            let mut full = BTreeSet::new();
-            let mut placed = 0;
-            for t in &tasks {
-                let Some(name) = self.best_machine(id, zone.as_deref(), &full, context) else {
-                    break;
-                };
-                if spec.spread_zones {
-                    if let Some(m) = self.inventory.machines.get(&name) {
-                        let c = per_zone.entry(m.record.zone.clone()).or_default();
-                        *c += 1;
-                        if *c >= half {
-                            full.insert(m.record.zone.clone());
-                        }
-                    }
-                }
-                self.transition(
-                    id,
-                    *t,
-                    TaskState::Assigned,
-                    Some((&name, attempt)),
-                    context.now,
-                );
-                placed += 1;
-            }
-            if placed < tasks.len() {
-                for t in &tasks[..placed] {
-                    self.transition(id, *t, TaskState::Pending, None, context.now);
-                }
-                self.triggers.jobs.remove(id);
-                if let Some(j) = self.jobs.get_mut(id) {
-                    j.pending_since = since;
-                }
-                continue;
-            }
-            if self.reservation.as_ref().is_some_and(|h| h.job == *id) {
-                self.reservation = None;
-                self.triggers.all = true;
+            let attempt = multi_region_attempt.unwrap_or_else(|| self.next_attempt());
+            if self.assign_gang(id, &tasks, attempt, &mut limits, context) {
+                self.on_gang_assigned(id, multi_region_attempt, context);
+                return;
             }
-            if joint.is_some() {
-                log::info!("region: {id}: room held for our part, attempt {attempt}");
-                if let Some(j) = self.jobs.get_mut(id) {
-                    j.barrier_since = Some(context.now);
-                }
-                self.queue
-                    .wakeups
-                    .insert((context.now + context.settings.gang_wait, id.clone()));
+        }
+        self.reserve_for_gang(id, context);
+    }
+
+    /// Assigns all tasks of a gang to machines; if that fails, takes back those that were
+    /// assigned and returns `false`.
+    fn assign_gang(
+        &mut self,
+        id: &JobId,
+        tasks: &[u32],
+        attempt: u64,
+        limits: &mut ZoneLimits,
+        context: &SchedulingContext<'_>,
+    ) -> bool {
+        let Some(pending_since) = self.jobs.get(id).map(|job| job.pending_since) else {
+            return false;
+        };
+        let mut assigned: Vec<u32> = Vec::new();
+        for task in tasks {
+            let Some(machine) = self.best_machine(id, limits, context) else {
+                break;
+            };
+            if let Some(machine) = self.inventory.machines.get(&machine) {
+                limits.add_task(&machine.record.zone);
             }
+            let target = AssignmentTarget {
+                machine: &machine,
+                attempt,
+            };
+            self.transition(id, *task, TaskState::Assigned, Some(target), context.now);
+            assigned.push(*task);
+        }
+        if assigned.len() == tasks.len() {
+            return true;
+        }
+        for task in assigned {
+            self.transition(id, task, TaskState::Pending, None, context.now);
+        }
+        self.triggers.forget_job(id);
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.pending_since = pending_since;
+        }
+        false
+    }
+
+    /// All tasks of a gang that are bound here are assigned. Those of a gang over several
+    /// regions stay at the start barrier for a limited time.
+    fn on_gang_assigned(
+        &mut self,
+        id: &JobId,
+        multi_region_attempt: Option<u64>,
+        context: &SchedulingContext<'_>,
+    ) {
+        self.release_reservation_of(id);
+        let Some(attempt) = multi_region_attempt else {
             return;
+        };
+        log::info!(
+            "region={} job={id}: all tasks of our part assigned, at the start barrier of \
+             attempt {attempt}",
+            self.name
+        );
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.barrier_since = Some(context.now);
         }
-        self.reserve_for_gang(id, context);
+        self.queue
+            .wake_at(context.now + context.settings.gang_wait, id.clone());
     }
 
-    /// Parts of gangs over several regions for which room is held here.
+    /// Parts of gangs over several regions that are at the start barrier, with the attempt.
     pub(super) fn gang_parts_ready(&self) -> impl Iterator<Item = (&JobId, u64)> {
-        self.jobs.iter().filter_map(|(id, j)| {
-            let joint = j.multi_region.as_ref()?;
-            j.barrier_since.map(|_| (id, joint.attempt))
+        self.jobs.iter().filter_map(|(id, job)| {
+            let gang = job.multi_region.as_ref()?;
+            job.barrier_since.map(|_| (id, gang.attempt))
         })
     }
 
-    /// All parts of a gang over several regions have room: start ours.
+    /// All parts of a gang over several regions are at the start barrier: ours may start.
     pub fn start_gang_part(&mut self, id: &str, attempt: u64, context: &SchedulingContext<'_>) {
         let Some((id, job)) = self.jobs.get_key_value(id) else {
             return;
         };
         let id = id.clone();
-        let held = job.barrier_since.is_some()
-            && job
-                .multi_region
-                .as_ref()
-                .is_some_and(|j| j.attempt == attempt);
-        if !held || job.is_over {
+        let is_current = job
+            .multi_region
+            .as_ref()
+            .is_some_and(|gang| gang.attempt == attempt);
+        if job.barrier_since.is_none() || !is_current || job.is_over {
             return;
         }
-        log::info!("region: {id}: all parts have room, attempt {attempt} starts");
-        let out: Vec<(u32, Rc<str>)> = job
-            .on_machines
-            .iter()
-            .map(|(n, m)| (*n, m.clone()))
-            .collect();
-        if let Some(j) = self.jobs.get_mut(&id) {
-            j.barrier_since = None;
-            j.last_multi_region_attempt = attempt;
+        log::info!(
+            "region={} job={id}: all parts are at the start barrier, attempt {attempt} starts",
+            self.name
+        );
+        let tasks = job.tasks_on_machines();
+        if let Some(job) = self.jobs.get_mut(&id) {
+            job.barrier_since = None;
+            job.last_multi_region_attempt = attempt;
         }
-        for (n, name) in out {
-            if let Some(h) = self.assignment_mut(&id, n, &name) {
-                h.awaits_start_barrier = false;
-                h.since = context.now;
+        for (task, machine) in tasks {
+            if let Some(assignment) = self.assignment_mut(&id, task, &machine) {
+                assignment.awaits_start_barrier = false;
+                assignment.since = context.now;
             }
         }
     }
 
-    /// A gang finds no room: if it is the first in line to wait, the places that
-    /// fall free are kept for it.
-    pub(super) fn reserve_for_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
-        if self.reservation.is_some() {
-            return;
-        }
-        let Some(job) = self.jobs.get(id) else { return };
-        if job.failures.is_suspect() {
+    /// A gang over several regions was at the start barrier for too long. Guards against one of
+    /// which another part never gets its places: nobody keeps places for it for ever.
+    pub(super) fn leave_expired_barrier(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+        let Some(job) = self.jobs.get_mut(id) else {
             return;
-        }
-        // Since its submission: it may have been moved here.
-        let age = context.wall.saturating_sub(job.spec.submitted_at);
-        if age < HOLD_AFTER {
-            self.queue
-                .wakeups
-                .insert((context.now + HOLD_AFTER - age, id.clone()));
+        };
+        let is_expired = job
+            .barrier_since
+            .is_some_and(|since| context.now >= since + context.settings.gang_wait);
+        if !is_expired {
             return;
         }
-        let n = job.bound.len() as u64;
-        let wide = job.only_type.is_none();
-        let best = self
-            .candidate_zones(job)
-            .into_iter()
-            .map(|zone| {
-                let could = self
-                    .inventory
-                    .index
-                    .tasks_fitting_when_empty(&job.spec, wide, |k| {
-                        k.permits(&job.spec) && zone.as_ref().is_none_or(|z| *z == k.zone)
-                    });
-                let room = self.tasks_placeable_now(id, zone.as_deref(), n, context);
-                (could >= n, room, zone)
-            })
-            .max();
-        let Some((true, room, zone)) = best else {
-            return;
-        };
-        log::info!("region: {id}: places are kept for it, {room} of {n} free");
-        self.reservation = Some(GangReservation {
-            job: id.clone(),
-            priority: job.spec.priority,
-            team: job.spec.team.clone(),
-            quota_blocked: false,
-            outranked: false,
-            zone,
-            filled_at: 0,
-            updated_at: 0,
-        });
-        self.update_reservation(context);
+        log::info!(
+            "region={} job={id}: start barrier timed out, not all parts have their places",
+            self.name
+        );
+        job.barrier_since = None;
+        job.not_before = context.now + BARRIER_RETRY_DELAY;
+        self.queue.wake_at(job.not_before, id.clone());
+        self.break_gang(id, context);
     }
 
-    /// Looks whether places must still be held, and until when they will fill.
-    pub(super) fn update_reservation(&mut self, context: &SchedulingContext<'_>) {
-        let Some(h) = &self.reservation else { return };
-        let stays = self.jobs.get(&h.job).filter(|j| {
-            !j.is_over && j.queue_key.is_some() && !j.needs_new_attempt() && !j.commit_in_flight
-        });
-        let Some(job) = stays else {
-            self.reservation = None;
-            self.triggers.all = true;
+    /// A gang that lost a task starts again as a whole, under another attempt,
+    /// once the last task of this one has left its machine.
+    pub(super) fn break_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+        let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if context.now < h.updated_at + 2 * SECOND {
-            return;
-        }
-        let short = job.quota_blocked;
-        let priority = job.spec.priority;
-        let next = self.queue.ready.values().take(AHEAD);
-        let outranked = next
-            .filter_map(|id| self.jobs.get(id))
-            .any(|j| j.spec.priority > priority && !j.quota_blocked);
-        let n = job.bound.len() as u64;
-        // When each machine will have been left by all that is on it now.
-        let mut free_at: Vec<(Micros, u64)> = Vec::new();
-        for (k, g) in &self.inventory.index.pools {
-            if !k.permits(&job.spec) || h.zone.as_ref().is_some_and(|z| *z != k.zone) {
-                continue;
-            }
-            let each = job.spec.tasks_fitting_in(g.capacity);
-            for m in g
-                .available_machines()
-                .filter_map(|n| self.inventory.machines.get(n))
-            {
-                let ends = m
-                    .tasks
-                    .iter()
-                    .filter(|(_, t)| t.constrained || g.reserved.is_none())
-                    .filter_map(|((id, _), t)| {
-                        let est = self.jobs.get(id)?.spec.estimated_run_time;
-                        Some(t.running_since.unwrap_or(context.now) + est)
-                    })
-                    .max();
-                free_at.push((ends.unwrap_or(0).max(context.now), each));
+        job.restarting_gang = true;
+        for (task, machine) in job.tasks_on_machines() {
+            match self.assignment_mut(id, task, &machine) {
+                Some(assignment) if assignment.state == TaskState::Assigned => {
+                    self.transition(id, task, TaskState::Pending, None, context.now);
+                }
+                // One that is being stopped with a grace period may finish its checkpoint.
+                Some(assignment) => {
+                    assignment.stop_grace.get_or_insert(0);
+                }
+                None => {}
             }
         }
-        free_at.sort_unstable();
-        let mut have = 0;
-        let until = free_at.iter().find_map(|(at, each)| {
-            have += each;
-            (have >= n).then_some(*at)
-        });
-        if let Some(h) = &mut self.reservation {
-            h.filled_at = until.unwrap_or(0);
-            h.updated_at = context.now;
-            h.quota_blocked = short;
-            h.outranked = outranked;
-        }
-        self.triggers.all = true;
+        self.update_queue_position(id, context);
+        self.after_tasks_left(id);
     }
 }
+
+/// Whether all tasks of a gang that are bound here are pending, and may be started together.
+/// Of a gang over several regions, only this region's part is placed here.
+fn is_placeable(job: &Job) -> bool {
+    let is_whole = job.bound.len() == job.spec.task_count || job.multi_region.is_some();
+    is_whole
+        && !job.restarting_gang
+        && job.on_machines.is_empty()
+        && job.pending.len() == job.bound.len()
+        && !job.needs_new_attempt()
+        && !job.has_unbound_part
+}
--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -49,7 +49,7 @@
                 self.note_provisioned(&name, context.now);
             }
             self.reconciliation.unreconciled.remove(&name);
-            self.triggers.machines.insert(name.clone());
+            self.triggers.machine_changed(&name);
         }
         let mut commands = Vec::new();
         let mut listed: BTreeSet<(JobId, u32)> = BTreeSet::new();
@@ -178,7 +178,10 @@
             &t.job,
             t.task,
             TaskState::Reported(t.stage),
-            Some((machine, t.attempt)),
+            Some(AssignmentTarget {
+                machine,
+                attempt: t.attempt,
+            }),
             context.now,
         );
         true
@@ -269,14 +272,14 @@
         };
         if wait > 0 {
             job.not_before = job.not_before.max(context.now + wait);
-            self.queue.wakeups.insert((job.not_before, t.job.clone()));
+            self.queue.wake_at(job.not_before, t.job.clone());
         }
         let suspect = job.failures.is_suspect();
         self.return_to_pending(&t.job, t.task, "ended", context);
         if suspect {
             self.withdraw_undispatched(&t.job, context);
             let again = context.now + failure_attribution::TRY_AGAIN_AFTER + SECOND;
-            self.queue.wakeups.insert((again, t.job.clone()));
+            self.queue.wake_at(again, t.job.clone());
         }
     }
 
@@ -311,7 +314,7 @@
                 break;
             }
             if h.state == TaskState::Assigned && h.stop_grace.is_none() && !h.awaits_start_barrier {
-                self.undispatched.remove(&(h.since, id.clone(), *n));
+                self.undispatched.remove(h.since, id.clone(), *n);
                 h.state = TaskState::Dispatched;
                 h.since = context.now;
                 log::debug!(
--- a/src/region/job.rs
+++ b/src/region/job.rs
@@ -1,7 +1,21 @@
-//! A job with tasks bound to the region.
+//! A job with tasks bound to the region: its specification, the sets of its tasks by state,
+//! and what delays or drives its placement.
+//!
+//! The sets change with the tasks' states (`task_transition`), and as a whole with the job's
+//! record (`job_lifecycle`), hand-overs and the end of reconciliation.
 
-use super::*;
+use std::collections::BTreeMap;
+use std::rc::Rc;
 
+use salttiller_records::model::{JobKind, JobSpec, RangeSet};
+use salttiller_records::record::MultiRegionAttempt;
+use salttiller_records::units::Micros;
+
+use super::failure_attribution::{JobFailures, TRY_AGAIN_AFTER};
+use super::queue::QueueKey;
+use crate::fault_injection::{is_disabled, Safeguard};
+
+/// A job with tasks bound to the region.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) spec: Rc<JobSpec>,
@@ -11,34 +25,42 @@
     pub(super) unreconciled: RangeSet,
     pub(super) rebinding: RangeSet,
     pub(super) done: RangeSet,
-    /// Done, but not yet on record.
+    /// Done, but not yet recorded.
     pub(super) unrecorded_done: RangeSet,
+    /// Assigned tasks, with their machines.
     pub(super) on_machines: BTreeMap<u32, Rc<str>>,
     pub(super) is_over: bool,
+    /// Since when tasks of it are pending without a break.
     pub(super) pending_since: Micros,
     /// When a task of it was last assigned to a machine, or when it was bound here.
     pub(super) last_assigned: Micros,
+    /// The end of its back-off.
     pub(super) not_before: Micros,
     pub(super) failures: JobFailures,
     pub(super) commit_in_flight: bool,
     pub(super) last_progress_commit_at: Micros,
+    /// A gang that lost a task: it starts again once its last task has left its machine.
     pub(super) restarting_gang: bool,
+    /// The one machine type on which it fits, if there is just one.
     pub(super) only_type: Option<String>,
-    /// Its place in the order of waiting jobs.
-    pub(super) queue_key: Option<OrderKey>,
-    /// Its team's share was too small last time.
+    /// Its position in the queue while tasks of it are pending.
+    pub(super) queue_key: Option<QueueKey>,
+    /// Its team's share was too small when it was last placed.
     pub(super) quota_blocked: bool,
     /// Of a gang over several regions: what its parts have in common.
     pub(super) multi_region: Option<MultiRegionAttempt>,
+    /// A part of it is bound to no region: it is to be bound anew.
     pub(super) has_unbound_part: bool,
-    /// The joint attempt that was started last, and since when room is held for
-    /// one that was not.
+    /// The attempt of a gang over several regions that was started last.
     pub(super) last_multi_region_attempt: u64,
+    /// Since when its part here is at the start barrier.
     pub(super) barrier_since: Option<Micros>,
 }
 
 impl Job {
-    pub(super) fn new(spec: &Rc<JobSpec>, narrow_to: Option<String>, now: Micros) -> Self {
+    /// A job without tasks. `only_type`: the one machine type on which it fits, if there is
+    /// just one.
+    pub(super) fn new(spec: &Rc<JobSpec>, only_type: Option<String>, now: Micros) -> Self {
         Job {
             spec: spec.clone(),
             bound: RangeSet::default(),
@@ -56,7 +78,7 @@
             commit_in_flight: false,
             last_progress_commit_at: 0,
             restarting_gang: false,
-            only_type: narrow_to,
+            only_type,
             queue_key: None,
             quota_blocked: false,
             multi_region: None,
@@ -66,10 +88,28 @@
         }
     }
 
-    /// Whether so many results are all there will be. A gang's tasks complete
+    /// Whether it fits on several machine types.
+    pub(super) fn is_flexible(&self) -> bool {
+        self.only_type.is_none()
+    }
+
+    /// Whether the places of its tasks depend on each other, so that they are chosen together.
+    pub(super) fn has_dependent_places(&self) -> bool {
+        self.spec.kind == JobKind::Gang || self.spec.single_zone || self.spec.spread_zones
+    }
+
+    /// Its assigned tasks, with their machines.
+    pub(super) fn tasks_on_machines(&self) -> Vec<(u32, Rc<str>)> {
+        self.on_machines
+            .iter()
+            .map(|(task, machine)| (*task, machine.clone()))
+            .collect()
+    }
+
+    /// Whether so many results are all that there will be. A gang's tasks complete
     /// together: one is enough. Guards against a gang over several regions of which
     /// one part's result is known and the other's machine is gone: that part would
-    /// wait for ever for mates that are done.
+    /// be pending for ever for others that are done.
     pub(super) fn is_complete_with(&self, results: u32) -> bool {
         let any = is_disabled(Safeguard::CompleteResults) && results > 0;
         any || results >= self.spec.task_count || (self.spec.kind == JobKind::Gang && results > 0)
@@ -79,24 +119,22 @@
     /// time, so that it takes neither machines nor shares from others; one more after a
     /// while, since a try may take long.
     pub(super) fn tasks_to_schedule(&self, now: Micros) -> u32 {
-        let waiting = self.pending.len();
+        let pending = self.pending.len();
         if !self.failures.is_suspect() || self.spec.kind == JobKind::Gang {
-            waiting
-        } else if self.on_machines.is_empty()
-            || now > self.last_assigned + failure_attribution::TRY_AGAIN_AFTER
-        {
-            waiting.min(1)
+            pending
+        } else if self.on_machines.is_empty() || now > self.last_assigned + TRY_AGAIN_AFTER {
+            pending.min(1)
         } else {
             0
         }
     }
 
-    /// All of a gang's tasks here wait, and under a joint attempt that was tried:
-    /// only another attempt lets it start.
+    /// Whether all of a gang's tasks here are pending, under an attempt over several regions
+    /// that was started before: only another attempt lets it start.
     pub(super) fn needs_new_attempt(&self) -> bool {
         self.multi_region
             .as_ref()
-            .is_some_and(|j| j.attempt == self.last_multi_region_attempt)
+            .is_some_and(|gang| gang.attempt == self.last_multi_region_attempt)
             && self.on_machines.is_empty()
             && self.pending.len() == self.bound.len()
     }
--- a/src/region/job_lifecycle.rs
+++ b/src/region/job_lifecycle.rs
@@ -1,116 +1,173 @@
-//! Jobs bound to the region: entering them, their ends, lost tasks.
+//! The life of a job in the region: its record is entered, its tasks are bound or moved away,
+//! tasks are lost, and it ends.
+//!
+//! Called with each change of a job's record, and by whatever takes a task off its machine.
 
-use super::*;
+use std::rc::Rc;
+
+use salttiller_records::model::{JobId, JobKind, JobSpec, RangeSet};
+use salttiller_records::record::{JobRecord, TaskRange};
+
+use super::constrained_types::only_fitting_type;
+use super::job::Job;
+use super::machine::MachineState;
+use super::task::TaskState;
+use super::{Region, SchedulingContext};
+
+/// Who may have started tasks that are bound to the region but not known to it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum BoundTasks {
+    /// Bound before we acquired the region: a former owner may have started them.
+    Inherited,
+    /// Bound since: nobody else can have started them under this region's name.
+    New,
+}
 
 impl Region {
-    /// Enters a job's record. `taking`: as found when the region was taken, so
-    /// its tasks may have been started by a former owner.
-    pub fn on_job(&mut self, id: &str, context: &SchedulingContext<'_>, taking: bool) {
-        let Some(rec) = context.replica.jobs.get(id).map(|r| &r.value) else {
+    /// A job's record was added, changed or removed.
+    pub fn on_job(&mut self, id: &str, context: &SchedulingContext<'_>) {
+        self.enter_job(id, BoundTasks::New, context);
+    }
+
+    /// Enters a job's record as found when the region was acquired.
+    pub(super) fn inherit_job(&mut self, id: &str, context: &SchedulingContext<'_>) {
+        self.enter_job(id, BoundTasks::Inherited, context);
+    }
+
+    fn enter_job(&mut self, id: &str, tasks: BoundTasks, context: &SchedulingContext<'_>) {
+        let Some(record) = context.replica.jobs.get(id).map(|record| &record.value) else {
             return;
         };
-        if let Some(s) = &rec.spec {
-            self.queue.stale_teams.insert(s.team.clone());
-        } else if let Some(j) = self.jobs.get(id) {
-            self.queue.stale_teams.insert(j.spec.team.clone());
+        let known_id = self.jobs.get_key_value(id).map(|(known, _)| known.clone());
+        let known_spec = self.jobs.get(id).map(|job| &job.spec);
+        if let Some(spec) = record.spec.as_ref().or(known_spec) {
+            self.queue.team_changed(&spec.team);
         }
-        let mine = rec.tasks_of(&self.name);
-        let key = self.jobs.get_key_value(id).map(|(k, _)| k.clone());
         if context.is_job_over(id) {
-            if let Some(id) = key {
+            if let Some(id) = known_id {
                 self.end_job(&id, context);
             }
             return;
         }
-        let Some(spec) = rec.spec.as_ref() else {
+        let Some(spec) = record.spec.as_ref() else {
             return;
         };
+        let bound = record.tasks_of(&self.name);
         // Only ready jobs are bound. Guards against records that say otherwise, of a
         // damaged store perhaps: nothing of such a job may start.
-        if key.is_none() && !context.replica.is_ready(spec) {
-            if !mine.is_empty() {
-                log::error!("region: {id}: bound, but what it needs isn't done; left alone");
+        if known_id.is_none() && !context.replica.is_ready(spec) {
+            if !bound.is_empty() {
+                log::error!(
+                    "region={} job={id}: bound before its dependencies are done, not started",
+                    self.name
+                );
             }
             return;
         }
-        if self
-            .inventory
-            .constrained_types
-            .note(spec, context.replica, context.now)
-        {
-            self.update_reserved_capacity(context);
-        }
-        if key.is_none() && mine.is_empty() {
+        self.note_constrained_type(spec, context);
+        if known_id.is_none() && bound.is_empty() {
             return;
         }
-        let id: JobId = key.unwrap_or_else(|| Rc::from(id));
-        let narrow_to = only_fitting_type(spec, context.replica);
-        let job = self
-            .jobs
-            .entry(id.clone())
-            .or_insert_with(|| Job::new(spec, narrow_to, context.now));
+        let id = known_id.unwrap_or_else(|| Rc::from(id));
+        self.update_spec(&id, spec, context);
+        self.update_multi_region_attempt(&id, record, context);
+        self.update_bound_tasks(&id, bound, tasks, context);
+        self.after_tasks_left(&id);
+    }
+
+    /// Reserves capacity on a machine type if the job fits on no other.
+    fn note_constrained_type(&mut self, spec: &JobSpec, context: &SchedulingContext<'_>) {
+        let types = &mut self.inventory.constrained_types;
+        if types.note(spec, context.replica, context.now) {
+            self.update_reserved_capacity(context);
+        }
+    }
+
+    fn update_spec(&mut self, id: &JobId, spec: &Rc<JobSpec>, context: &SchedulingContext<'_>) {
+        let job = self.jobs.entry(id.clone()).or_insert_with(|| {
+            let only_type = only_fitting_type(spec, context.replica);
+            Job::new(spec, only_type, context.now)
+        });
         if job.spec != *spec {
-            // Another job that needs this one came or went.
+            // Another job that depends on this one was added or removed.
             job.spec = spec.clone();
-            self.update_queue_position(&id, context);
+            self.update_queue_position(id, context);
         }
-        let Some(job) = self.jobs.get_mut(&id) else {
+    }
+
+    /// Follows the attempt of a gang over several regions. What is at the start barrier of
+    /// another attempt leaves it.
+    fn update_multi_region_attempt(
+        &mut self,
+        id: &JobId,
+        record: &JobRecord,
+        context: &SchedulingContext<'_>,
+    ) {
+        let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        // A part of it is with nobody: it is to be bound anew.
-        let given_up = rec.task_ranges.iter().any(TaskRange::is_unbound);
-        if job.multi_region != rec.multi_region || job.has_unbound_part != given_up {
-            job.multi_region.clone_from(&rec.multi_region);
-            job.has_unbound_part = given_up;
-            // What was held for another attempt is let go.
-            let assigned = job.barrier_since.take().is_some();
-            if assigned {
-                self.break_gang(&id, context);
-            }
-            self.triggers.jobs.insert(id.clone());
+        let has_unbound_part = record.task_ranges.iter().any(TaskRange::is_unbound);
+        if job.multi_region == record.multi_region && job.has_unbound_part == has_unbound_part {
+            return;
         }
-        let Some(job) = self.jobs.get_mut(&id) else {
+        job.multi_region.clone_from(&record.multi_region);
+        job.has_unbound_part = has_unbound_part;
+        if job.barrier_since.take().is_some() {
+            self.break_gang(id, context);
+        }
+        self.triggers.job_changed(id);
+    }
+
+    /// Follows which tasks of a job are bound to the region.
+    fn update_bound_tasks(
+        &mut self,
+        id: &JobId,
+        bound: RangeSet,
+        tasks: BoundTasks,
+        context: &SchedulingContext<'_>,
+    ) {
+        let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let mut fresh = mine.clone();
-        fresh.remove_all(&job.bound);
-        let mut lost = job.bound.clone();
-        lost.remove_all(&mine);
-        if fresh.is_empty() && lost.is_empty() {
-            self.after_tasks_left(&id);
+        let mut added = bound.clone();
+        added.remove_all(&job.bound);
+        let mut removed = job.bound.clone();
+        removed.remove_all(&bound);
+        if added.is_empty() && removed.is_empty() {
             return;
         }
-        job.bound = mine;
-        let done = context.replica.done_tasks(&id);
-        job.done.add_all(&done);
-        fresh.remove_all(&job.done);
-        if taking {
-            job.unreconciled.add_all(&fresh);
-        } else {
-            // Bound here after we took the region: nobody else can have
-            // started it under this region's name.
-            if job.pending.is_empty() {
-                job.pending_since = context.now;
+        job.bound = bound;
+        job.done.add_all(&context.replica.done_tasks(id));
+        added.remove_all(&job.done);
+        match tasks {
+            BoundTasks::Inherited => job.unreconciled.add_all(&added),
+            BoundTasks::New => {
+                if job.pending.is_empty() {
+                    job.pending_since = context.now;
+                }
+                job.pending.add_all(&added);
             }
-            job.pending.add_all(&fresh);
         }
-        job.pending.remove_all(&lost);
-        job.rebinding.remove_all(&lost);
-        job.unreconciled.remove_all(&lost);
-        self.triggers.jobs.insert(id.clone());
-        self.update_queue_position(&id, context);
-        self.after_tasks_left(&id);
+        job.pending.remove_all(&removed);
+        job.rebinding.remove_all(&removed);
+        job.unreconciled.remove_all(&removed);
+        self.triggers.job_changed(id);
+        self.update_queue_position(id, context);
     }
 
-    /// A job is cancelled, as another controller has it from the state service.
+    /// Another controller has it from the state service that a job is cancelled.
     pub fn on_reported_cancelled(&mut self, id: &str, context: &SchedulingContext<'_>) {
-        if let Some(id) = self.jobs.get_key_value(id).map(|(k, _)| k.clone()) {
-            log::info!("region: {id}: cancelled, as a peer says");
+        let known_id = self.jobs.get_key_value(id).map(|(known, _)| known.clone());
+        if let Some(id) = known_id {
+            log::info!(
+                "region={} job={id}: reported cancelled by a peer",
+                self.name
+            );
             self.end_job(&id, context);
         }
     }
 
-    pub(super) fn end_job(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+    fn end_job(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -119,15 +176,12 @@
         job.unreconciled = RangeSet::default();
         job.rebinding = RangeSet::default();
         job.unrecorded_done = RangeSet::default();
-        let out: Vec<(u32, Rc<str>)> = job
-            .on_machines
-            .iter()
-            .map(|(n, m)| (*n, m.clone()))
-            .collect();
-        for (n, m) in out {
-            match self.assignment_mut(id, n, &m) {
-                Some(h) if h.state != TaskState::Assigned => h.stop_grace = Some(0),
-                _ => self.transition(id, n, TaskState::Done, None, context.now),
+        for (task, machine) in job.tasks_on_machines() {
+            match self.assignment_mut(id, task, &machine) {
+                Some(assignment) if assignment.state != TaskState::Assigned => {
+                    assignment.stop_grace = Some(0);
+                }
+                _ => self.transition(id, task, TaskState::Done, None, context.now),
             }
         }
         self.unrecorded_jobs.remove(id);
@@ -135,18 +189,21 @@
         self.after_tasks_left(id);
     }
 
-    /// A task on a machine is there no more and isn't done.
+    /// A task has left its machine without a result.
     pub(super) fn return_to_pending(
         &mut self,
         id: &JobId,
-        n: u32,
-        why: &str,
+        task: u32,
+        reason: &str,
         context: &SchedulingContext<'_>,
     ) {
-        log::debug!("region: {id}/{n}: back to waiting, {why}");
-        self.transition(id, n, TaskState::Pending, None, context.now);
+        log::debug!(
+            "region={} job={id} task={task}: pending again, {reason}",
+            self.name
+        );
+        self.transition(id, task, TaskState::Pending, None, context.now);
         self.update_queue_position(id, context);
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.get(id) else {
             return;
         };
         if job.spec.kind == JobKind::Gang && !job.is_over && !job.on_machines.is_empty() {
@@ -155,68 +212,44 @@
         self.after_tasks_left(id);
     }
 
-    /// A job that is over leaves once nothing of it is out; a broken gang may
-    /// then start anew.
+    /// Once no task of a job is on a machine, a broken gang may start again, and a job that is
+    /// over or bound elsewhere is forgotten.
     pub(super) fn after_tasks_left(&mut self, id: &JobId) {
-        if let Some(job) = self.jobs.get_mut(id) {
-            if job.on_machines.is_empty() {
-                job.restarting_gang = false;
-                job.barrier_since = None;
-                if job.is_over || job.bound.is_empty() {
-                    if let Some(key) = job.queue_key.take() {
-                        self.queue.ready.remove(&key);
-                    }
-                    self.unrecorded_jobs.remove(id);
-                    self.jobs.remove(id);
-                }
-            }
-        }
-    }
-
-    /// A gang that lost a task starts again as a whole, under another attempt,
-    /// once the last task of this one is gone.
-    pub(super) fn break_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.restarting_gang = true;
-        let out: Vec<(u32, Rc<str>)> = job
-            .on_machines
-            .iter()
-            .map(|(n, m)| (*n, m.clone()))
-            .collect();
-        for (n, m) in out {
-            match self.assignment_mut(id, n, &m) {
-                Some(h) if h.state == TaskState::Assigned => {
-                    self.transition(id, n, TaskState::Pending, None, context.now)
-                }
-                // One that is told to save already may finish that.
-                Some(h) => {
-                    h.stop_grace.get_or_insert(0);
-                }
-                None => {}
-            }
+        if !job.on_machines.is_empty() {
+            return;
         }
-        self.update_queue_position(id, context);
-        self.after_tasks_left(id);
+        job.restarting_gang = false;
+        job.barrier_since = None;
+        if !job.is_over && !job.bound.is_empty() {
+            return;
+        }
+        if let Some(key) = job.queue_key.take() {
+            self.queue.remove(&key);
+        }
+        self.unrecorded_jobs.remove(id);
+        self.jobs.remove(id);
     }
 
-    /// Nothing is on this machine any more.
+    /// A machine is proven empty: its tasks start again elsewhere.
     pub(super) fn machine_is_empty(&mut self, name: &str, context: &SchedulingContext<'_>) {
-        let Some(m) = self.inventory.machines.get_mut(name) else {
+        let Some(machine) = self.inventory.machines.get_mut(name) else {
             return;
         };
-        m.state = MachineState::LeaseExpired;
-        m.unconfirmed_answers = 0;
-        let held: Vec<(JobId, u32)> = m.tasks.keys().cloned().collect();
-        if !held.is_empty() {
+        machine.state = MachineState::LeaseExpired;
+        machine.unconfirmed_answers = 0;
+        let tasks: Vec<(JobId, u32)> = machine.tasks.keys().cloned().collect();
+        if !tasks.is_empty() {
             log::info!(
-                "region: {name}: empty for sure, {} tasks start again",
-                held.len()
+                "region={} machine={name}: proven empty, {} tasks start again",
+                self.name,
+                tasks.len()
             );
         }
-        for (id, n) in held {
-            self.return_to_pending(&id, n, "machine gone", context);
+        for (id, task) in tasks {
+            self.return_to_pending(&id, task, "its machine is gone", context);
         }
         self.reconciliation.unreconciled.remove(name);
         self.reindex(name);
--- a/src/region/machine_inventory.rs
+++ b/src/region/machine_inventory.rs
@@ -46,7 +46,7 @@
                         .by_last_heartbeat
                         .insert((m.last_heartbeat_at, Rc::from(name)));
                 }
-                self.triggers.machines.insert(Rc::from(name));
+                self.triggers.machine_changed(&Rc::from(name));
                 self.reindex(name);
             }
             return;
@@ -120,7 +120,7 @@
             self.reindex(n);
         }
         self.update_reserved_capacity(context);
-        self.triggers.all = true;
+        self.triggers.everything_changed();
     }
 
     fn drop_machine(&mut self, name: &str, context: &SchedulingContext<'_>) {
@@ -216,7 +216,7 @@
             for n in names {
                 self.reindex(&n);
             }
-            self.triggers.all = true;
+            self.triggers.everything_changed();
         }
     }
 
--- a/src/region/machine_lifecycle.rs
+++ b/src/region/machine_lifecycle.rs
@@ -41,7 +41,7 @@
             }
         }
         if !release.is_empty() {
-            self.commits.actions.push(Action::Release(release));
+            self.commits.release(release);
         }
     }
 
@@ -254,9 +254,7 @@
         };
         let kept = self.inventory.index.reserved(&m.pool);
         self.queue
-            .ready
-            .values()
-            .take(LOOK)
+            .first(LOOK)
             .filter_map(|id| self.jobs.get(id))
             .filter(|j| kept.is_none() || j.only_type.is_some())
             .any(|j| {
@@ -295,7 +293,7 @@
                 } else if m.cordoned == Some(SURPLUS) && !m.releasing {
                     m.cordoned = None;
                     self.reindex(&name);
-                    self.triggers.machines.insert(name);
+                    self.triggers.machine_changed(&name);
                 }
             }
         }
--- /dev/null
+++ b/src/region/progress.rs
@@ -0,0 +1,185 @@
+//! Records of finished tasks and of ended jobs.
+
+use std::collections::BTreeSet;
+
+use salttiller_records::bitmap::{bitmap, read_bitmap, CHUNK};
+use salttiller_records::key::Key;
+use salttiller_records::model::{JobId, JobKind, RangeSet};
+use salttiller_records::record::{value, JobRecord, JobStage};
+use salttiller_records::units::{Micros, SECOND};
+
+use super::action::CommitKind;
+use super::job::Job;
+use super::{Region, SchedulingContext};
+use crate::state_store::CommitPriority;
+
+/// The least time between two commits of a job's progress.
+const MIN_INTERVAL: Micros = SECOND;
+/// The same while no other region depends on it.
+const MIN_RELAXED_INTERVAL: Micros = 3 * SECOND;
+/// The part of the state service's writes that progress may take.
+const STORE_WRITE_SHARE: f64 = 0.15;
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Most progress records that one commit changes.
+const MAX_CHUNKS_PER_COMMIT: usize = 8;
+
+impl Region {
+    /// Records finished tasks, and the job's end once all are finished.
+    pub(super) fn record_progress(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+        // Guards against an end written over a cancellation: the replica may show the job
+        // cancelled, with the revision to rely on, before we come to that event, when
+        // the last task's progress stands before it in the same answer.
+        if context.is_job_over(id) {
+            return;
+        }
+        let Some(job) = self.jobs.get(id) else {
+            return;
+        };
+        if job.commit_in_flight || job.is_over || job.spec.kind == JobKind::Service {
+            return;
+        }
+        let mut done = context.replica.done_tasks(id);
+        done.add_all(&job.unrecorded_done);
+        if job.is_complete_with(done.len()) {
+            self.commit_job_end(id, context);
+        } else if self.is_progress_due(job, context) {
+            self.commit_progress(id, context);
+        }
+    }
+
+    /// Finished tasks of a job were recorded, perhaps by another region.
+    /// Guards against a job whose last tasks two regions record at the
+    /// same moment, neither of them seeing the other's: whoever then sees that
+    /// all are there ends it.
+    pub fn on_progress(&mut self, id: &str, context: &SchedulingContext<'_>) {
+        let Some((id, job)) = self.jobs.get_key_value(id) else {
+            return;
+        };
+        let results = context.replica.done_tasks(id).len() + job.unrecorded_done.len();
+        if job.is_complete_with(results) {
+            let id = id.clone();
+            self.record_progress(&id, context);
+        }
+    }
+
+    /// A result that is lost costs little: the task, started again, ends as soon
+    /// as it has its image. So results are recorded as seldom as the state
+    /// service's rate asks for; but at once where another region depends on
+    /// them, since it can't see our share of the job otherwise.
+    fn is_progress_due(&self, job: &Job, context: &SchedulingContext<'_>) -> bool {
+        let is_part_finished =
+            job.bound.len() < job.spec.task_count && job.done.len() >= job.bound.len();
+        let since_last = context.now.saturating_sub(job.last_progress_commit_at);
+        let interval = if is_part_finished {
+            MIN_INTERVAL
+        } else {
+            self.progress_interval(context)
+        };
+        !job.unrecorded_done.is_empty() && since_last >= interval
+    }
+
+    /// The time between two commits of a job's progress with which the commits of all jobs and
+    /// regions stay within their part of the state service's writes.
+    fn progress_interval(&self, context: &SchedulingContext<'_>) -> Micros {
+        let settings = context.settings;
+        let interval = (self.unrecorded_jobs.len() * settings.size()) as f64
+            / (settings.store_writes_least * STORE_WRITE_SHARE)
+            * MICROS_PER_SECOND;
+        (interval as Micros).max(MIN_RELAXED_INTERVAL)
+    }
+
+    fn commit_job_end(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+        let key = Key::Job(id.to_string());
+        let ended = JobRecord {
+            stage: JobStage::Done,
+            spec: None,
+            task_ranges: Vec::new(),
+            multi_region: None,
+            ended_at: Some(context.wall),
+        };
+        let mut conditions = self.ownership_condition();
+        conditions.push((key.clone(), context.replica.version(&key)));
+        let mut changes = vec![(key, Some(value(&ended)))];
+        if let Some(chunks) = context.replica.progress.get(&**id) {
+            let max_removals = context.settings.txn_ops - 1;
+            changes.extend(chunks.keys().take(max_removals).map(|(region, chunk)| {
+                (Key::Progress(id.to_string(), region.clone(), *chunk), None)
+            }));
+        }
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.commit_in_flight = true;
+        }
+        self.commit(
+            conditions,
+            changes,
+            CommitPriority::Urgent,
+            CommitKind::JobDone(id.clone()),
+        );
+    }
+
+    fn commit_progress(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+        let mut conditions = self.ownership_condition();
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.last_progress_commit_at = context.now;
+        job.commit_in_flight = true;
+        // Fails if the job was moved or ended meanwhile: then it is looked at again first.
+        let job_key = Key::Job(id.to_string());
+        let job_version = context.replica.version(&job_key);
+        conditions.push((job_key, job_version));
+        let mut changes = Vec::new();
+        let mut written = RangeSet::default();
+        let max_chunks = (context.settings.txn_ops - 1).min(MAX_CHUNKS_PER_COMMIT);
+        for chunk in chunks_of(&job.unrecorded_done).into_iter().take(max_chunks) {
+            written.add_all(&tasks_in_chunk(&job.unrecorded_done, chunk));
+            let mut done = recorded_in_chunk(id, &self.name, chunk, context);
+            done.add_all(&job.unrecorded_done);
+            let key = Key::Progress(id.to_string(), self.name.clone(), chunk);
+            conditions.push((key.clone(), context.replica.version(&key)));
+            changes.push((key, Some(value(&bitmap(&done, chunk)))));
+        }
+        self.commit(
+            conditions,
+            changes,
+            CommitPriority::Background,
+            CommitKind::Progress(id.clone(), written),
+        );
+    }
+}
+
+/// The chunks of progress records that tasks fall into.
+fn chunks_of(tasks: &RangeSet) -> BTreeSet<u32> {
+    tasks
+        .iter()
+        .flat_map(|(first, end)| first / CHUNK..=(end - 1) / CHUNK)
+        .collect()
+}
+
+/// The tasks that fall into a chunk.
+fn tasks_in_chunk(tasks: &RangeSet, chunk: u32) -> RangeSet {
+    let mut part = RangeSet::default();
+    for (first, end) in tasks.iter() {
+        part.add(first.max(chunk * CHUNK), end.min((chunk + 1) * CHUNK));
+    }
+    part
+}
+
+/// The finished tasks in a chunk that a region has recorded.
+fn recorded_in_chunk(
+    id: &JobId,
+    region: &str,
+    chunk: u32,
+    context: &SchedulingContext<'_>,
+) -> RangeSet {
+    let mut done = RangeSet::default();
+    let record = context
+        .replica
+        .progress
+        .get(&**id)
+        .and_then(|chunks| chunks.get(&(region.to_owned(), chunk)));
+    if let Some(record) = record {
+        read_bitmap(&record.value, chunk, &mut done);
+    }
+    done
+}
--- a/src/region/queue.rs
+++ b/src/region/queue.rs
@@ -1,247 +1,374 @@
-//! The order in which waiting jobs are served.
+//! The queue of pending jobs: the order in which they are served, and when that order changes.
+//!
+//! [`JobQueue`] owns the order, the wake-ups and what the order depends on beside the jobs
+//! themselves: each team's last guaranteed job and the pace of aged starts. Only [`Region`]
+//! calls it. A job is in the queue exactly while it has a [`QueueKey`] of its own.
 
-use super::reservation::SHARE_HOLD_LIMIT;
-use super::*;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Jobs with pending tasks in scheduling order, and what that order depends on.
+use salttiller_records::model::{JobId, JobKind, JobSpec, Priority};
+use salttiller_records::units::{Micros, MILLISECOND, SECOND};
+
+use super::job::Job;
+use super::objectives::latest_start;
+use super::reservation::MAX_TEAM_BLOCK;
+use super::{Region, SchedulingContext};
+use crate::quota;
+
+/// A job whose latest start is nearer than this goes before shorter ones.
+const PRESSING_WINDOW: Micros = 15 * SECOND;
+
+/// Whatever is pending for so long since its submission goes by age from then on. Guards
+/// against a class's largest jobs, or a class whose objectives are all missed, being passed
+/// over under lasting overload: a minute is left of the four in which they must begin.
+const AGED_AFTER: Micros = 180 * SECOND;
+
+/// How often an aged job that never began gets a task out of the usual order. Guards against
+/// a flood of old jobs of one task each, all of which would go first.
+const AGED_START_INTERVAL: Micros = 5 * SECOND;
+
+/// A change of a job's position is looked at this much after its time, so that the comparison
+/// with that time surely holds.
+const CHANGE_MARGIN: Micros = MILLISECOND;
+
+/// Pending jobs in scheduling order, and what that order depends on.
 #[derive(Debug, Default)]
 pub(super) struct JobQueue {
     /// Jobs in the order in which they are served.
-    pub(super) ready: BTreeMap<OrderKey, JobId>,
-    /// Jobs to look at again at a time: their rank changes, or a back-off ends.
-    pub(super) wakeups: BTreeSet<(Micros, JobId)>,
+    ready: BTreeMap<QueueKey, JobId>,
+    wakeups: BTreeSet<Wakeup>,
     /// When an aged job may go first again.
-    pub(super) next_aged_start_at: Micros,
-    /// The last job of each team that fits into its guaranteed quota: time of submission, name.
-    pub(super) last_guaranteed: BTreeMap<String, (u64, String)>,
+    next_aged_start_at: Micros,
+    /// The last job of each team that fits into its guaranteed quota.
+    last_guaranteed: BTreeMap<String, LastGuaranteedJob>,
     /// Teams whose guaranteed jobs are to be determined anew.
-    pub(super) stale_teams: BTreeSet<String>,
+    stale_teams: BTreeSet<String>,
 }
 
-/// Whether a job goes ahead of the order.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Turn {
-    /// It has not begun for so long that one task of it goes first, the job that was
-    /// submitted first before others, whatever its priority.
-    Ahead(Micros),
-    /// It is served in the usual order.
-    Usual,
+/// A job to look at again at a time: its rank changes, or a back-off ends.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Wakeup {
+    at: Micros,
+    job: JobId,
 }
 
-/// The order of waiting jobs, least first; see [`Region::order_key`].
+/// The last job of a team within its guarantee, in the order of submission.
+#[derive(Debug, Clone, PartialEq, Eq)]
+struct LastGuaranteedJob {
+    submitted_at: Micros,
+    job: String,
+}
+
+impl JobQueue {
+    /// An empty queue that determines the guaranteed jobs of these teams first.
+    pub(super) fn new(teams: impl Iterator<Item = String>) -> Self {
+        JobQueue {
+            stale_teams: teams.collect(),
+            ..JobQueue::default()
+        }
+    }
+
+    /// Whether no job is pending.
+    pub(super) fn is_empty(&self) -> bool {
+        self.ready.is_empty()
+    }
+
+    /// All pending jobs in scheduling order.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &JobId> {
+        self.ready.values()
+    }
+
+    /// The first `count` pending jobs in scheduling order.
+    pub(super) fn first(&self, count: usize) -> impl Iterator<Item = &JobId> {
+        self.iter().take(count)
+    }
+
+    fn insert(&mut self, key: QueueKey, job: JobId) {
+        self.ready.insert(key, job);
+    }
+
+    /// A job is pending no more, or at another position.
+    pub(super) fn remove(&mut self, key: &QueueKey) {
+        self.ready.remove(key);
+    }
+
+    /// Has a job looked at again at this time of the steady clock.
+    pub(super) fn wake_at(&mut self, at: Micros, job: JobId) {
+        self.wakeups.insert(Wakeup { at, job });
+    }
+
+    /// Takes the first job whose wake-up is due.
+    pub(super) fn pop_due(&mut self, now: Micros) -> Option<JobId> {
+        if self.wakeups.first()?.at > now {
+            return None;
+        }
+        self.wakeups.pop_first().map(|wakeup| wakeup.job)
+    }
+
+    /// A job of the team was added, changed or ended: its guaranteed jobs may be others.
+    pub(super) fn team_changed(&mut self, team: &str) {
+        self.stale_teams.insert(team.to_owned());
+    }
+
+    /// Whether a job is within its team's guarantee.
+    pub(super) fn is_guaranteed(&self, id: &str, spec: &JobSpec) -> bool {
+        self.last_guaranteed
+            .get(&spec.team)
+            .is_some_and(|last| (spec.submitted_at, id) <= (last.submitted_at, last.job.as_str()))
+    }
+
+    /// Sets the last guaranteed job of a team. Returns whether that changes anything.
+    fn set_last_guaranteed(&mut self, team: &str, last: Option<LastGuaranteedJob>) -> bool {
+        let former = match &last {
+            Some(job) => self.last_guaranteed.insert(team.to_owned(), job.clone()),
+            None => self.last_guaranteed.remove(team),
+        };
+        former != last
+    }
+
+    /// Whether an aged job may be served out of the usual order just now.
+    pub(super) fn allows_aged_start(&self, now: Micros) -> bool {
+        now >= self.next_aged_start_at
+    }
+
+    /// An aged job was served out of the usual order.
+    pub(super) fn aged_start_made(&mut self, now: Micros) {
+        self.next_aged_start_at = now + AGED_START_INTERVAL;
+    }
+}
+
+/// The scheduling rank of a pending job; the least is served first. The order of the fields
+/// is the order of comparison: jobs within their team's guarantee, then priority, then the
+/// operators' precedence, then [`Urgency`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct OrderKey {
-    turn: Turn,
+pub(super) struct QueueKey {
+    service: ServiceOrder,
     /// It failed on several machines without a result: after all others.
-    suspect: bool,
-    /// It goes beyond its team's guarantee.
-    pub beyond_guarantee: bool,
-    priority: std::cmp::Reverse<salttiller_records::model::Priority>,
-    /// TaskState of its class in the operators' precedence.
+    is_suspect: bool,
+    beyond_guarantee: bool,
+    priority: Reverse<Priority>,
+    /// Position of its class in the operators' precedence.
     precedence: usize,
-    /// None of its aims can be met any more.
-    past_aims: bool,
-    /// No aim presses.
-    relaxed: bool,
-    /// What decides among equals: a time to start by, a size, or the age.
-    weight: u64,
-    submitted: Micros,
+    urgency: Urgency,
+    submitted_at: Micros,
     id: JobId,
 }
 
-impl OrderKey {
-    /// Whether one task of the job goes first.
-    pub fn is_ahead(&self) -> bool {
-        matches!(self.turn, Turn::Ahead(_))
+impl QueueKey {
+    /// Whether one task of the job is served out of the usual order.
+    pub(super) fn is_aged_start(&self) -> bool {
+        matches!(self.service, ServiceOrder::AgedStart(_))
+    }
+
+    /// Whether the job is within its team's guarantee.
+    pub(super) fn is_guaranteed(&self) -> bool {
+        !self.beyond_guarantee
     }
 }
 
-/// A job whose latest start is nearer than this goes before shorter ones.
-const PRESSING: Micros = 15 * SECOND;
+/// Whether a job is served out of the usual order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum ServiceOrder {
+    /// It has not begun for so long that one task of it goes first, whatever its priority;
+    /// of several such jobs the one that was submitted first.
+    AgedStart(Micros),
+    Usual,
+}
 
-/// Whatever has waited so long since its submission goes by age from then on. Guards
-/// against a class's largest jobs, or a class whose aims are all past, being passed
-/// over under lasting overload: a minute is left of the four in which they must begin.
-const PATIENCE: Micros = 180 * SECOND;
-
-/// How long after its submission a job may be started and still meet its own
-/// deadline and each aim of its class.
-pub fn waiting_spans<'a>(
-    s: &'a JobSpec,
-    settings: &'a Settings,
-) -> impl Iterator<Item = Micros> + 'a {
-    let deadline = s.deadline.map(|d| d.saturating_sub(s.estimated_run_time));
-    let aims = settings
-        .objectives
-        .iter()
-        .filter(|o| o.class.as_deref() == Some(s.class.as_str()))
-        .filter_map(|o| match (o.kind.as_str(), o.within?) {
-            ("wait", w) => Some(w),
-            ("finished", w) => Some(w.saturating_sub(s.estimated_run_time)),
-            _ => None,
-        });
-    deadline.into_iter().chain(aims)
+/// What decides among jobs of equal guarantee, priority and precedence.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Urgency {
+    /// None of its objectives can be met any more.
+    missed_objectives: bool,
+    /// No objective presses.
+    relaxed: bool,
+    /// A time to start by, a size, or the time of submission.
+    weight: u64,
 }
 
-/// The time of day by which a job must be started to meet the nearest of its
-/// aims that can still be met: its own deadline, or what its class is expected.
-/// `None` if there was one and it is past; far off if there never was one.
-pub fn latest_start(s: &JobSpec, context: &SchedulingContext<'_>) -> Option<Micros> {
-    let mut any = false;
-    let mut best: Option<Micros> = None;
-    let mut aim = |at: Micros| {
-        any = true;
-        if at >= context.wall {
-            best = Some(best.map_or(at, |b| b.min(at)));
+impl Urgency {
+    /// By age alone.
+    fn by_age(spec: &JobSpec) -> Self {
+        Urgency {
+            missed_objectives: false,
+            relaxed: false,
+            weight: spec.submitted_at,
         }
-    };
-    for span in waiting_spans(s, context.settings) {
-        aim(s.submitted_at + span);
-    }
-    if any {
-        best
-    } else {
-        Some(s.submitted_at + 3600 * SECOND)
     }
-}
 
-impl Region {
-    /// The order in which waiting jobs are served: those within their team's
-    /// guarantee, then priority, then the operators' precedence. Among equals, gangs go
-    /// by their age, so that a large one is never passed over for ever; of the
-    /// others, those that can still meet an aim of their class go before those that
-    /// can't, the pressing ones first, then the short ones: that way the most are in
-    /// time. Also returns after what span this changes by itself.
-    pub(super) fn queue_key(
-        &self,
-        id: &JobId,
-        s: &JobSpec,
-        context: &SchedulingContext<'_>,
-    ) -> (OrderKey, Option<Micros>) {
-        let precedence = context
-            .settings
-            .operator
-            .precedence
-            .iter()
-            .position(|c| *c == s.class)
-            .unwrap_or(usize::MAX);
-        let guaranteed = self
-            .queue
-            .last_guaranteed
-            .get(&s.team)
-            .is_some_and(|last| (s.submitted_at, &**id) <= (last.0, last.1.as_str()));
-        let suspect = self.jobs.get(id).is_some_and(|j| j.failures.is_suspect());
-        // Guards against work of low priority that never begins while higher priority keeps
-        // coming: once it is old enough a task starts now and then.
-        let turn_in = self.jobs.get(id).and_then(|j| {
-            let never_served = j.on_machines.is_empty() && s.kind == JobKind::Array && !suspect;
-            let by_age = (s.submitted_at + PATIENCE).saturating_sub(context.wall);
-            let by_last = (j.last_assigned + SHARE_HOLD_LIMIT).saturating_sub(context.now);
-            let by_others = self.queue.next_aged_start_at.saturating_sub(context.now);
-            never_served.then_some(by_age.max(by_last).max(by_others))
-        });
-        let key = |past_aims: bool, relaxed: bool, weight: u64| OrderKey {
-            turn: match turn_in {
-                Some(0) => Turn::Ahead(s.submitted_at),
-                _ => Turn::Usual,
+    /// Those that can still meet an objective go before those that can't, the pressing ones
+    /// first, then the small ones: that way the most are in time. Also returns the time of
+    /// day when this changes by itself.
+    fn by_objectives(spec: &JobSpec, context: &SchedulingContext<'_>) -> (Self, Micros) {
+        let due = latest_start(spec, context);
+        let is_pressing = due.is_some_and(|at| at < context.wall + PRESSING_WINDOW);
+        let urgency = Urgency {
+            missed_objectives: due.is_none(),
+            relaxed: !is_pressing,
+            weight: if is_pressing {
+                due.unwrap_or(0)
+            } else {
+                job_size(spec)
             },
-            suspect,
-            beyond_guarantee: !guaranteed,
-            priority: std::cmp::Reverse(s.priority),
-            precedence,
-            past_aims,
-            relaxed,
-            weight,
-            submitted: s.submitted_at,
-            id: id.clone(),
         };
-        // One task needs no others' places: it goes by its aims like the rest.
-        let together = s.kind == JobKind::Gang && s.task_count > 1;
-        let aged = s.submitted_at + PATIENCE;
-        if together || context.wall >= aged {
-            let change = turn_in.filter(|span| *span > 0);
-            return (
-                key(false, false, s.submitted_at),
-                change.map(|c| c + MILLISECOND),
-            );
-        }
-        let due = latest_start(s, context);
-        let size = s.estimated_run_time.saturating_mul(s.task_count.into()) / 1000
-            * (s.cpus / 1000).max(1);
-        let pressing = due.is_some_and(|d| d < context.wall + PRESSING);
-        let weight = if pressing { due.unwrap_or(0) } else { size };
-        let change = match due {
-            Some(d) if pressing => d,
-            Some(d) => d - PRESSING,
-            None => aged,
+        let changes_at = match due {
+            Some(at) if is_pressing => at,
+            Some(at) => at - PRESSING_WINDOW,
+            None => aged_at(spec),
         };
-        let span = change.min(aged).saturating_sub(context.wall) + MILLISECOND;
-        (key(due.is_none(), !pressing, weight), Some(span))
+        (urgency, changes_at.min(aged_at(spec)))
     }
+}
+
+/// When a job goes by its age alone.
+fn aged_at(spec: &JobSpec) -> Micros {
+    spec.submitted_at + AGED_AFTER
+}
+
+/// The processor time that a job is expected to take, in processor-milliseconds.
+fn job_size(spec: &JobSpec) -> u64 {
+    const MICROS_PER_MILLI: u64 = 1000;
+    const CPU_UNITS_PER_MILLI: u64 = 1000;
+    spec.estimated_run_time
+        .saturating_mul(spec.task_count.into())
+        / MICROS_PER_MILLI
+        * (spec.cpus / CPU_UNITS_PER_MILLI).max(1)
+}
 
-    /// Enters a job into the order of waiting jobs, or takes it out.
+/// Where a job is in the queue (`None`: it isn't), and after what time that changes by itself.
+#[derive(Debug, Default)]
+struct QueuePosition {
+    key: Option<QueueKey>,
+    changes_in: Option<Micros>,
+}
+
+impl Region {
+    /// Brings the position of a job in the queue up to date: enters it, moves it, or takes it
+    /// out.
     pub(super) fn update_queue_position(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
-        self.set_queue_position(id, false, context);
+        let Some(job) = self.jobs.get(id) else {
+            return;
+        };
+        let position = self.queue_position(id, job, context);
+        if job.queue_key != position.key {
+            self.set_queue_position(id, position, context.now);
+        }
     }
 
-    /// A job's time to be looked at has come. Guards against one whose place stays as it
-    /// is for now, since another had its turn: it is to be looked at again.
-    pub(super) fn update_queue_position_when_due(
-        &mut self,
-        id: &JobId,
-        context: &SchedulingContext<'_>,
-    ) {
-        self.set_queue_position(id, true, context);
+    /// A wake-up of the job was due. Guards against one whose position stays as it is for now,
+    /// since another aged job was served: it is to be looked at again.
+    pub(super) fn renew_queue_position(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+        let Some(job) = self.jobs.get(id) else {
+            return;
+        };
+        let position = self.queue_position(id, job, context);
+        self.set_queue_position(id, position, context.now);
     }
 
-    fn set_queue_position(&mut self, id: &JobId, due: bool, context: &SchedulingContext<'_>) {
-        let Some(job) = self.jobs.get(id) else {
+    fn set_queue_position(&mut self, id: &JobId, position: QueuePosition, now: Micros) {
+        let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let waits = !job.pending.is_empty() && !job.is_over;
-        let (key, again) = if waits {
-            let spec = job.spec.clone();
-            let (k, again) = self.queue_key(id, &spec, context);
-            (Some(k), again)
+        if let Some(former) = job.queue_key.take() {
+            self.queue.remove(&former);
+        }
+        job.queue_key.clone_from(&position.key);
+        if let Some(key) = position.key {
+            self.queue.insert(key, id.clone());
+        }
+        if let Some(span) = position.changes_in {
+            self.queue.wake_at(now + span, id.clone());
+        }
+    }
+
+    fn queue_position(
+        &self,
+        id: &JobId,
+        job: &Job,
+        context: &SchedulingContext<'_>,
+    ) -> QueuePosition {
+        if job.pending.is_empty() || job.is_over {
+            return QueuePosition::default();
+        }
+        let spec = &job.spec;
+        let aged_start_in = self.aged_start_in(job, context);
+        let is_multi_task_gang = spec.kind == JobKind::Gang && spec.task_count > 1;
+        // Gangs go by their age, so that a large one is never passed over for ever. A gang of
+        // one task needs no other places: it goes by its objectives like the rest.
+        let (urgency, changes_in) = if is_multi_task_gang || context.wall >= aged_at(spec) {
+            let changes_in = aged_start_in.filter(|span| *span > 0);
+            (Urgency::by_age(spec), changes_in)
         } else {
-            (None, None)
+            let (urgency, changes_at) = Urgency::by_objectives(spec, context);
+            (urgency, Some(changes_at.saturating_sub(context.wall)))
         };
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
+        let service = match aged_start_in {
+            Some(0) => ServiceOrder::AgedStart(spec.submitted_at),
+            _ => ServiceOrder::Usual,
         };
-        if due || job.queue_key != key {
-            if let Some(old) = job.queue_key.take() {
-                self.queue.ready.remove(&old);
-            }
-            job.queue_key.clone_from(&key);
-            if let Some(k) = key {
-                self.queue.ready.insert(k, id.clone());
-                if let Some(span) = again {
-                    self.queue.wakeups.insert((context.now + span, id.clone()));
-                }
-            }
+        QueuePosition {
+            key: Some(self.queue_key(id, job, service, urgency, context)),
+            changes_in: changes_in.map(|span| span + CHANGE_MARGIN),
         }
     }
 
-    /// Follows which jobs fit into their teams' guarantees.
+    fn queue_key(
+        &self,
+        id: &JobId,
+        job: &Job,
+        service: ServiceOrder,
+        urgency: Urgency,
+        context: &SchedulingContext<'_>,
+    ) -> QueueKey {
+        let spec = &job.spec;
+        let mut precedence = context.settings.operator.precedence.iter();
+        QueueKey {
+            service,
+            is_suspect: job.failures.is_suspect(),
+            beyond_guarantee: !self.queue.is_guaranteed(id, spec),
+            priority: Reverse(spec.priority),
+            precedence: precedence
+                .position(|class| *class == spec.class)
+                .unwrap_or(usize::MAX),
+            urgency,
+            submitted_at: spec.submitted_at,
+            id: id.clone(),
+        }
+    }
+
+    /// After what time a job that never began gets a task out of the usual order; `None` if
+    /// never. Guards against work of low priority that never begins while higher priority
+    /// keeps coming: once it is old enough a task starts now and then.
+    fn aged_start_in(&self, job: &Job, context: &SchedulingContext<'_>) -> Option<Micros> {
+        let never_served = job.on_machines.is_empty()
+            && job.spec.kind == JobKind::Array
+            && !job.failures.is_suspect();
+        if !never_served {
+            return None;
+        }
+        let by_age = aged_at(&job.spec).saturating_sub(context.wall);
+        let by_last_start = (job.last_assigned + MAX_TEAM_BLOCK).saturating_sub(context.now);
+        let by_others = self.queue.next_aged_start_at.saturating_sub(context.now);
+        Some(by_age.max(by_last_start).max(by_others))
+    }
+
+    /// Brings up to date which jobs are within their teams' guarantees.
     pub(super) fn update_guaranteed_jobs(&mut self, context: &SchedulingContext<'_>) {
         for team in std::mem::take(&mut self.queue.stale_teams) {
-            let last = quota::last_guaranteed(context.replica, context.settings, &team);
-            let was = match &last {
-                Some(l) => self.queue.last_guaranteed.insert(team.clone(), l.clone()),
-                None => self.queue.last_guaranteed.remove(&team),
-            };
-            if was != last {
-                let ids: Vec<JobId> = self
-                    .queue
-                    .ready
-                    .values()
-                    .filter(|id| self.jobs.get(*id).is_some_and(|j| j.spec.team == team))
-                    .cloned()
-                    .collect();
-                for id in ids {
-                    self.update_queue_position(&id, context);
-                }
+            let last = quota::last_guaranteed(context.replica, context.settings, &team)
+                .map(|(submitted_at, job)| LastGuaranteedJob { submitted_at, job });
+            if !self.queue.set_last_guaranteed(&team, last) {
+                continue;
+            }
+            let pending: Vec<JobId> = self
+                .queue
+                .iter()
+                .filter(|id| self.jobs.get(*id).is_some_and(|job| job.spec.team == team))
+                .cloned()
+                .collect();
+            for id in pending {
+                self.update_queue_position(&id, context);
             }
         }
     }
--- a/src/region/reachability.rs
+++ b/src/region/reachability.rs
@@ -149,7 +149,7 @@
             self.revisit_at(name, context.now);
         } else if matches!(was, Reachability::Unreachable { .. }) {
             log::info!("region: {name}: hears us again");
-            self.triggers.machines.insert(name.clone());
+            self.triggers.machine_changed(name);
         }
     }
 }
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -52,16 +52,14 @@
 
     pub(super) fn finish_recovery(&mut self, context: &SchedulingContext<'_>) {
         self.reconciliation.is_complete = true;
-        self.triggers.all = true;
+        self.triggers.everything_changed();
         log::info!(
             "region: {}: settled {:.1} s after taking, {} machines",
             self.name,
             to_secs(context.now - self.reconciliation.acquired_at),
             self.inventory.machines.len()
         );
-        for s in self.quotas.by_team.values_mut() {
-            s.inherited = QuotaAmount::default();
-        }
+        self.quotas.clear_inherited();
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
             let Some(job) = self.jobs.get_mut(&id) else {
--- a/src/region/task.rs
+++ b/src/region/task.rs
@@ -1,19 +1,25 @@
-//! A task of a job bound to the region: where it is, and what it takes there.
+//! A task of a job that is bound to the region: its state, and its assignment to a machine.
 
-use super::*;
+use std::rc::Rc;
 
-/// Where a task is.
+use salttiller_records::units::Micros;
+use salttiller_records::{QuotaAmount, Resources};
+
+use crate::worker_protocol::ReportedState;
+
+/// The state of a task; `task_transition` lists what leads from one to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskState {
     /// On no machine, free to be started.
     Pending,
-    /// A former owner may have started it: on a machine not yet accounted for.
+    /// A former owner may have started it: on a machine that is not yet reconciled.
     Unreconciled,
-    /// On no machine; a commit that gives it to another region is under way.
+    /// On no machine; a commit that hands it over to another region is in flight.
     Rebinding,
-    /// Meant for a machine, the start not yet sent.
+    /// Assigned to a machine, the start not yet dispatched.
     Assigned,
-    /// The start is in an answer; the next report tells.
+    /// The start is in the answer to a heartbeat; the next heartbeat shows whether it was
+    /// carried out.
     Dispatched,
     /// Reported by its machine.
     Reported(ReportedState),
@@ -21,31 +27,40 @@
     Done,
 }
 
-/// A task on (or meant for) a machine.
+/// The machine and the attempt with which a task enters a state on a machine.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct AssignmentTarget<'a> {
+    pub(super) machine: &'a str,
+    pub(super) attempt: u64,
+}
+
+/// A task on a machine, or assigned to it.
 #[derive(Debug, Clone)]
 pub(super) struct Assignment {
     pub(super) attempt: u64,
     pub(super) state: TaskState,
     pub(super) quota: QuotaAmount,
+    /// In bytes.
     pub(super) memory: u64,
     pub(super) team: Rc<str>,
-    /// Fits no other type of machine.
+    /// Fits on no other machine type.
     pub(super) constrained: bool,
     /// Started under our own token.
     pub(super) started_by_us: bool,
-    /// Of a gang over several regions: not before all parts have room.
+    /// Of a gang over several regions: not to be started before all parts have their places.
     pub(super) awaits_start_barrier: bool,
     /// Its machine was not known to have the image.
     pub(super) image_missing: bool,
-    /// Must go: with this grace.
+    /// It is to be stopped, with this grace period.
     pub(super) stop_grace: Option<Micros>,
-    /// When it was meant for the machine, sent, or found.
+    /// When it was assigned, dispatched, or found on its machine.
     pub(super) since: Micros,
     /// When it was first reported as running.
     pub(super) running_since: Option<Micros>,
 }
 
 impl Assignment {
+    /// What it takes of its machine.
     pub(super) fn resources(&self) -> Resources {
         Resources {
             cpus: self.quota.cpus,
--- /dev/null
+++ b/src/region/task_transition.rs
@@ -0,0 +1,242 @@
+//! The only place where a task changes its state.
+//!
+//! [`Region::transition`] leaves the former [`TaskState`] and enters the new one, and keeps
+//! everything that follows from a task's state up to date: the sets of its job, the
+//! capacity in use on its machine, its team's quota, the tasks that are not yet dispatched
+//! and the triggers of placement. Whether the new state is due is up to the caller. (That an
+//! assignment was dispatched or reported changes nothing but the assignment itself;
+//! `heartbeats` notes it there.)
+//!
+//! | from | event | to |
+//! | --- | --- | --- |
+//! | (none) | the job is bound here | `Pending` |
+//! | (none) | the region is acquired with the job's record | `Unreconciled` |
+//! | `Unreconciled` | a machine reports the task | `Reported` |
+//! | `Unreconciled` | reconciliation ends | `Pending` |
+//! | `Pending` | a machine is chosen for it | `Assigned` |
+//! | `Pending` | its hand-over is being committed | `Rebinding` |
+//! | `Rebinding` | the hand-over failed | `Pending` |
+//! | `Assigned` | a machine that reports sooner takes it over | `Assigned` |
+//! | `Assigned` | its machine's heartbeat is answered | `Dispatched` |
+//! | `Assigned` | it is withdrawn, or its gang breaks | `Pending` |
+//! | `Dispatched` | its machine reports it | `Reported` |
+//! | `Dispatched`, `Reported` | its machine's heartbeat lacks it, or the machine is gone | `Pending` |
+//! | `Reported` | it ended without a result | `Pending` |
+//! | any | it ended with a result, or its job is over | `Done` |
+
+use std::rc::Rc;
+
+use salttiller_records::model::JobId;
+use salttiller_records::units::{to_secs, Micros};
+
+use super::job::Job;
+use super::task::{Assignment, AssignmentTarget, TaskState};
+use super::Region;
+
+impl Region {
+    /// Moves a task to another state. `target` names machine and attempt of states on a
+    /// machine.
+    pub(super) fn transition(
+        &mut self,
+        id: &JobId,
+        task: u32,
+        to: TaskState,
+        target: Option<AssignmentTarget<'_>>,
+        now: Micros,
+    ) {
+        self.leave_state(id, task, to, now);
+        match to {
+            TaskState::Pending => self.enter_pending(id, task, now),
+            TaskState::Done => self.enter_done(id, task),
+            TaskState::Unreconciled => {
+                if let Some(job) = self.jobs.get_mut(id) {
+                    job.unreconciled.insert(task);
+                }
+            }
+            TaskState::Rebinding => {
+                if let Some(job) = self.jobs.get_mut(id) {
+                    job.rebinding.insert(task);
+                }
+            }
+            TaskState::Assigned | TaskState::Dispatched | TaskState::Reported(_) => {
+                if let Some(target) = target {
+                    self.enter_machine(id, task, to, target, now);
+                }
+            }
+        }
+    }
+
+    fn leave_state(&mut self, id: &JobId, task: u32, to: TaskState, now: Micros) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let machine = job.on_machines.remove(&task);
+        job.pending.take(task);
+        job.unreconciled.take(task);
+        job.rebinding.take(task);
+        if let Some(machine) = machine {
+            self.leave_machine(id, task, &machine, to, now);
+        }
+    }
+
+    fn leave_machine(
+        &mut self,
+        id: &JobId,
+        task: u32,
+        machine: &Rc<str>,
+        to: TaskState,
+        now: Micros,
+    ) {
+        let Some(assignment) = self.remove_assignment(id, task, machine, now) else {
+            return;
+        };
+        if to == TaskState::Done && !assignment.constrained {
+            if let Some(job) = self.jobs.get(id) {
+                self.runtime_estimates
+                    .record(&job.spec, now - assignment.since, now);
+            }
+        }
+        if assignment.state == TaskState::Assigned {
+            self.undispatched.remove(assignment.since, id.clone(), task);
+            if assignment.image_missing {
+                self.forget_image(machine, id);
+            }
+        } else {
+            log::debug!(
+                "region={} machine={machine} job={id} task={task}: left the machine for {to:?} \
+                 after {:.1} s, {:.1} s of them before running",
+                self.name,
+                to_secs(now - assignment.since),
+                to_secs(assignment.running_since.unwrap_or(now) - assignment.since)
+            );
+        }
+        self.quotas.credit(&assignment);
+        self.triggers.team_changed(&assignment.team);
+        self.triggers.machine_changed(machine);
+        self.reindex(machine);
+        self.check_if_idle(machine, &assignment, now);
+    }
+
+    /// Takes an assignment off its machine.
+    fn remove_assignment(
+        &mut self,
+        id: &JobId,
+        task: u32,
+        machine: &str,
+        now: Micros,
+    ) -> Option<Assignment> {
+        let machine = self.inventory.machines.get_mut(machine)?;
+        let assignment = machine.tasks.remove(&(id.clone(), task))?;
+        machine.used = machine.used.minus(assignment.resources());
+        if !assignment.constrained {
+            machine.used_by_flexible = machine.used_by_flexible.minus(assignment.resources());
+        }
+        let is_reserved = self.inventory.index.reserved(&machine.pool).is_some();
+        if (assignment.constrained || !is_reserved)
+            && !machine.serves_its_purpose(is_reserved)
+            && assignment.state != TaskState::Assigned
+        {
+            machine.idle_since = now;
+        }
+        Some(assignment)
+    }
+
+    /// Has a machine checked that holds no more work of its purpose: at once if it is
+    /// cordoned, else after it has been idle for as long as a new one takes to boot.
+    fn check_if_idle(&mut self, name: &Rc<str>, left: &Assignment, now: Micros) {
+        let Some(machine) = self.inventory.machines.get(name) else {
+            return;
+        };
+        let is_idle =
+            machine.tasks.is_empty() || (left.constrained && !machine.serves_its_purpose(true));
+        if is_idle {
+            let delay = if machine.cordoned.is_some() {
+                0
+            } else {
+                machine.boot_time
+            };
+            self.revisit_at(name, now + delay);
+        }
+    }
+
+    fn enter_pending(&mut self, id: &JobId, task: u32, now: Micros) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if job.is_over || job.done.contains(task) || !job.bound.contains(task) {
+            return;
+        }
+        if job.pending.is_empty() {
+            job.pending_since = now;
+        }
+        job.pending.insert(task);
+        self.triggers.job_changed(id);
+    }
+
+    fn enter_done(&mut self, id: &JobId, task: u32) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if !job.is_over && job.bound.contains(task) && !job.done.contains(task) {
+            job.done.insert(task);
+            job.unrecorded_done.insert(task);
+            self.unrecorded_jobs.insert(id.clone());
+        }
+    }
+
+    fn enter_machine(
+        &mut self,
+        id: &JobId,
+        task: u32,
+        to: TaskState,
+        target: AssignmentTarget<'_>,
+        now: Micros,
+    ) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let Some(machine) = self.inventory.machines.get_mut(target.machine) else {
+            return;
+        };
+        let image_missing = machine.images.insert(job.spec.image.clone());
+        let assignment = new_assignment(job, to, target.attempt, image_missing, now);
+        machine.used = machine.used.plus(assignment.resources());
+        if !assignment.constrained {
+            machine.used_by_flexible = machine.used_by_flexible.plus(assignment.resources());
+        }
+        if to == TaskState::Assigned {
+            job.last_assigned = now;
+            if !assignment.awaits_start_barrier {
+                self.undispatched.insert(now, id.clone(), task);
+            }
+        }
+        self.quotas.charge(&assignment);
+        machine.tasks.insert((id.clone(), task), assignment);
+        job.on_machines.insert(task, Rc::from(target.machine));
+        self.reindex(target.machine);
+    }
+}
+
+fn new_assignment(
+    job: &Job,
+    state: TaskState,
+    attempt: u64,
+    image_missing: bool,
+    now: Micros,
+) -> Assignment {
+    let is_new = state == TaskState::Assigned;
+    Assignment {
+        attempt,
+        state,
+        quota: job.spec.quota_per_task(),
+        memory: job.spec.memory,
+        team: Rc::from(job.spec.team.as_str()),
+        constrained: job.only_type.is_some(),
+        started_by_us: is_new,
+        awaits_start_barrier: is_new && job.multi_region.is_some(),
+        image_missing,
+        stop_grace: job.is_over.then_some(0),
+        since: now,
+        running_since: None,
+    }
+}
--- a/src/region/tests.rs
+++ b/src/region/tests.rs
@@ -217,9 +217,9 @@
     };
     r.on_heartbeat(&report("m-1", 1, 7, &[]), &f.context(2 * SECOND));
     large(&mut f, "req-1");
-    r.on_job("req-1", &f.context(2 * SECOND), false);
+    r.on_job("req-1", &f.context(2 * SECOND));
     f.job("req-2", "red", "s", "1", 1, 0);
-    r.on_job("req-2", &f.context(2 * SECOND), false);
+    r.on_job("req-2", &f.context(2 * SECOND));
     let mut begun = BTreeMap::new();
     let mut out = Vec::new();
     for s in 3..90 {
@@ -255,12 +255,12 @@
         }
         if s == 70 {
             f.job("req-3", "red", "s", "1", 1, 0);
-            r.on_job("req-3", &f.context(s * SECOND), false);
+            r.on_job("req-3", &f.context(s * SECOND));
         }
         if s == 80 {
             assert_eq!(out, ["req-1", "req-2"], "req-3 may run elsewhere");
             large(&mut f, "req-4");
-            r.on_job("req-4", &f.context(s * SECOND), false);
+            r.on_job("req-4", &f.context(s * SECOND));
         }
     }
     assert!(out.contains(&"req-4".to_owned()), "{out:?}");
@@ -323,7 +323,7 @@
         r.on_heartbeat(&report("m-2", 1, 7, had), &f.context(2 * SECOND));
         r.on_heartbeat(&report("m-1", 1, 7, &[]), &f.context(2 * SECOND));
         f.job("req-2", "red", "x", "1", 1, 0);
-        r.on_job("req-2", &f.context(3 * SECOND), false);
+        r.on_job("req-2", &f.context(3 * SECOND));
         r.place_pending(&f.context(3 * SECOND));
         let first = r.on_heartbeat(&report("m-2", 2, 7, had), &f.context(at * MILLISECOND));
         let then = r.on_heartbeat(&report("m-1", 2, 7, &[]), &f.context(at * MILLISECOND + 1));
@@ -347,11 +347,11 @@
     r.take_actions();
     f.job("req-1", "red", "x", "1", 2, 0);
     f.share("red", 4_000_000);
-    r.on_job("req-1", &f.context(2 * SECOND), false);
+    r.on_job("req-1", &f.context(2 * SECOND));
     r.place_pending(&f.context(2 * SECOND));
     assert_eq!(r.running("req-1"), 2);
     f.job("req-2", "blue", "x", "1", 1, 0);
-    r.on_job("req-2", &f.context(3 * SECOND), false);
+    r.on_job("req-2", &f.context(3 * SECOND));
     r.tick(&f.context(3 * SECOND));
     let asked = r
         .take_actions()
@@ -453,7 +453,7 @@
         let v = json!({"st":"o","b":[[0,tasks,"t-0"]],"j":{"c":"x","t":team,"k":kind,"r":priority,"n":tasks,
             "u":cpus,"m":1_000_000,"i":"img","e":4_000_000,"a":now}});
         self.f.put(&format!("st/job/{id}"), v);
-        self.r.on_job(id, &self.f.context(now), false);
+        self.r.on_job(id, &self.f.context(now));
     }
 
     /// The region's waiting jobs as told to the other controllers.
@@ -544,7 +544,7 @@
                     None => drop(self.f.replica.event(&k.text(), None, self.f.rev + 1)),
                 }
                 if let Key::Job(id) = &k {
-                    self.r.on_job(id, &self.f.context(now), false);
+                    self.r.on_job(id, &self.f.context(now));
                 }
             }
             self.r.conclude_commit(kind, true, &self.f.context(now));
@@ -604,7 +604,7 @@
                 let v = json!({"st":"o","b":[[0,tasks,"t-0"]],"j":{"c":class,"t":team,"k":"a",
                     "r":"1","n":tasks,"u":2_000_000,"m":1_000_000,"i":"img","e":4_000_000,"a":now}});
                 shop.f.put("st/job/req-1", v);
-                shop.r.on_job("req-1", &shop.f.context(now), false);
+                shop.r.on_job("req-1", &shop.f.context(now));
             }
             shop.second(now, None);
             let n = shop.began.keys().filter(|(j, _)| j == "req-1").count();
