--- a/src/region.rs
+++ b/src/region.rs
@@ -17,6 +17,7 @@
 mod constrained_types;
 mod context;
 mod failure_attribution;
+mod gang_state;
 mod gangs;
 mod hand_over;
 mod heartbeat_outcome;
@@ -177,7 +178,7 @@
         region
     }
 
-    /// Enters the machines, jobs and shares that a former owner may have used.
+    /// Adds the machines, jobs and shares that a former owner may have used.
     fn inherit_records(&mut self, context: &SchedulingContext<'_>) {
         for (machine, record) in &context.replica.machines {
             if record.value.region == self.name {
@@ -248,7 +249,7 @@
         machine.tasks.get_mut(&(id.clone(), task))
     }
 
-    /// Time has passed. Returns the time of the steady clock for the next call.
+    /// Runs upkeep if it is due, and places pending tasks. Returns the time of the steady clock for the next call.
     pub fn tick(&mut self, context: &SchedulingContext<'_>) -> Micros {
         if context.now >= self.next_upkeep_at {
             self.next_upkeep_at = context.now + UPKEEP_INTERVAL;
@@ -279,8 +280,8 @@
         }
     }
 
-    /// Looks at the jobs whose wake-up is due: their rank changes, a back-off is over, or they
-    /// were at the start barrier for too long.
+    /// Re-evaluates the jobs whose wake-up is due: their rank changes, a back-off is over, or
+    /// they were at the start barrier for too long.
     fn process_wakeups(&mut self, context: &SchedulingContext<'_>) {
         while let Some(id) = self.queue.pop_due(context.now) {
             self.leave_expired_barrier(&id, context);
--- a/src/region/commits.rs
+++ b/src/region/commits.rs
@@ -5,6 +5,7 @@
 //! flight and those whose conflict the replica does not explain yet.
 
 use std::collections::BTreeMap;
+use std::rc::Rc;
 
 use salttiller_records::key::Key;
 use salttiller_records::model::{JobId, RangeSet};
@@ -32,7 +33,7 @@
 }
 
 impl CommitTracker {
-    /// Has a transaction committed.
+    /// Queues a transaction for commit.
     pub(super) fn submit(
         &mut self,
         transaction: Transaction,
@@ -43,17 +44,17 @@
             .push(Action::Commit(transaction, priority, kind));
     }
 
-    /// Has machines returned to the cloud.
+    /// Queues the return of machines to the cloud.
     pub(super) fn release(&mut self, machines: Vec<String>) {
         self.actions.push(Action::Release(machines));
     }
 
-    /// Takes the actions since the last call.
+    /// Removes and returns the actions since the last call.
     pub(super) fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Takes the conflicted commits that a replica at this revision explains.
+    /// Removes and returns the conflicted commits that a replica at this revision explains.
     fn take_explained(&mut self, revision: u64) -> Vec<CommitKind> {
         let (explained, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.conflicts)
             .into_iter()
@@ -74,7 +75,7 @@
         self.commits.in_flight.insert(number, kind);
     }
 
-    /// Takes the outcome of a commit. Returns whether it was a commit of this region.
+    /// Concludes a commit by its outcome. Returns whether it was a commit of this region.
     pub fn on_committed(
         &mut self,
         number: u64,
@@ -131,20 +132,26 @@
             }
             CommitKind::Rebind(id) => self.on_hand_over_committed(&id, committed, context),
             CommitKind::ActivateMachines(names) => {
-                self.machine_records.activation_in_flight = false;
-                if committed {
-                    for name in names {
-                        self.machine_records.to_activate.remove(&name);
-                    }
-                }
+                self.on_activations_committed(&names, committed);
             }
-            CommitKind::RemoveMachines(names) => {
-                self.machine_records.removal_in_flight = false;
-                if committed {
-                    for name in names {
-                        self.machine_records.to_remove.remove(&name);
-                    }
-                }
+            CommitKind::RemoveMachines(names) => self.on_removals_committed(&names, committed),
+        }
+    }
+
+    fn on_activations_committed(&mut self, machines: &[Rc<str>], committed: bool) {
+        self.machine_records.activation_in_flight = false;
+        if committed {
+            for name in machines {
+                self.machine_records.to_activate.remove(name);
+            }
+        }
+    }
+
+    fn on_removals_committed(&mut self, machines: &[Rc<str>], committed: bool) {
+        self.machine_records.removal_in_flight = false;
+        if committed {
+            for name in machines {
+                self.machine_records.to_remove.remove(name);
             }
         }
     }
@@ -192,7 +199,7 @@
         vec![(Key::Region(self.name.clone()), self.version)]
     }
 
-    /// Has changes committed if the records still have these versions.
+    /// Submits changes that are committed only if the records still have these versions.
     pub(super) fn commit(
         &mut self,
         conditions: Vec<(Key, u64)>,
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -21,7 +21,7 @@
         let spec = job.spec.clone();
         let tasks: Vec<u32> = job.pending.numbers().collect();
         let count = tasks.len() as u64;
-        let multi_region_attempt = job.multi_region.as_ref().map(|gang| gang.attempt);
+        let multi_region_attempt = job.gang.attempt();
         for zone in self.candidate_zones(job) {
             let mut limits = ZoneLimits::for_job(&spec, zone);
             if self.tasks_placeable_now(id, &limits, count, context) < count {
@@ -100,7 +100,7 @@
             self.name
         );
         if let Some(job) = self.jobs.get_mut(id) {
-            job.barrier_since = Some(context.now);
+            job.gang.reach_barrier(context.now);
         }
         self.queue
             .wake_at(context.now + context.settings.gang_wait, id.clone());
@@ -108,10 +108,9 @@
 
     /// Parts of gangs over several regions that are at the start barrier, with the attempt.
     pub(super) fn gang_parts_ready(&self) -> impl Iterator<Item = (&JobId, u64)> {
-        self.jobs.iter().filter_map(|(id, job)| {
-            let gang = job.multi_region.as_ref()?;
-            job.barrier_since.map(|_| (id, gang.attempt))
-        })
+        self.jobs
+            .iter()
+            .filter_map(|(id, job)| Some((id, job.gang.attempt_at_barrier()?)))
     }
 
     /// All parts of a gang over several regions are at the start barrier: ours may start.
@@ -120,11 +119,7 @@
             return;
         };
         let id = id.clone();
-        let is_current = job
-            .multi_region
-            .as_ref()
-            .is_some_and(|gang| gang.attempt == attempt);
-        if job.barrier_since.is_none() || !is_current || job.is_over {
+        if job.gang.attempt_at_barrier() != Some(attempt) || job.is_over {
             return;
         }
         log::info!(
@@ -133,8 +128,7 @@
         );
         let tasks = job.tasks_on_machines();
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.barrier_since = None;
-            job.last_multi_region_attempt = attempt;
+            job.gang.start(attempt);
         }
         for (task, machine) in tasks {
             if let Some(assignment) = self.assignment_mut(&id, task, &machine) {
@@ -150,17 +144,14 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let is_expired = job
-            .barrier_since
-            .is_some_and(|since| context.now >= since + context.settings.gang_wait);
-        if !is_expired {
+        let timeout = context.settings.gang_wait;
+        if !job.gang.leave_expired_barrier(context.now, timeout) {
             return;
         }
         log::info!(
             "region={} job={id}: start barrier timed out, not all parts have their places",
             self.name
         );
-        job.barrier_since = None;
         job.not_before = context.now + BARRIER_RETRY_DELAY;
         self.queue.wake_at(job.not_before, id.clone());
         self.break_gang(id, context);
@@ -172,7 +163,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.restarting_gang = true;
+        job.gang.restart();
         for (task, machine) in job.tasks_on_machines() {
             match self.assignment_mut(id, task, &machine) {
                 Some(assignment) if assignment.state == TaskState::Assigned => {
@@ -193,11 +184,9 @@
 /// Whether all tasks of a gang that are bound here are pending, and may be started together.
 /// Of a gang over several regions, only this region's part is placed here.
 fn is_placeable(job: &Job) -> bool {
-    let is_whole = job.bound.len() == job.spec.task_count || job.multi_region.is_some();
-    is_whole
-        && !job.restarting_gang
+    job.is_bound_as_a_whole()
+        && job.gang.may_be_placed()
         && job.on_machines.is_empty()
         && job.pending.len() == job.bound.len()
         && !job.needs_new_attempt()
-        && !job.has_unbound_part
 }
--- a/src/region/hand_over.rs
+++ b/src/region/hand_over.rs
@@ -3,7 +3,7 @@
 //! The leader asks for it; the region that the tasks are bound to changes the job's record.
 
 use salttiller_records::key::Key;
-use salttiller_records::model::RangeSet;
+use salttiller_records::model::{JobId, RangeSet};
 use salttiller_records::record::{value, JobRecord, TaskRange};
 
 use super::action::CommitKind;
@@ -45,18 +45,23 @@
             self.name,
             tasks.len()
         );
-        let key = Key::Job(id.to_string());
-        let mut conditions = self.ownership_condition();
-        conditions.push((key.clone(), record.version));
+        let former_version = record.version;
         if let Some(job) = self.jobs.get_mut(&id) {
             job.pending.remove_all(&tasks);
             job.rebinding = tasks;
             job.commit_in_flight = true;
         }
         self.update_queue_position(&id, context);
+        self.commit_hand_over(id, &new_record, former_version);
+    }
+
+    fn commit_hand_over(&mut self, id: JobId, record: &JobRecord, former_version: u64) {
+        let key = Key::Job(id.to_string());
+        let mut conditions = self.ownership_condition();
+        conditions.push((key.clone(), former_version));
         self.commit(
             conditions,
-            vec![(key, Some(value(&new_record)))],
+            vec![(key, Some(value(record)))],
             CommitPriority::Normal,
             CommitKind::Rebind(id),
         );
@@ -72,10 +77,8 @@
     if !job.has_dependent_places() {
         return Some(job.pending.last_n(count));
     }
-    // All of it, or all of our part of a gang over several regions.
     let is_all_pending = job.pending.len() == job.bound.len();
-    let is_whole = job.bound.len() == job.spec.task_count || job.multi_region.is_some();
-    (is_all_pending && is_whole).then(|| job.pending.clone())
+    (is_all_pending && job.is_bound_as_a_whole()).then(|| job.pending.clone())
 }
 
 /// The job's record with these tasks bound to another region; `None` if it would get too large.
@@ -93,7 +96,7 @@
     if task_ranges.len() > MAX_TASK_RANGES {
         return None;
     }
-    let multi_region = if is_unbound || job.multi_region.is_none() {
+    let multi_region = if is_unbound || !job.gang.is_multi_region() {
         None
     } else {
         record.multi_region.clone()
--- a/src/region/job.rs
+++ b/src/region/job.rs
@@ -8,10 +8,10 @@
 use std::rc::Rc;
 
 use salttiller_records::model::{JobKind, JobSpec, RangeSet};
-use salttiller_records::record::MultiRegionAttempt;
 use salttiller_records::units::Micros;
 
 use super::failure_attribution::{JobFailures, TRY_AGAIN_AFTER};
+use super::gang_state::GangState;
 use super::queue::QueueKey;
 use crate::fault_injection::{is_disabled, Safeguard};
 
@@ -39,22 +39,13 @@
     pub(super) failures: JobFailures,
     pub(super) commit_in_flight: bool,
     pub(super) last_progress_commit_at: Micros,
-    /// A gang that lost a task: it starts again once its last task has left its machine.
-    pub(super) restarting_gang: bool,
     /// The one machine type on which it fits, if there is just one.
     pub(super) only_type: Option<String>,
     /// Its position in the queue while tasks of it are pending.
     pub(super) queue_key: Option<QueueKey>,
     /// Its team's share was too small when it was last placed.
     pub(super) quota_blocked: bool,
-    /// Of a gang over several regions: what its parts have in common.
-    pub(super) multi_region: Option<MultiRegionAttempt>,
-    /// A part of it is bound to no region: it is to be bound anew.
-    pub(super) has_unbound_part: bool,
-    /// The attempt of a gang over several regions that was started last.
-    pub(super) last_multi_region_attempt: u64,
-    /// Since when its part here is at the start barrier.
-    pub(super) barrier_since: Option<Micros>,
+    pub(super) gang: GangState,
 }
 
 impl Job {
@@ -77,14 +68,10 @@
             failures: JobFailures::default(),
             commit_in_flight: false,
             last_progress_commit_at: 0,
-            restarting_gang: false,
             only_type,
             queue_key: None,
             quota_blocked: false,
-            multi_region: None,
-            has_unbound_part: false,
-            last_multi_region_attempt: 0,
-            barrier_since: None,
+            gang: GangState::default(),
         }
     }
 
@@ -98,6 +85,35 @@
         self.spec.kind == JobKind::Gang || self.spec.single_zone || self.spec.spread_zones
     }
 
+    /// Whether all of its tasks are bound here, or all of the part that is this region's of a
+    /// gang over several regions.
+    pub(super) fn is_bound_as_a_whole(&self) -> bool {
+        self.bound.len() == self.spec.task_count || self.gang.is_multi_region()
+    }
+
+    /// Tasks of it are pending.
+    pub(super) fn add_pending(&mut self, tasks: &RangeSet, now: Micros) {
+        if self.pending.is_empty() {
+            self.pending_since = now;
+        }
+        self.pending.add_all(tasks);
+    }
+
+    /// A task of it has a result, which is not yet recorded.
+    pub(super) fn add_result(&mut self, task: u32) {
+        self.done.insert(task);
+        self.unrecorded_done.insert(task);
+    }
+
+    /// Nothing of it is to run or to be recorded any more.
+    pub(super) fn end(&mut self) {
+        self.is_over = true;
+        self.pending = RangeSet::default();
+        self.unreconciled = RangeSet::default();
+        self.rebinding = RangeSet::default();
+        self.unrecorded_done = RangeSet::default();
+    }
+
     /// Its assigned tasks, with their machines.
     pub(super) fn tasks_on_machines(&self) -> Vec<(u32, Rc<str>)> {
         self.on_machines
@@ -132,9 +148,7 @@
     /// Whether all of a gang's tasks here are pending, under an attempt over several regions
     /// that was started before: only another attempt lets it start.
     pub(super) fn needs_new_attempt(&self) -> bool {
-        self.multi_region
-            .as_ref()
-            .is_some_and(|gang| gang.attempt == self.last_multi_region_attempt)
+        self.gang.is_attempt_used_up()
             && self.on_machines.is_empty()
             && self.pending.len() == self.bound.len()
     }
--- a/src/region/job_lifecycle.rs
+++ b/src/region/job_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a job in the region: its record is entered, its tasks are bound or moved away,
+//! The life of a job in the region: its record is added, its tasks are bound or moved away,
 //! tasks are lost, and it ends.
 //!
 //! Called with each change of a job's record, and by whatever takes a task off its machine.
@@ -6,9 +6,10 @@
 use std::rc::Rc;
 
 use salttiller_records::model::{JobId, JobKind, JobSpec, RangeSet};
-use salttiller_records::record::{JobRecord, TaskRange};
+use salttiller_records::record::JobRecord;
 
 use super::constrained_types::only_fitting_type;
+use super::gang_state::AttemptChange;
 use super::job::Job;
 use super::machine::MachineState;
 use super::task::TaskState;
@@ -26,15 +27,15 @@
 impl Region {
     /// A job's record was added, changed or removed.
     pub fn on_job(&mut self, id: &str, context: &SchedulingContext<'_>) {
-        self.enter_job(id, BoundTasks::New, context);
+        self.add_job(id, BoundTasks::New, context);
     }
 
-    /// Enters a job's record as found when the region was acquired.
+    /// Adds a job's record as found when the region was acquired.
     pub(super) fn inherit_job(&mut self, id: &str, context: &SchedulingContext<'_>) {
-        self.enter_job(id, BoundTasks::Inherited, context);
+        self.add_job(id, BoundTasks::Inherited, context);
     }
 
-    fn enter_job(&mut self, id: &str, tasks: BoundTasks, context: &SchedulingContext<'_>) {
+    fn add_job(&mut self, id: &str, tasks: BoundTasks, context: &SchedulingContext<'_>) {
         let Some(record) = context.replica.jobs.get(id).map(|record| &record.value) else {
             return;
         };
@@ -106,14 +107,10 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let has_unbound_part = record.task_ranges.iter().any(TaskRange::is_unbound);
-        if job.multi_region == record.multi_region && job.has_unbound_part == has_unbound_part {
-            return;
-        }
-        job.multi_region.clone_from(&record.multi_region);
-        job.has_unbound_part = has_unbound_part;
-        if job.barrier_since.take().is_some() {
-            self.break_gang(id, context);
+        match job.gang.follow_record(record) {
+            AttemptChange::None => return,
+            AttemptChange::Changed => {}
+            AttemptChange::LeftBarrier => self.break_gang(id, context),
         }
         self.triggers.job_changed(id);
     }
@@ -141,12 +138,7 @@
         added.remove_all(&job.done);
         match tasks {
             BoundTasks::Inherited => job.unreconciled.add_all(&added),
-            BoundTasks::New => {
-                if job.pending.is_empty() {
-                    job.pending_since = context.now;
-                }
-                job.pending.add_all(&added);
-            }
+            BoundTasks::New => job.add_pending(&added, context.now),
         }
         job.pending.remove_all(&removed);
         job.rebinding.remove_all(&removed);
@@ -171,11 +163,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.is_over = true;
-        job.pending = RangeSet::default();
-        job.unreconciled = RangeSet::default();
-        job.rebinding = RangeSet::default();
-        job.unrecorded_done = RangeSet::default();
+        job.end();
         for (task, machine) in job.tasks_on_machines() {
             match self.assignment_mut(id, task, &machine) {
                 Some(assignment) if assignment.state != TaskState::Assigned => {
@@ -221,8 +209,7 @@
         if !job.on_machines.is_empty() {
             return;
         }
-        job.restarting_gang = false;
-        job.barrier_since = None;
+        job.gang.all_tasks_left();
         if !job.is_over && !job.bound.is_empty() {
             return;
         }
--- a/src/region/placement.rs
+++ b/src/region/placement.rs
@@ -1,13 +1,12 @@
 //! Placement: which machine each pending task is assigned to.
 //!
-//! Runs after each event. Only jobs that [`PlacementTriggers`] names are looked at, in the
+//! Runs after each event. Only jobs that [`PlacementTriggers`] names are considered, in the
 //! order of the queue; machines are found through the machine index.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use salttiller_records::model::{JobId, JobKind, JobSpec};
-use salttiller_records::record::MultiRegionAttempt;
 use salttiller_records::Resources;
 
 use super::job::Job;
@@ -108,7 +107,7 @@
 
 impl Region {
     /// Assigns pending tasks to machines: each to the fitting one that holds the
-    /// fewest tasks. Only jobs for which something changed are looked at: their own
+    /// fewest tasks. Only jobs for which something changed are considered: their own
     /// tasks, a machine's free capacity, or their team's share.
     pub fn place_pending(&mut self, context: &SchedulingContext<'_>) {
         self.update_guaranteed_jobs(context);
@@ -328,11 +327,8 @@
 
     /// The zones in which a gang could be, or just `None` if it may be anywhere.
     pub(super) fn candidate_zones(&self, job: &Job) -> Vec<Option<Rc<str>>> {
-        if let Some(MultiRegionAttempt {
-            zone: Some(zone), ..
-        }) = &job.multi_region
-        {
-            return vec![Some(Rc::from(zone.as_str()))];
+        if let Some(zone) = job.gang.zone() {
+            return vec![Some(Rc::from(zone))];
         }
         if !job.spec.single_zone {
             return vec![None];
--- a/src/region/progress.rs
+++ b/src/region/progress.rs
@@ -124,7 +124,7 @@
         };
         job.last_progress_commit_at = context.now;
         job.commit_in_flight = true;
-        // Fails if the job was moved or ended meanwhile: then it is looked at again first.
+        // Fails if the job was moved or ended meanwhile: then its new record is read first.
         let job_key = Key::Job(id.to_string());
         let job_version = context.replica.version(&job_key);
         conditions.push((job_key, job_version));
--- a/src/region/queue.rs
+++ b/src/region/queue.rs
@@ -24,12 +24,12 @@
 /// over under lasting overload: a minute is left of the four in which they must begin.
 const AGED_AFTER: Micros = 180 * SECOND;
 
-/// How often an aged job that never began gets a task out of the usual order. Guards against
+/// How often an aged job that never began gets a task started before its regular rank. Guards against
 /// a flood of old jobs of one task each, all of which would go first.
 const AGED_START_INTERVAL: Micros = 5 * SECOND;
 
-/// A change of a job's position is looked at this much after its time, so that the comparison
-/// with that time surely holds.
+/// A job is re-evaluated this much after the time at which its position changes, so that the
+/// comparison with that time surely yields the new one.
 const CHANGE_MARGIN: Micros = MILLISECOND;
 
 /// Pending jobs in scheduling order, and what that order depends on.
@@ -46,7 +46,7 @@
     stale_teams: BTreeSet<String>,
 }
 
-/// A job to look at again at a time: its rank changes, or a back-off ends.
+/// A job to re-evaluate at a time: its rank changes, or a back-off ends.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Wakeup {
     at: Micros,
@@ -93,12 +93,12 @@
         self.ready.remove(key);
     }
 
-    /// Has a job looked at again at this time of the steady clock.
+    /// Schedules a re-evaluation of a job at this time of the steady clock.
     pub(super) fn wake_at(&mut self, at: Micros, job: JobId) {
         self.wakeups.insert(Wakeup { at, job });
     }
 
-    /// Takes the first job whose wake-up is due.
+    /// Removes and returns the first job whose wake-up is due.
     pub(super) fn pop_due(&mut self, now: Micros) -> Option<JobId> {
         if self.wakeups.first()?.at > now {
             return None;
@@ -127,12 +127,12 @@
         former != last
     }
 
-    /// Whether an aged job may be served out of the usual order just now.
+    /// Whether a task of an aged job may be started before its regular rank just now.
     pub(super) fn allows_aged_start(&self, now: Micros) -> bool {
         now >= self.next_aged_start_at
     }
 
-    /// An aged job was served out of the usual order.
+    /// A task of an aged job was started before its regular rank.
     pub(super) fn aged_start_made(&mut self, now: Micros) {
         self.next_aged_start_at = now + AGED_START_INTERVAL;
     }
@@ -156,7 +156,7 @@
 }
 
 impl QueueKey {
-    /// Whether one task of the job is served out of the usual order.
+    /// Whether one task of the job is to be started before its regular rank.
     pub(super) fn is_aged_start(&self) -> bool {
         matches!(self.service, ServiceOrder::AgedStart(_))
     }
@@ -167,13 +167,13 @@
     }
 }
 
-/// Whether a job is served out of the usual order.
+/// Whether a job is served at its regular rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ServiceOrder {
     /// It has not begun for so long that one task of it goes first, whatever its priority;
     /// of several such jobs the one that was submitted first.
     AgedStart(Micros),
-    Usual,
+    Regular,
 }
 
 /// What decides among jobs of equal guarantee, priority and precedence.
@@ -257,7 +257,7 @@
     }
 
     /// A wake-up of the job was due. Guards against one whose position stays as it is for now,
-    /// since another aged job was served: it is to be looked at again.
+    /// since another aged job was served: it must be re-evaluated later.
     pub(super) fn renew_queue_position(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -305,7 +305,7 @@
         };
         let service = match aged_start_in {
             Some(0) => ServiceOrder::AgedStart(spec.submitted_at),
-            _ => ServiceOrder::Usual,
+            _ => ServiceOrder::Regular,
         };
         QueuePosition {
             key: Some(self.queue_key(id, job, service, urgency, context)),
@@ -337,7 +337,7 @@
         }
     }
 
-    /// After what time a job that never began gets a task out of the usual order; `None` if
+    /// After what time a job that never began gets a task started before its regular rank; `None` if
     /// never. Guards against work of low priority that never begins while higher priority
     /// keeps coming: once it is old enough a task starts now and then.
     fn aged_start_in(&self, job: &Job, context: &SchedulingContext<'_>) -> Option<Micros> {
--- a/src/region/quota_share.rs
+++ b/src/region/quota_share.rs
@@ -17,7 +17,7 @@
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::quota;
 
-/// How often shares are looked at.
+/// How often the shares are updated.
 const UPDATE_INTERVAL: Micros = SECOND / 2;
 
 /// How long the most that a team needed is remembered.
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Whether the shares are to be looked at; if so, the next time is set.
+    /// Whether the shares are to be updated; if so, the time of the next update is set.
     pub(super) fn take_update_due(&mut self, now: Micros) -> bool {
         let is_due = now >= self.next_update_at;
         if is_due {
--- a/src/region/reassignment.rs
+++ b/src/region/reassignment.rs
@@ -18,7 +18,7 @@
 use super::undispatched::UndispatchedTask;
 use super::{Region, SchedulingContext};
 
-/// Only so many of the oldest undispatched tasks are looked at.
+/// Only so many of the oldest undispatched tasks are considered.
 const MAX_CANDIDATES: usize = 64;
 /// A task is reassigned only if that lets it start at least so much sooner.
 const MIN_GAIN: Micros = 300 * MILLISECOND;
--- a/src/region/reservation.rs
+++ b/src/region/reservation.rs
@@ -2,7 +2,7 @@
 //!
 //! The gang that is first in scheduling order among those that find no free capacity gets the
 //! reservation, so that its places become free under a steady load of small work. There is one
-//! at most; placement and preemption ask whom it keeps out.
+//! at most; placement and preemption ask which jobs it excludes.
 
 use std::rc::Rc;
 
@@ -72,7 +72,7 @@
     }
 
     /// Whether another job may not use a pool because of the reservation.
-    fn keeps_out(
+    fn excludes(
         &self,
         id: &JobId,
         job: &Job,
@@ -146,7 +146,7 @@
         context: &SchedulingContext<'_>,
     ) -> bool {
         self.reservation.as_ref().is_some_and(|reservation| {
-            reservation.keeps_out(id, job, pool, pool_index.reserved.is_some(), context)
+            reservation.excludes(id, job, pool, pool_index.reserved.is_some(), context)
         })
     }
 
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Looks whether the reservation is still needed, and when its places will be free.
+    /// Checks whether the reservation is still needed, and when its places will be free.
     pub(super) fn update_reservation(&mut self, context: &SchedulingContext<'_>) {
         let Some(reservation) = &self.reservation else {
             return;
--- a/src/region/task_transition.rs
+++ b/src/region/task_transition.rs
@@ -26,7 +26,7 @@
 
 use std::rc::Rc;
 
-use salttiller_records::model::JobId;
+use salttiller_records::model::{JobId, RangeSet};
 use salttiller_records::units::{to_secs, Micros};
 
 use super::job::Job;
@@ -117,7 +117,7 @@
         self.check_if_idle(machine, &assignment, now);
     }
 
-    /// Takes an assignment off its machine.
+    /// Removes an assignment from its machine.
     fn remove_assignment(
         &mut self,
         id: &JobId,
@@ -141,7 +141,7 @@
         Some(assignment)
     }
 
-    /// Has a machine checked that holds no more work of its purpose: at once if it is
+    /// Schedules a check of a machine that holds no more work of its purpose: at once if it is
     /// cordoned, else after it has been idle for as long as a new one takes to boot.
     fn check_if_idle(&mut self, name: &Rc<str>, left: &Assignment, now: Micros) {
         let Some(machine) = self.inventory.machines.get(name) else {
@@ -166,10 +166,7 @@
         if job.is_over || job.done.contains(task) || !job.bound.contains(task) {
             return;
         }
-        if job.pending.is_empty() {
-            job.pending_since = now;
-        }
-        job.pending.insert(task);
+        job.add_pending(&RangeSet::from_range(task, task + 1), now);
         self.triggers.job_changed(id);
     }
 
@@ -178,8 +175,7 @@
             return;
         };
         if !job.is_over && job.bound.contains(task) && !job.done.contains(task) {
-            job.done.insert(task);
-            job.unrecorded_done.insert(task);
+            job.add_result(task);
             self.unrecorded_jobs.insert(id.clone());
         }
     }
@@ -233,7 +229,7 @@
         team: Rc::from(job.spec.team.as_str()),
         constrained: job.only_type.is_some(),
         started_by_us: is_new,
-        awaits_start_barrier: is_new && job.multi_region.is_some(),
+        awaits_start_barrier: is_new && job.gang.is_multi_region(),
         image_missing,
         stop_grace: job.is_over.then_some(0),
         since: now,
--- a/src/region/triggers.rs
+++ b/src/region/triggers.rs
@@ -1,5 +1,5 @@
 //! What has changed since the last placement, so that only jobs that it may concern are
-//! looked at.
+//! considered.
 //!
 //! Whoever changes something that may let a pending task start says so here; placement takes
 //! all of it.
@@ -9,7 +9,7 @@
 
 use salttiller_records::model::JobId;
 
-/// From so many changed machines on, all pending jobs are looked at: to compare each with each
+/// From so many changed machines on, all pending jobs are considered: to compare each with each
 /// of these machines would cost more.
 const MAX_CHANGED_MACHINES: usize = 16;
 
@@ -29,7 +29,7 @@
     }
 
     /// A job turned out not to be placeable: what was noted of it meanwhile is no reason to
-    /// look at it again.
+    /// consider it again.
     pub(super) fn forget_job(&mut self, id: &JobId) {
         self.jobs.remove(id);
     }
@@ -44,12 +44,12 @@
         self.teams.insert(team.to_owned());
     }
 
-    /// All pending jobs are to be looked at.
+    /// All pending jobs are to be considered.
     pub(super) fn everything_changed(&mut self) {
         self.everything = true;
     }
 
-    /// Takes what has changed, and begins anew.
+    /// Removes and returns what has changed.
     pub(super) fn take(&mut self) -> PlacementTriggers {
         std::mem::take(self)
     }
@@ -62,7 +62,7 @@
             && self.teams.is_empty()
     }
 
-    /// Whether all pending jobs are to be looked at.
+    /// Whether all pending jobs are to be considered.
     pub(super) fn concerns_all(&self) -> bool {
         self.everything || self.machines.len() > MAX_CHANGED_MACHINES
     }
