--- a/src/region/failure_attribution/tests.rs
+++ b/src/region/failure_attribution/tests.rs
@@ -1,18 +1,18 @@
 //! Tests of failures.
 
-use super::super::tests::Shop;
+use super::super::tests::TestCluster;
 use super::*;
 
 /// Plays `span` seconds from `from` on; returns the time reached.
-fn play(shop: &mut Shop, from: u64, span: u64) -> u64 {
+fn play(shop: &mut TestCluster, from: u64, span: u64) -> u64 {
     for s in from..from + span {
-        shop.second(s * SECOND, None);
+        shop.play_second(s * SECOND, None);
     }
     from + span
 }
 
-fn closed(shop: &Shop) -> Vec<&str> {
-    let machines = shop.r.inventory.machines.iter();
+fn closed(shop: &TestCluster) -> Vec<&str> {
+    let machines = shop.region.inventory.machines.iter();
     let closed = machines.filter(|(_, m)| m.cordoned == Some("faulty"));
     closed.map(|(name, _)| &**name).collect()
 }
@@ -27,7 +27,7 @@
         ("a", 1, 1_000_000, 14),
         ("g", 4, 2_000_000, 60),
     ] {
-        let mut shop = Shop::new(6);
+        let mut shop = TestCluster::new(6);
         shop.submit("req-1", kind, "red", tasks, cpus, 2 * SECOND);
         shop.broken.insert("req-1".into());
         play(&mut shop, 3, 300);
@@ -35,24 +35,24 @@
         assert!(starts >= 4, "{kind} of {tasks}: tried {starts} times");
         assert!(starts <= most, "{kind} of {tasks}: {starts} starts");
         assert_eq!(closed(&shop), [""; 0], "{kind} of {tasks}");
-        assert!(shop.r.jobs["req-1"].failures.is_suspect());
+        assert!(shop.region.jobs["req-1"].failures.is_suspect());
     }
     // Several jobs, all with results elsewhere, fail on one machine.
-    let mut shop = Shop::new(6);
+    let mut shop = TestCluster::new(6);
     shop.faulty.insert("m-3".into());
     for i in 0..6 {
         shop.submit(&format!("req-{i}"), "a", "red", 8, 2_000_000, 2 * SECOND);
     }
     play(&mut shop, 3, 120);
     assert_eq!(closed(&shop), ["m-3"]);
-    let suspect = shop.r.jobs.values().any(|j| j.failures.is_suspect());
+    let suspect = shop.region.jobs.values().any(|j| j.failures.is_suspect());
     assert!(!suspect);
 }
 
 /// A faulty machine is closed also when suspect jobs ran on it.
 #[test]
 fn a_faulty_machine_is_closed_beside_jobs_at_fault() {
-    let mut shop = Shop::new(6);
+    let mut shop = TestCluster::new(6);
     shop.submit("req-1", "a", "red", 30, 1_000_000, 2 * SECOND);
     shop.broken.insert("req-1".into());
     let now = play(&mut shop, 3, 40);
@@ -70,7 +70,7 @@
 fn a_suspect_job_takes_nothing_from_others() {
     let served = |disabled: Option<Safeguard>| {
         crate::fault_injection::disable(disabled);
-        let mut shop = Shop::new(4);
+        let mut shop = TestCluster::new(4);
         shop.submit("req-1", "a", "red", 400, 2_000_000, 2 * SECOND);
         shop.broken.insert("req-1".into());
         let now = play(&mut shop, 3, 60);
@@ -87,7 +87,7 @@
     assert!(tries > 10, "left out: {tries} tries");
     let (mut shop, now, tries) = served(None);
     assert!((1..=4).contains(&tries), "{tries} tries");
-    let view_waits = |shop: &Shop, now: u64| shop.waits(now * SECOND);
+    let view_waits = |shop: &TestCluster, now: u64| shop.pending_jobs(now * SECOND);
     let line = view_waits(&shop, now)
         .into_iter()
         .find(|w| w.job == "req-1");
@@ -107,7 +107,7 @@
 /// no machine is closed, no job is suspect, and all are reaped.
 #[test]
 fn odd_failures_change_nothing() {
-    let mut shop = Shop::new(4);
+    let mut shop = TestCluster::new(4);
     shop.submit("req-1", "a", "red", 4, 2_000_000, 2 * SECOND);
     let now = play(&mut shop, 3, 3);
     let odd: Vec<(String, u32, u64)> = (0..3_000)
@@ -121,6 +121,6 @@
         assert!(commands > 0 && commands <= crate::worker_protocol::MAX_COMMANDS);
     }
     assert_eq!(closed(&shop), [""; 0]);
-    assert!(!shop.r.jobs["req-1"].failures.is_suspect());
-    assert_eq!(shop.r.jobs.len(), 1);
+    assert!(!shop.region.jobs["req-1"].failures.is_suspect());
+    assert_eq!(shop.region.jobs.len(), 1);
 }
--- /dev/null
+++ b/src/region/tests/fixture.rs
@@ -0,0 +1,136 @@
+//! The records, settings and heartbeats with which the tests of the region are played.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+use salttiller_records::units::Micros;
+use serde_json::json;
+
+use crate::region::{HeartbeatOutcome, Region, SchedulingContext};
+use crate::settings::Settings;
+use crate::state_store::replica::Replica;
+use crate::worker_protocol::{CommandKind, Heartbeat, HeartbeatId, ReportedState, ReportedTask};
+
+/// The records and settings that a region of these tests reads.
+pub(super) struct Fixture {
+    pub(super) replica: Replica,
+    pub(super) settings: Settings,
+    /// The revision of the last change.
+    pub(super) revision: u64,
+    /// Teams whose limit other regions find used up.
+    pub(super) quota_blocked_teams: BTreeMap<String, u64>,
+    pub(super) may_start: bool,
+    pub(super) reported_cancelled: BTreeSet<String>,
+}
+
+impl Fixture {
+    /// Records of one machine type `box`, and the sample settings.
+    pub(super) fn new() -> Self {
+        let mut fixture = Fixture {
+            replica: Replica::default(),
+            settings: Settings::parse("f", &crate::settings::tests::sample()).unwrap(),
+            revision: 0,
+            quota_blocked_teams: BTreeMap::new(),
+            may_start: true,
+            reported_cancelled: BTreeSet::new(),
+        };
+        fixture.put(
+            "st/flavor/box",
+            json!({"name":"box","cpus":4_000_000,"gpus":0,"mem":9_000_000,"fetch":1,
+            "price":1,"spot_price":1,"boot":10_000_000,"zones":["a"]}),
+        );
+        fixture
+    }
+
+    /// Sets a record.
+    pub(super) fn put(&mut self, key: &str, value: serde_json::Value) {
+        self.revision += 1;
+        self.replica.event(key, Some(value), self.revision).unwrap();
+        self.replica.reached(self.revision);
+    }
+
+    /// Adds an activated machine of the region.
+    pub(super) fn machine(&mut self, name: &str) {
+        let record = json!({"region":"t-0","flavor":"box","zone":"a","spot":false,"opened":true});
+        self.put(&format!("st/machine/{name}"), record);
+    }
+
+    /// Adds an array of tasks that take half a machine each, submitted at `at`.
+    pub(super) fn job(
+        &mut self,
+        id: &str,
+        team: &str,
+        class: &str,
+        priority: &str,
+        tasks: u32,
+        at: u64,
+    ) {
+        let record = json!({"st":"o","b":[[0,tasks,"t-0"]],"j":{"c":class,"t":team,"k":"a","r":priority,"n":tasks,
+            "u":2_000_000,"m":1_000_000,"i":"img","e":5_000_000,"a":at}});
+        self.put(&format!("st/job/{id}"), record);
+    }
+
+    /// Records the region's share of a team's quota.
+    pub(super) fn share(&mut self, team: &str, cpus: u64) {
+        self.put(&format!("st/quota/{team}"), json!({"t-0":[cpus,0]}));
+    }
+
+    /// What a step of the region may read at this time.
+    pub(super) fn context(&self, now: Micros) -> SchedulingContext<'_> {
+        SchedulingContext {
+            replica: &self.replica,
+            settings: &self.settings,
+            now,
+            wall: now,
+            quota_blocked_teams: &self.quota_blocked_teams,
+            may_start: self.may_start,
+            reported_cancelled: &self.reported_cancelled,
+        }
+    }
+
+    /// The region, acquired with this token.
+    pub(super) fn acquire(&self, token: u64, now: Micros) -> Region {
+        Region::new("t-0", token, 1, &self.context(now))
+    }
+}
+
+/// A heartbeat with these running tasks: job, task, attempt.
+pub(super) fn heartbeat(
+    machine: &str,
+    sequence: u64,
+    token: u64,
+    tasks: &[(&str, u32, u64)],
+) -> Heartbeat {
+    Heartbeat {
+        machine: machine.into(),
+        machine_type: "box".into(),
+        zone: "a".into(),
+        spot: false,
+        id: HeartbeatId {
+            incarnation: 1,
+            sequence,
+        },
+        token,
+        interruption_in: None,
+        tasks: tasks
+            .iter()
+            .map(|(job, task, attempt)| ReportedTask {
+                job: Rc::from(*job),
+                task: *task,
+                attempt: *attempt,
+                stage: ReportedState::Running,
+            })
+            .collect(),
+    }
+}
+
+/// How many starts an answer holds.
+pub(super) fn count_starts(outcome: &HeartbeatOutcome) -> usize {
+    match outcome {
+        HeartbeatOutcome::Accepted(commands) => commands
+            .iter()
+            .filter(|command| command.kind == CommandKind::Start)
+            .count(),
+        _ => 0,
+    }
+}
--- /dev/null
+++ b/src/region/tests/test_cluster.rs
@@ -0,0 +1,231 @@
+//! A region with machines that carry out their commands, for tests that play a while.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+use salttiller_records::key::Key;
+use salttiller_records::units::{Micros, SECOND};
+use serde_json::json;
+
+use super::fixture::{heartbeat, Fixture};
+use crate::peer_protocol::PendingJob;
+use crate::region::{Action, HeartbeatOutcome, Region};
+use crate::state_store::Transaction;
+use crate::worker_protocol::{Command, CommandKind, ExitReason, ReportedState, ReportedTask};
+
+/// How long each task runs.
+const RUN_TIME: Micros = 4 * SECOND;
+/// The fencing token of the region.
+const TOKEN: u64 = 7;
+
+/// A task that runs on a machine.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct RunningTask {
+    job: String,
+    task: u32,
+    attempt: u64,
+}
+
+impl RunningTask {
+    fn reported_as(&self, stage: ReportedState) -> ReportedTask {
+        ReportedTask {
+            job: Rc::from(self.job.as_str()),
+            task: self.task,
+            attempt: self.attempt,
+            stage,
+        }
+    }
+}
+
+/// Machines that carry out their commands, and the region that they are in.
+pub(in crate::region) struct TestCluster {
+    pub(super) fixture: Fixture,
+    pub(in crate::region) region: Region,
+    /// The sequence number of all machines' last heartbeats.
+    sequence: u64,
+    /// By machine: what runs there, and until when.
+    running: BTreeMap<String, BTreeMap<RunningTask, Micros>>,
+    /// When each task was first started.
+    pub(in crate::region) began: BTreeMap<(String, u32), Micros>,
+    /// How often tasks of a job were started.
+    pub(in crate::region) starts: BTreeMap<String, u32>,
+    /// Jobs whose tasks fail wherever they run.
+    pub(in crate::region) broken: BTreeSet<String>,
+    /// Machines on which all tasks fail.
+    pub(in crate::region) faulty: BTreeSet<String>,
+}
+
+impl TestCluster {
+    /// So many machines, `m-0` and on.
+    pub(in crate::region) fn new(machines: usize) -> Self {
+        let mut fixture = Fixture::new();
+        let names: Vec<String> = (0..machines).map(|i| format!("m-{i}")).collect();
+        for name in &names {
+            fixture.machine(name);
+        }
+        // The limits are large enough: these tests are not about them.
+        for team in &mut fixture.settings.teams {
+            team.limit = team.limit.map(|limit| limit.times(100));
+        }
+        let region = fixture.acquire(TOKEN, SECOND);
+        TestCluster {
+            fixture,
+            region,
+            sequence: 0,
+            running: names
+                .into_iter()
+                .map(|name| (name, BTreeMap::new()))
+                .collect(),
+            began: BTreeMap::new(),
+            starts: BTreeMap::new(),
+            broken: BTreeSet::new(),
+            faulty: BTreeSet::new(),
+        }
+    }
+
+    /// Submits a job of the usual priority.
+    pub(in crate::region) fn submit(
+        &mut self,
+        id: &str,
+        kind: &str,
+        team: &str,
+        tasks: u32,
+        cpus: u64,
+        now: Micros,
+    ) {
+        self.submit_with(id, team, (kind, "1"), tasks, cpus, now);
+    }
+
+    /// Submits a job of a kind and a priority.
+    pub(super) fn submit_with(
+        &mut self,
+        id: &str,
+        team: &str,
+        (kind, priority): (&str, &str),
+        tasks: u32,
+        cpus: u64,
+        now: Micros,
+    ) {
+        let record = json!({"st":"o","b":[[0,tasks,"t-0"]],"j":{"c":"x","t":team,"k":kind,"r":priority,"n":tasks,
+            "u":cpus,"m":1_000_000,"i":"img","e":4_000_000,"a":now}});
+        self.fixture.put(&format!("st/job/{id}"), record);
+        self.region.on_job(id, &self.fixture.context(now));
+    }
+
+    /// The region's pending jobs as reported to the other controllers.
+    pub(in crate::region) fn pending_jobs(&self, now: Micros) -> Vec<PendingJob> {
+        self.region.report(&self.fixture.context(now)).pending_jobs
+    }
+
+    /// Submits more small work of a team than can be started in this second.
+    pub(super) fn overload(&mut self, second: u64, team: &str) {
+        for i in 0..3 {
+            let id = format!("req-{}", second * 10 + i);
+            self.submit(&id, "a", team, 1, 2_000_000, second * SECOND);
+        }
+    }
+
+    /// A machine reports these tasks (job, task, attempt) as failed. Returns how many commands
+    /// it gets.
+    pub(in crate::region) fn report_failures(
+        &mut self,
+        machine: &str,
+        tasks: &[(String, u32, u64)],
+        now: Micros,
+    ) -> usize {
+        self.sequence += 1;
+        let mut failures = heartbeat(machine, self.sequence, TOKEN, &[]);
+        failures.tasks = tasks
+            .iter()
+            .map(|(job, task, attempt)| ReportedTask {
+                job: Rc::from(job.as_str()),
+                task: *task,
+                attempt: *attempt,
+                stage: ReportedState::Ended(ExitReason::Failed),
+            })
+            .collect();
+        let context = self.fixture.context(now);
+        match self.region.on_heartbeat(&failures, &context) {
+            HeartbeatOutcome::Accepted(commands) => commands.len(),
+            other => panic!("{machine}: {other:?}"),
+        }
+    }
+
+    /// Plays a second: tasks whose time is up end, each machine reports and carries out its
+    /// commands, and the region's commits succeed. Answers to `unreachable` are lost.
+    pub(in crate::region) fn play_second(&mut self, now: Micros, unreachable: Option<&str>) {
+        self.sequence += 1;
+        let machines: Vec<String> = self.running.keys().cloned().collect();
+        for machine in machines {
+            let commands = self.report(&machine, now);
+            if unreachable != Some(machine.as_str()) {
+                self.carry_out(&machine, commands, now);
+            }
+        }
+        self.region.tick(&self.fixture.context(now));
+        for action in self.region.take_actions() {
+            if let Action::Commit(transaction, _, kind) = action {
+                self.apply(transaction, now);
+                let context = self.fixture.context(now);
+                self.region.conclude_commit(kind, true, &context);
+            }
+        }
+    }
+
+    /// A machine reports its tasks; those whose time is up have ended.
+    fn report(&mut self, machine: &str, now: Micros) -> Vec<Command> {
+        let mut report = heartbeat(machine, self.sequence, TOKEN, &[]);
+        let tasks = self.running.get_mut(machine).unwrap();
+        for (task, ends) in tasks.iter() {
+            let fails = self.broken.contains(&task.job) || self.faulty.contains(machine);
+            report
+                .tasks
+                .push(task.reported_as(match (*ends <= now, fails) {
+                    (false, _) => ReportedState::Running,
+                    (true, true) => ReportedState::Ended(ExitReason::Failed),
+                    (true, false) => ReportedState::Ended(ExitReason::Done),
+                }));
+        }
+        tasks.retain(|_, ends| *ends > now);
+        let context = self.fixture.context(now);
+        match self.region.on_heartbeat(&report, &context) {
+            HeartbeatOutcome::Accepted(commands) => commands,
+            other => panic!("{machine}: {other:?}"),
+        }
+    }
+
+    fn carry_out(&mut self, machine: &str, commands: Vec<Command>, now: Micros) {
+        let tasks = self.running.get_mut(machine).unwrap();
+        for command in commands {
+            if command.kind == CommandKind::Start {
+                let job = command.job.to_string();
+                let began = self.began.entry((job.clone(), command.task));
+                began.or_insert(now);
+                *self.starts.entry(job.clone()).or_default() += 1;
+                let task = RunningTask {
+                    job,
+                    task: command.task,
+                    attempt: command.attempt,
+                };
+                tasks.insert(task, now + RUN_TIME);
+            }
+        }
+    }
+
+    fn apply(&mut self, transaction: Transaction, now: Micros) {
+        for (key, value) in transaction.changes {
+            let fixture = &mut self.fixture;
+            match value {
+                Some(value) => fixture.put(&key.text(), value),
+                None => drop(
+                    fixture
+                        .replica
+                        .event(&key.text(), None, fixture.revision + 1),
+                ),
+            }
+            if let Key::Job(id) = &key {
+                self.region.on_job(id, &self.fixture.context(now));
+            }
+        }
+    }
+}
