--- a/src/controller.rs
+++ b/src/controller.rs
@@ -554,7 +554,7 @@
         self.registry.replica.take_respecified();
         let context = context!(self);
         for r in self.regions.values_mut() {
-            r.on_loaded(&context);
+            r.on_replica_reloaded(&context);
         }
     }
 
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -204,7 +204,7 @@
         let mut running = 0;
         for (name, (r, _)) in &self.reports {
             running += match self.regions.get(name) {
-                Some(own) => own.running(id),
+                Some(own) => own.running_tasks(id),
                 // Owners list their jobs by name.
                 None => r
                     .running_tasks
--- a/src/region.rs
+++ b/src/region.rs
@@ -7,10 +7,10 @@
 //! controller calls it with every event (heartbeats, changed records, outcomes of commits,
 //! messages of the leader, time) and carries out the [`Action`]s that it asks for.
 //!
-//! Invariants: every task of a job that is bound here is in one [`TaskState`], which only
-//! `task_transition` changes. What is known of machines comes from their heartbeats alone, and a
-//! task that may be on a machine stays there until that machine reports otherwise or is proven
-//! empty.
+//! Invariants: every task of a job that is bound here is in one [`TaskState`];
+//! `task_transition` lists what leads from one to another. What is known of machines comes from
+//! their heartbeats alone, and a task that may be on a machine stays there until that machine
+//! reports otherwise or is proven empty.
 
 mod action;
 mod commits;
@@ -249,7 +249,8 @@
         machine.tasks.get_mut(&(id.clone(), task))
     }
 
-    /// Runs upkeep if it is due, and places pending tasks. Returns the time of the steady clock for the next call.
+    /// Runs upkeep if it is due, and places pending tasks. Returns the time of the steady clock
+    /// for the next call.
     pub fn tick(&mut self, context: &SchedulingContext<'_>) -> Micros {
         if context.now >= self.next_upkeep_at {
             self.next_upkeep_at = context.now + UPKEEP_INTERVAL;
@@ -291,7 +292,7 @@
     }
 
     /// The replica was read anew as a whole.
-    pub fn on_loaded(&mut self, context: &SchedulingContext<'_>) {
+    pub fn on_replica_reloaded(&mut self, context: &SchedulingContext<'_>) {
         let mut names: BTreeSet<Rc<str>> = self.inventory.machines.keys().cloned().collect();
         let recorded = context.replica.machines.iter();
         names.extend(
@@ -321,7 +322,7 @@
     }
 
     /// How many tasks of a job are on machines here.
-    pub fn running(&self, job: &str) -> u32 {
+    pub fn running_tasks(&self, job: &str) -> u32 {
         self.jobs
             .get(job)
             .map_or(0, |job| job.on_machines.len() as u32)
--- a/src/region/queue.rs
+++ b/src/region/queue.rs
@@ -24,8 +24,8 @@
 /// over under lasting overload: a minute is left of the four in which they must begin.
 const AGED_AFTER: Micros = 180 * SECOND;
 
-/// How often an aged job that never began gets a task started before its regular rank. Guards against
-/// a flood of old jobs of one task each, all of which would go first.
+/// How often an aged job that never began gets a task started before its regular rank. Guards
+/// against a flood of old jobs of one task each, all of which would go first.
 const AGED_START_INTERVAL: Micros = 5 * SECOND;
 
 /// A job is re-evaluated this much after the time at which its position changes, so that the
@@ -226,14 +226,14 @@
     spec.submitted_at + AGED_AFTER
 }
 
-/// The processor time that a job is expected to take, in processor-milliseconds.
+/// The processor time that a job is expected to take, in milliseconds times thousandths of a
+/// processor (its specification counts both in millionths).
 fn job_size(spec: &JobSpec) -> u64 {
     const MICROS_PER_MILLI: u64 = 1000;
-    const CPU_UNITS_PER_MILLI: u64 = 1000;
-    spec.estimated_run_time
-        .saturating_mul(spec.task_count.into())
-        / MICROS_PER_MILLI
-        * (spec.cpus / CPU_UNITS_PER_MILLI).max(1)
+    let run_time = spec
+        .estimated_run_time
+        .saturating_mul(spec.task_count.into());
+    run_time / MICROS_PER_MILLI * (spec.cpus / MICROS_PER_MILLI).max(1)
 }
 
 /// Where a job is in the queue (`None`: it isn't), and after what time that changes by itself.
@@ -337,8 +337,8 @@
         }
     }
 
-    /// After what time a job that never began gets a task started before its regular rank; `None` if
-    /// never. Guards against work of low priority that never begins while higher priority
+    /// After what time a job that never began gets a task started before its regular rank;
+    /// `None` if never. Guards against work of low priority that never begins while higher priority
     /// keeps coming: once it is old enough a task starts now and then.
     fn aged_start_in(&self, job: &Job, context: &SchedulingContext<'_>) -> Option<Micros> {
         let never_served = job.on_machines.is_empty()
--- a/src/region/task_transition.rs
+++ b/src/region/task_transition.rs
@@ -1,27 +1,32 @@
-//! The only place where a task changes its state.
+//! The states of tasks, and the events that lead from one to another.
 //!
-//! [`Region::transition`] leaves the former [`TaskState`] and enters the new one, and keeps
-//! everything that follows from a task's state up to date: the sets of its job, the
-//! capacity in use on its machine, its team's quota, the tasks that are not yet dispatched
-//! and the triggers of placement. Whether the new state is due is up to the caller. (That an
-//! assignment was dispatched or reported changes nothing but the assignment itself;
-//! `heartbeats` notes it there.)
+//! [`Region::transition`] moves a single task: it leaves the former [`TaskState`] and enters
+//! the new one, and keeps everything that follows from a task's state up to date: the sets of
+//! its job, the capacity in use on its machine, its team's quota, the tasks that are not yet
+//! dispatched and the triggers of placement. Whether the new state is due is up to the caller.
+//!
+//! Two kinds of change need none of that and are made elsewhere: tasks that are on no machine
+//! move between the sets of their job as a whole (`job_lifecycle`, `hand_over`, `commits`,
+//! `reconciliation`), and an assignment that stays on its machine is noted as dispatched or
+//! reported there (`heartbeats`).
 //!
 //! | from | event | to |
 //! | --- | --- | --- |
-//! | (none) | the job is bound here | `Pending` |
+//! | (none) | it is bound here | `Pending` |
 //! | (none) | the region is acquired with the job's record | `Unreconciled` |
-//! | `Unreconciled` | a machine reports the task | `Reported` |
 //! | `Unreconciled` | reconciliation ends | `Pending` |
+//! | `Unreconciled`, `Pending` | a machine reports it, started by a former owner | `Reported` |
 //! | `Pending` | a machine is chosen for it | `Assigned` |
 //! | `Pending` | its hand-over is being committed | `Rebinding` |
 //! | `Rebinding` | the hand-over failed | `Pending` |
+//! | `Pending`, `Unreconciled`, `Rebinding` | it is bound to another region | (none) |
 //! | `Assigned` | a machine that reports sooner takes it over | `Assigned` |
 //! | `Assigned` | its machine's heartbeat is answered | `Dispatched` |
 //! | `Assigned` | it is withdrawn, or its gang breaks | `Pending` |
-//! | `Dispatched` | its machine reports it | `Reported` |
-//! | `Dispatched`, `Reported` | its machine's heartbeat lacks it, or the machine is gone | `Pending` |
-//! | `Reported` | it ended without a result | `Pending` |
+//! | `Assigned`, `Dispatched` | its machine reports it | `Reported` |
+//! | `Dispatched`, `Reported` | its machine's heartbeat lacks it | `Pending` |
+//! | `Dispatched`, `Reported` | it ended without a result | `Pending` |
+//! | `Assigned`, `Dispatched`, `Reported` | its machine is proven empty | `Pending` |
 //! | any | it ended with a result, or its job is over | `Done` |
 
 use std::rc::Rc;
--- a/src/region/tests/ownership.rs
+++ b/src/region/tests/ownership.rs
@@ -41,7 +41,7 @@
     // The other machine has task 1 of the old owner: it stays, task 0 starts.
     region.on_heartbeat(&heartbeat("m-2", 1, 7, &[("req-1", 1, 5)]), &at(5));
     assert!(region.is_reconciled());
-    assert_eq!(region.running("req-1"), 2);
+    assert_eq!(region.running_tasks("req-1"), 2);
     assert_eq!(
         count_starts(&region.on_heartbeat(&heartbeat("m-1", 4, 7, &[]), &at(6))),
         1
--- a/src/region/tests/quotas.rs
+++ b/src/region/tests/quotas.rs
@@ -19,7 +19,7 @@
     fixture.share("red", 4_000_000);
     region.on_job("req-1", &fixture.context(2 * SECOND));
     region.place_pending(&fixture.context(2 * SECOND));
-    assert_eq!(region.running("req-1"), 2);
+    assert_eq!(region.running_tasks("req-1"), 2);
     fixture.job("req-2", "blue", "x", "1", 1, 0);
     region.on_job("req-2", &fixture.context(3 * SECOND));
     region.tick(&fixture.context(3 * SECOND));
