--- a/src/region/failure_attribution.rs
+++ b/src/region/failure_attribution.rs
@@ -12,7 +12,6 @@
 use salttiller_records::units::{Micros, SECOND};
 
 use super::machine::CordonReason;
-use super::reservation::GangReservation;
 use super::{Region, SchedulingContext, TaskState};
 use crate::fault_injection::{is_disabled, Safeguard};
 
@@ -175,11 +174,7 @@
                 failures.forgive(id);
             }
         }
-        let is_reserved_for = |reservation: &GangReservation| reservation.job == *id;
-        if self.reservation.as_ref().is_some_and(is_reserved_for) {
-            self.reservation = None;
-            self.triggers.all = true;
-        }
+        self.release_reservation_of(id);
     }
 
     /// Withdraws the assigned tasks of a suspect array that are not dispatched yet: it is
--- a/src/region/failure_attribution/tests.rs
+++ b/src/region/failure_attribution/tests.rs
@@ -1,18 +1,18 @@
 //! Tests of failure attribution.
 
-use super::super::tests::Shop;
+use super::super::tests::TestCluster;
 use super::*;
 
 /// Plays `span` seconds from `from` on; returns the time reached.
-fn play(shop: &mut Shop, from: u64, span: u64) -> u64 {
+fn play(cluster: &mut TestCluster, from: u64, span: u64) -> u64 {
     for s in from..from + span {
-        shop.second(s * SECOND, None);
+        cluster.play_second(s * SECOND, None);
     }
     from + span
 }
 
-fn cordoned(shop: &Shop) -> Vec<&str> {
-    let machines = shop.r.inventory.machines();
+fn cordoned(cluster: &TestCluster) -> Vec<&str> {
+    let machines = cluster.region.inventory.machines();
     let faulty = machines.filter(|(_, machine)| machine.cordoned == Some(CordonReason::Faulty));
     faulty.map(|(name, _)| &**name).collect()
 }
@@ -27,41 +27,45 @@
         ("a", 1, 1_000_000, 14),
         ("g", 4, 2_000_000, 60),
     ] {
-        let mut shop = Shop::new(6);
-        shop.submit("req-1", kind, "red", tasks, cpus, 2 * SECOND);
-        shop.broken.insert("req-1".into());
-        play(&mut shop, 3, 300);
-        let starts = shop.starts["req-1"];
+        let mut cluster = TestCluster::new(6);
+        cluster.submit("req-1", kind, "red", tasks, cpus, 2 * SECOND);
+        cluster.broken.insert("req-1".into());
+        play(&mut cluster, 3, 300);
+        let starts = cluster.starts["req-1"];
         assert!(starts >= 4, "{kind} of {tasks}: tried {starts} times");
         assert!(starts <= most, "{kind} of {tasks}: {starts} starts");
-        assert_eq!(cordoned(&shop), [""; 0], "{kind} of {tasks}");
-        assert!(shop.r.jobs["req-1"].failures.is_suspect());
+        assert_eq!(cordoned(&cluster), [""; 0], "{kind} of {tasks}");
+        assert!(cluster.region.jobs["req-1"].failures.is_suspect());
     }
     // Several jobs, all with results elsewhere, fail on one machine.
-    let mut shop = Shop::new(6);
-    shop.faulty.insert("m-3".into());
+    let mut cluster = TestCluster::new(6);
+    cluster.faulty.insert("m-3".into());
     for i in 0..6 {
-        shop.submit(&format!("req-{i}"), "a", "red", 8, 2_000_000, 2 * SECOND);
+        cluster.submit(&format!("req-{i}"), "a", "red", 8, 2_000_000, 2 * SECOND);
     }
-    play(&mut shop, 3, 120);
-    assert_eq!(cordoned(&shop), ["m-3"]);
-    let suspect = shop.r.jobs.values().any(|j| j.failures.is_suspect());
+    play(&mut cluster, 3, 120);
+    assert_eq!(cordoned(&cluster), ["m-3"]);
+    let suspect = cluster
+        .region
+        .jobs
+        .values()
+        .any(|j| j.failures.is_suspect());
     assert!(!suspect);
 }
 
 /// A faulty machine is cordoned also when suspect jobs ran on it.
 #[test]
 fn a_faulty_machine_is_cordoned_beside_jobs_at_fault() {
-    let mut shop = Shop::new(6);
-    shop.submit("req-1", "a", "red", 30, 1_000_000, 2 * SECOND);
-    shop.broken.insert("req-1".into());
-    let now = play(&mut shop, 3, 40);
-    shop.faulty.insert("m-2".into());
+    let mut cluster = TestCluster::new(6);
+    cluster.submit("req-1", "a", "red", 30, 1_000_000, 2 * SECOND);
+    cluster.broken.insert("req-1".into());
+    let now = play(&mut cluster, 3, 40);
+    cluster.faulty.insert("m-2".into());
     for i in 2..8 {
-        shop.submit(&format!("req-{i}"), "a", "red", 8, 2_000_000, now * SECOND);
+        cluster.submit(&format!("req-{i}"), "a", "red", 8, 2_000_000, now * SECOND);
     }
-    play(&mut shop, now, 120);
-    assert_eq!(cordoned(&shop), ["m-2"]);
+    play(&mut cluster, now, 120);
+    assert_eq!(cordoned(&cluster), ["m-2"]);
 }
 
 /// Suspect jobs wait behind all others, ask for nothing, and are served at once when a
@@ -70,24 +74,24 @@
 fn a_suspect_job_takes_nothing_from_others() {
     let served = |disabled: Option<Safeguard>| {
         crate::fault_injection::disable(disabled);
-        let mut shop = Shop::new(4);
-        shop.submit("req-1", "a", "red", 400, 2_000_000, 2 * SECOND);
-        shop.broken.insert("req-1".into());
-        let now = play(&mut shop, 3, 60);
-        let before = shop.starts["req-1"];
+        let mut cluster = TestCluster::new(4);
+        cluster.submit("req-1", "a", "red", 400, 2_000_000, 2 * SECOND);
+        cluster.broken.insert("req-1".into());
+        let now = play(&mut cluster, 3, 60);
+        let before = cluster.starts["req-1"];
         for i in 2..10 {
-            shop.submit(&format!("req-{i}"), "a", "red", 4, 2_000_000, now * SECOND);
+            cluster.submit(&format!("req-{i}"), "a", "red", 4, 2_000_000, now * SECOND);
         }
-        let now = play(&mut shop, now, 60);
-        let tries = shop.starts["req-1"] - before;
+        let now = play(&mut cluster, now, 60);
+        let tries = cluster.starts["req-1"] - before;
         crate::fault_injection::disable(None);
-        (shop, now, tries)
+        (cluster, now, tries)
     };
     let (_, _, tries) = served(Some(Safeguard::SuspectJobs));
     assert!(tries > 10, "left out: {tries} tries");
-    let (mut shop, now, tries) = served(None);
+    let (mut cluster, now, tries) = served(None);
     assert!((1..=4).contains(&tries), "{tries} tries");
-    let pending = shop.waits(now * SECOND);
+    let pending = cluster.pending_jobs(now * SECOND);
     let line = pending.into_iter().find(|line| line.job == "req-1");
     let line = line.expect("still known");
     assert!(
@@ -95,9 +99,9 @@
         "{line:?}"
     );
     // The mistake is mended: all of it is served.
-    shop.broken.clear();
-    play(&mut shop, now, 900);
-    let begun = shop.began.keys().filter(|(j, _)| j == "req-1").count();
+    cluster.broken.clear();
+    play(&mut cluster, now, 900);
+    let begun = cluster.began.keys().filter(|(j, _)| j == "req-1").count();
     assert_eq!(begun, 400);
 }
 
@@ -105,9 +109,9 @@
 /// no machine is cordoned, no job is suspect, and all are reaped.
 #[test]
 fn odd_failures_change_nothing() {
-    let mut shop = Shop::new(4);
-    shop.submit("req-1", "a", "red", 4, 2_000_000, 2 * SECOND);
-    let now = play(&mut shop, 3, 3);
+    let mut cluster = TestCluster::new(4);
+    cluster.submit("req-1", "a", "red", 4, 2_000_000, 2 * SECOND);
+    let now = play(&mut cluster, 3, 3);
     let odd: Vec<(String, u32, u64)> = (0..3_000)
         .map(|n| match n % 2 {
             0 => (format!("req-{}", 1_000 + n), 0, 1),
@@ -115,10 +119,10 @@
         })
         .collect();
     for times in 0..5 {
-        let commands = shop.report_failures("m-0", &odd, (now + times) * SECOND);
+        let commands = cluster.report_failures("m-0", &odd, (now + times) * SECOND);
         assert!(commands > 0 && commands <= crate::worker_protocol::MAX_COMMANDS);
     }
-    assert_eq!(cordoned(&shop), [""; 0]);
-    assert!(!shop.r.jobs["req-1"].failures.is_suspect());
-    assert_eq!(shop.r.jobs.len(), 1);
+    assert_eq!(cordoned(&cluster), [""; 0]);
+    assert!(!cluster.region.jobs["req-1"].failures.is_suspect());
+    assert_eq!(cluster.region.jobs.len(), 1);
 }
--- a/src/region/heartbeat_answers.rs
+++ b/src/region/heartbeat_answers.rs
@@ -85,7 +85,7 @@
         let mut starts = Vec::new();
         for ((id, task), assignment) in assigned.take(limit) {
             self.undispatched
-                .remove(&(assignment.since, id.clone(), *task));
+                .remove(assignment.since, id.clone(), *task);
             assignment.state = TaskState::Dispatched;
             assignment.since = context.now;
             log::debug!(
--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -105,7 +105,7 @@
                 self.inventory.machine_booted(name, now);
             }
             self.reconciliation.machine_reconciled(name);
-            self.triggers.machines.insert(name.clone());
+            self.triggers.machine_changed(name);
         }
         answers_lost
     }
--- a/src/region/machine_checks.rs
+++ b/src/region/machine_checks.rs
@@ -9,7 +9,7 @@
 
 use super::machine::{CordonReason, Machine, MachineState};
 use super::machine_pool::MachinePool;
-use super::{Action, Region, SchedulingContext};
+use super::{Region, SchedulingContext};
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::settings::Settings;
 
@@ -120,7 +120,7 @@
             }
         }
         if !to_release.is_empty() {
-            self.commits.actions.push(Action::Release(to_release));
+            self.commits.release(to_release);
         }
     }
 
@@ -359,9 +359,7 @@
     fn is_wanted_by_pending_jobs(&self, machine: &Machine) -> bool {
         let reserved = self.inventory.is_reserved(machine);
         self.queue
-            .ready
-            .values()
-            .take(PENDING_JOBS_CONSIDERED)
+            .first(PENDING_JOBS_CONSIDERED)
             .filter_map(|id| self.jobs.get(id))
             .filter(|job| !reserved || job.only_type.is_some())
             .any(|job| job.spec.task_fits_in(machine.capacity) && machine.pool.permits(&job.spec))
--- a/src/region/machine_lifecycle.rs
+++ b/src/region/machine_lifecycle.rs
@@ -42,7 +42,9 @@
     /// (`reserved`).
     pub(super) fn uncordon(&mut self, reserved: bool) {
         let uncordoned = self.inventory.uncordon_surplus(reserved);
-        self.triggers.machines.extend(uncordoned);
+        for name in &uncordoned {
+            self.triggers.machine_changed(name);
+        }
     }
 
     /// The leader finds that all regions together can do without some machines of a pool:
--- a/src/region/machine_membership.rs
+++ b/src/region/machine_membership.rs
@@ -19,7 +19,7 @@
             let machine_type = machine_type.map(|record| &record.value);
             self.inventory.add(name, record, machine_type, context.now);
         } else if self.inventory.update_record(name, record) {
-            self.triggers.machines.insert(name.into());
+            self.triggers.machine_changed(&name.into());
         }
     }
 
@@ -27,13 +27,13 @@
     pub fn on_machine_types_changed(&mut self, context: &SchedulingContext<'_>) {
         self.inventory.update_machine_types(context.replica);
         self.update_reserved_capacity(context);
-        self.triggers.all = true;
+        self.triggers.everything_changed();
     }
 
     /// Reserves capacity for the jobs that fit on one machine type only.
     pub(super) fn update_reserved_capacity(&mut self, context: &SchedulingContext<'_>) {
         if self.inventory.update_reserved_capacity(context.now) {
-            self.triggers.all = true;
+            self.triggers.everything_changed();
         }
     }
 
--- a/src/region/reachability.rs
+++ b/src/region/reachability.rs
@@ -132,7 +132,7 @@
             self.on_unreachable(name, times, context);
         } else if was_unreachable {
             log::info!("region={} machine={name}: reachable again", self.name);
-            self.triggers.machines.insert(name.clone());
+            self.triggers.machine_changed(name);
         }
     }
 
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -9,7 +9,6 @@
 
 use salttiller_records::model::{JobId, JobKind};
 use salttiller_records::units::{add_drift, to_seconds, Micros, SECOND};
-use salttiller_records::QuotaAmount;
 
 use super::{Region, SchedulingContext};
 
@@ -86,7 +85,7 @@
     /// Completes reconciliation: tasks that no machine has reported are pending from now on.
     pub(super) fn complete_reconciliation(&mut self, context: &SchedulingContext<'_>) {
         self.reconciliation.is_complete = true;
-        self.triggers.all = true;
+        self.triggers.everything_changed();
         log::info!(
             "region={} token={}: reconciled {:.1} s after acquisition, {} machines",
             self.name,
@@ -94,9 +93,7 @@
             to_seconds(context.now - self.reconciliation.acquired_at),
             self.inventory.len()
         );
-        for share in self.quotas.by_team.values_mut() {
-            share.inherited = QuotaAmount::default();
-        }
+        self.quotas.clear_inherited();
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
             self.release_unreconciled_tasks(&id, context);
--- a/src/region/task_reports.rs
+++ b/src/region/task_reports.rs
@@ -8,6 +8,7 @@
 
 use super::failure_attribution;
 use super::job::Job;
+use super::task::AssignmentTarget;
 use super::{only_fitting_type, Region, SchedulingContext, TaskState};
 use crate::worker_protocol::{Command, ExitReason, ReportedState, ReportedTask};
 
@@ -131,7 +132,10 @@
             &task.job,
             task.task,
             TaskState::Reported(task.stage),
-            Some((machine, task.attempt)),
+            Some(AssignmentTarget {
+                machine,
+                attempt: task.attempt,
+            }),
             context.now,
         );
         true
@@ -309,15 +313,14 @@
         };
         if backoff > 0 {
             job.not_before = job.not_before.max(context.now + backoff);
-            let wakeup = (job.not_before, task.job.clone());
-            self.queue.wakeups.insert(wakeup);
+            self.queue.wake_at(job.not_before, task.job.clone());
         }
         let is_suspect = job.failures.is_suspect();
         self.return_to_pending(&task.job, task.task, "ended", context);
         if is_suspect {
             self.withdraw_undispatched(&task.job, context);
             let again = context.now + failure_attribution::TRY_AGAIN_AFTER + SECOND;
-            self.queue.wakeups.insert((again, task.job.clone()));
+            self.queue.wake_at(again, task.job.clone());
         }
     }
 }
