--- a/src/controller.rs
+++ b/src/controller.rs
@@ -568,7 +568,7 @@
             }
             if !context.replica.machines.contains_key(name) {
                 if let Some(l) = &mut self.leader {
-                    l.machine_gone(name, context.now);
+                    l.on_machine_removed(name, context.now);
                 }
             }
         }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -69,7 +69,7 @@
             Some(PendingCommit::Leader(keys)) => {
                 let done = matches!(outcome, CommitOutcome::Committed(_));
                 if let Some(l) = &mut self.leader {
-                    l.concluded(&keys, done, self.now);
+                    l.on_commit_finished(&keys, done, self.now);
                 }
             }
             Some(PendingCommit::Hand { region }) => {
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -25,7 +25,7 @@
         if self
             .leader
             .as_ref()
-            .is_some_and(|l| !ours || l.version != version)
+            .is_some_and(|l| !ours || l.term_version() != version)
         {
             self.step_down("another is on record");
         }
@@ -91,11 +91,15 @@
         self.leader = Some(l);
         for e in actions {
             match e {
-                leader::Action::Commit(txn, urgency, keys) => {
-                    let t = self.registry.commit(txn, urgency, None);
+                leader::Action::Commit {
+                    transaction,
+                    priority,
+                    keys,
+                } => {
+                    let t = self.registry.commit(transaction, priority, None);
                     self.tickets.insert(t, PendingCommit::Leader(keys));
                 }
-                leader::Action::Tell(m) => self.tell_owner(m),
+                leader::Action::Send(m) => self.tell_owner(m),
             }
         }
         until
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -146,7 +146,7 @@
             } => self.on_unreached(region, token, machines),
             Message::Boots { region, kinds } => {
                 if let Some(l) = &mut self.leader {
-                    l.boots.note(region, kinds, self.now);
+                    l.on_provisioning_report(region, kinds, self.now);
                 }
             }
             Message::Cancelled { .. }
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -16,12 +16,16 @@
             "takeover under way"
         } else if self.cloud_client.down() {
             "cloud down"
-        } else if self.leader.as_ref().is_some_and(|l| l.refused(self.now)) {
+        } else if self
+            .leader
+            .as_ref()
+            .is_some_and(|l| l.has_capacity_refusals(self.now))
+        {
             "no capacity"
         } else if self
             .leader
             .as_ref()
-            .is_some_and(|l| !l.boots.in_trouble().is_empty())
+            .is_some_and(|l| !l.pools_in_trouble().is_empty())
         {
             "machines come up late or not at all"
         } else if self.regions.values().any(Region::is_quota_blocked) {
@@ -81,15 +85,17 @@
         let mut found: Vec<Condition> = self.question_rate.look(self.now).into_iter().collect();
         found.extend(self.records_lost());
         if let Some(l) = &self.leader {
-            found.extend(l.boots.in_trouble().into_iter().map(|(offer, boots)| {
-                Condition::BadBoots {
-                    machine_type: offer.machine_type,
-                    zone: offer.zone,
-                    spot: offer.spot,
-                    overdue: boots.overdue,
-                    since: boots.since,
-                }
-            }));
+            found.extend(
+                l.pools_in_trouble()
+                    .into_iter()
+                    .map(|pool| Condition::BadBoots {
+                        machine_type: pool.offer.machine_type,
+                        zone: pool.offer.zone,
+                        spot: pool.offer.spot,
+                        overdue: pool.overdue,
+                        since: pool.longest_overdue,
+                    }),
+            );
         }
         found.extend(self.unreached_owners());
         let waits = self.reports.values().flat_map(|(r, _)| &r.pending_jobs);
--- a/src/leader/binding.rs
+++ b/src/leader/binding.rs
@@ -1,192 +1,219 @@
-//! Level one: which region each job is bound to.
+//! Binding, the first level of scheduling: which region each job is bound to.
+//!
+//! As in the paper, where the front-end host gives each computation to the head of its list of
+//! spheres, a job is bound to the region with the fewest unfinished jobs. Ours are the
+//! restriction to regions that can hold the job, and gangs over several regions. Inputs are the
+//! records (jobs, machines, owners), the planned capacity and the cloud's refusals. A binding
+//! is written once; rebinding (`rebinding`) corrects it.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+use crate::region::{only_fitting_type, SchedulingContext};
+use crate::state_store::replica::Versioned;
+use crate::state_store::CommitPriority;
+use salttiller_records::key::Key;
+use salttiller_records::model::JobSpec;
+use salttiller_records::record::{value, JobRecord, TaskRange};
+
+use super::outbox::RecordChange;
+use super::planned_capacity::{claim_from, tasks_in_region, PlannedCapacity};
+use super::unplaced_job::{keeps_together, min_tasks, Flexibility};
+use super::Leader;
+
+/// Unfinished jobs by region: the paper's level-one list.
+type UnfinishedJobs = BTreeMap<String, u32>;
+
+/// An open job that is bound to no region.
+struct UnboundJob<'a> {
+    id: &'a str,
+    spec: Rc<JobSpec>,
+    record: &'a Versioned<JobRecord>,
+}
 
 impl Leader {
-    /// Puts on record that jobs were cancelled along with those that they need. Everybody
-    /// derives it from the records, so nothing hangs on when this comes: it is for the
-    /// versions before 0.3, should one ever be brought back, and for the index.
-    pub(super) fn write_cancelled_upstream(&mut self, context: &SchedulingContext<'_>) {
-        const AT_ONCE: usize = 4;
-        let ids = context.replica.pipelines.cancelled_upstream().iter();
-        let ids = ids.filter(|id| !self.writing.contains(&Key::Job((*id).clone())));
-        let changes: Vec<_> = ids
-            .take(AT_ONCE)
-            .filter_map(|id| {
-                let r = context.replica.jobs.get(id)?;
-                Some((Key::Job(id.clone()), r.version, value(&r.value.cancelled())))
-            })
-            .collect();
-        if !changes.is_empty() {
-            self.commit(changes, CommitPriority::Background, context);
+    /// Binds every job that is not bound yet, in the order of submission.
+    pub(super) fn bind(&mut self, context: &SchedulingContext<'_>) {
+        let unbound = self.unbound_jobs(context);
+        if unbound.is_empty() {
+            return;
         }
+        let mut unfinished = unfinished_jobs(context);
+        let mut changes = Vec::new();
+        for job in unbound {
+            if let Some(bound) = self.bind_job(&job, &mut unfinished, context) {
+                changes.push(RecordChange {
+                    key: Key::Job(job.id.to_owned()),
+                    expected_version: job.record.version,
+                    value: value(&bound),
+                });
+            }
+        }
+        self.commit(changes, CommitPriority::Normal, context);
     }
 
-    /// Binds every job that is not bound yet.
-    pub fn bind(&mut self, context: &SchedulingContext<'_>) {
-        self.write_cancelled_upstream(context);
-        if context.replica.unbound.is_empty() {
-            return;
-        }
-        let mut unbound: Vec<_> = context
-            .replica
+    /// The jobs to bind, by time of submission.
+    fn unbound_jobs<'a>(&self, context: &SchedulingContext<'a>) -> Vec<UnboundJob<'a>> {
+        let replica = context.replica;
+        let mut unbound: Vec<UnboundJob<'a>> = replica
             .unbound
             .iter()
-            .filter(|id| !self.writing.contains(&Key::Job((*id).clone())))
+            .filter(|id| !self.outbox.is_in_flight(&Key::Job((*id).clone())))
             .filter_map(|id| {
-                let r = context.replica.jobs.get(id)?;
-                Some((r.value.open_spec()?.clone(), id, r))
+                let record = replica.jobs.get(id)?;
+                let spec = record.value.open_spec()?.clone();
+                Some(UnboundJob { id, spec, record })
             })
             .collect();
-        if unbound.is_empty() {
-            return;
-        }
-        unbound.sort_by_key(|(s, id, _)| (s.submitted_at, (*id).clone()));
-        let mut level_one: BTreeMap<String, u32> = context
-            .settings
-            .regions()
-            .into_iter()
-            .map(|r| {
-                let n = context.replica.level_one.get(&r).copied().unwrap_or(0);
-                (r, n)
-            })
-            .collect();
-        let mut changes = Vec::new();
-        for (spec, id, rec) in unbound {
-            self.narrow.note(&spec, context.replica, context.now);
-            let narrow = only_fitting_type(&spec, context.replica);
-            if narrow.is_none() {
-                let size = spec.cpus as f64 * spec.task_count as f64;
-                let ago = context.wall.saturating_sub(spec.submitted_at);
-                self.inflow.add(
-                    size * spec.estimated_run_time as f64,
-                    context.now.saturating_sub(ago),
-                );
-                self.job_size += (size - self.job_size) * 0.1;
-            }
-            let bound = match self.joint(&spec, narrow.is_some(), context) {
-                Some((parts, joint)) => {
-                    log::info!("leader: {id}: too large for a region, over several: {parts:?}");
-                    JobRecord {
-                        task_ranges: parts,
-                        multi_region: Some(joint),
-                        ..rec.value.clone()
-                    }
-                }
-                None => {
-                    let region = self.choose_region(&spec, narrow.as_deref(), &level_one, context);
-                    let Some(region) = region else { continue };
-                    *level_one.entry(region.clone()).or_default() += 1;
-                    log::debug!("leader: {id}: bound to {region}");
-                    JobRecord {
-                        task_ranges: vec![TaskRange::new(0, spec.task_count, region)],
-                        multi_region: None,
-                        ..rec.value.clone()
-                    }
-                }
-            };
-            changes.push((Key::Job(id.clone()), rec.version, value(&bound)));
-        }
-        self.commit(changes, CommitPriority::Normal, context);
+        unbound.sort_by_key(|job| (job.spec.submitted_at, job.id));
+        unbound
     }
 
-    /// How many tasks of a job a region's machines take, in the zone where they
-    /// take the most if they must be together.
-    pub(super) fn in_region(
-        &self,
-        s: &JobSpec,
-        region: &str,
-        of: impl Fn(&PlannedCapacity) -> u64,
-    ) -> u64 {
-        let mut by_zone: BTreeMap<&str, u64> = BTreeMap::new();
-        for r in self.rooms.iter().filter(|r| r.region == region) {
-            *by_zone.entry(&r.zone).or_default() += of(r);
+    /// The record of a job with its binding; `None` if there is no region to bind it to.
+    fn bind_job(
+        &mut self,
+        job: &UnboundJob<'_>,
+        unfinished: &mut UnfinishedJobs,
+        context: &SchedulingContext<'_>,
+    ) -> Option<JobRecord> {
+        let spec = &job.spec;
+        self.constrained_types
+            .note(spec, context.replica, context.now);
+        let only_type = only_fitting_type(spec, context.replica);
+        let flexibility = Flexibility::of(only_type.as_deref());
+        if flexibility == Flexibility::Flexible {
+            self.demand.on_job_bound(spec, context);
         }
-        if s.single_zone {
-            by_zone.into_values().max().unwrap_or(0)
-        } else if s.spread_zones {
-            let half = s.task_count.div_ceil(2) as u64;
-            by_zone.into_values().map(|n| n.min(half)).sum()
-        } else {
-            by_zone.into_values().sum()
+        if let Some(binding) = self.bind_over_regions(spec, flexibility, context) {
+            log::info!(
+                "job={}: too large for one region, bound to several: {:?}",
+                job.id,
+                binding.task_ranges
+            );
+            return Some(JobRecord {
+                task_ranges: binding.task_ranges,
+                multi_region: Some(binding.attempt),
+                ..job.record.value.clone()
+            });
         }
+        let region = self.choose_region(spec, flexibility, unfinished, context)?;
+        *unfinished.entry(region.clone()).or_default() += 1;
+        log::debug!("region={region} job={}: bound", job.id);
+        Some(JobRecord {
+            task_ranges: vec![TaskRange::new(0, spec.task_count, region)],
+            multi_region: None,
+            ..job.record.value.clone()
+        })
     }
 
-    pub(super) fn choose_region(
+    /// The region with the fewest unfinished jobs of those that can hold the job: for one that
+    /// keeps together those with free capacity first. If none can, any with an owner, or any at
+    /// all. Capacity for a job that keeps together is claimed.
+    fn choose_region(
         &mut self,
-        s: &JobSpec,
-        narrow: Option<&str>,
-        level_one: &BTreeMap<String, u32>,
+        spec: &JobSpec,
+        flexibility: Flexibility,
+        unfinished: &UnfinishedJobs,
         context: &SchedulingContext<'_>,
     ) -> Option<String> {
-        let is_narrow = narrow.is_some();
-        let need = if keeps_together(s) {
-            s.task_count as u64
-        } else {
-            1
-        };
-        let mut now = BTreeSet::new();
-        let mut able = BTreeSet::new();
-        for r in level_one.keys() {
-            if self.in_region(s, r, |x| if x.live { x.takes(s, is_narrow) } else { 0 }) >= need {
-                now.insert(r.clone());
-            }
-            let stock = context.replica.stock.get(r).is_some_and(|kinds| {
-                kinds.keys().any(|(f, z, spot)| {
-                    context
-                        .replica
-                        .machine_types
-                        .get(f)
-                        .is_some_and(|f| s.permits_machine(&f.value, z, *spot))
-                })
-            });
-            let holds = |x: &PlannedCapacity| x.at_most(s, is_narrow);
-            if stock && (need == 1 || self.in_region(s, r, holds) >= need) {
-                able.insert(r.clone());
-            }
-        }
-        if keeps_together(s) {
-            // Where the cloud would bring what it needs.
-            for o in offers(&context.replica.machine_types) {
-                let f = context
-                    .replica
-                    .machine_types
-                    .get(&o.machine_type)
-                    .map(|f| &f.value);
-                if f.is_some_and(|f| s.permits_machine(f, &o.zone, o.spot))
-                    && !self.refusals.closed(&o, context.now)
-                {
-                    able.insert(self.region_for(&o, context));
-                }
-            }
-        }
-        let owned = |r: &String| context.replica.regions.contains_key(r);
-        let best = |filter: &dyn Fn(&String) -> bool| {
-            level_one
-                .iter()
-                .filter(|(r, _)| filter(r))
-                .min_by_key(|(_, n)| **n)
-                .map(|(r, _)| r.clone())
+        let able = self.able_regions(spec, flexibility, unfinished, context);
+        let has_owner = |region: &str| context.replica.regions.contains_key(region);
+        let fewest_jobs_able = || least_loaded(unfinished, |r| has_owner(r) && able.contains(r));
+        let fewest_jobs_free = || {
+            least_loaded(unfinished, |r| {
+                has_owner(r) && self.has_free_capacity(spec, flexibility, r)
+            })
         };
-        let region = if keeps_together(s) {
-            best(&|r| owned(r) && now.contains(r))
-                .or_else(|| best(&|r| owned(r) && able.contains(r)))
+        let by_capacity = if keeps_together(spec) {
+            fewest_jobs_free().or_else(fewest_jobs_able)
         } else {
-            best(&|r| owned(r) && able.contains(r))
+            fewest_jobs_able()
         };
-        let region = region
-            .or_else(|| best(&|r| owned(r)))
-            .or_else(|| best(&|_| true))?;
-        if keeps_together(s) {
-            let mut left = s.task_count as u64;
-            for r in self
-                .rooms
+        let region = by_capacity
+            .or_else(|| least_loaded(unfinished, has_owner))
+            .or_else(|| least_loaded(unfinished, |_| true))?;
+        if keeps_together(spec) {
+            let machines = self
+                .capacity
                 .iter_mut()
-                .filter(|r| r.region == region && r.live)
-            {
-                left -= r.take(s, is_narrow, left);
-            }
+                .filter(|c| c.region == region && c.is_available);
+            let wanted = u64::from(spec.task_count);
+            // What is lacking is rented by the next plan.
+            let _lacking = claim_from(machines, spec, flexibility, wanted);
         }
         Some(region)
     }
+
+    /// Whether a region has free capacity for a job: for all of its tasks if it keeps together.
+    fn has_free_capacity(&self, spec: &JobSpec, flexibility: Flexibility, region: &str) -> bool {
+        let fitting = |c: &PlannedCapacity| {
+            if c.is_available {
+                c.fitting_tasks(spec, flexibility)
+            } else {
+                0
+            }
+        };
+        tasks_in_region(&self.capacity, spec, region, fitting) >= min_tasks(spec)
+    }
+
+    /// The regions with machines that could hold a job, on record or still to be rented.
+    fn able_regions(
+        &self,
+        spec: &JobSpec,
+        flexibility: Flexibility,
+        unfinished: &UnfinishedJobs,
+        context: &SchedulingContext<'_>,
+    ) -> BTreeSet<String> {
+        let needed = min_tasks(spec);
+        let max_tasks = |c: &PlannedCapacity| c.max_tasks(spec, flexibility);
+        let mut able: BTreeSet<String> = unfinished
+            .keys()
+            .filter(|region| has_permitted_machine(spec, region, context))
+            .filter(|region| {
+                needed == 1 || tasks_in_region(&self.capacity, spec, region, max_tasks) >= needed
+            })
+            .cloned()
+            .collect();
+        if keeps_together(spec) {
+            let rentable = self.usable_offers(spec, context);
+            able.extend(rentable.map(|(offer, _)| self.region_for(&offer, context)));
+        }
+        able
+    }
+}
+
+/// Open jobs by configured region.
+fn unfinished_jobs(context: &SchedulingContext<'_>) -> UnfinishedJobs {
+    let level_one = &context.replica.level_one;
+    context
+        .settings
+        .regions()
+        .into_iter()
+        .map(|region| {
+            let jobs = level_one.get(&region).copied().unwrap_or(0);
+            (region, jobs)
+        })
+        .collect()
+}
+
+/// The region with the fewest unfinished jobs of those that pass the filter, the first by name
+/// of several.
+fn least_loaded(unfinished: &UnfinishedJobs, filter: impl Fn(&str) -> bool) -> Option<String> {
+    unfinished
+        .iter()
+        .filter(|(region, _)| filter(region))
+        .min_by_key(|(_, jobs)| **jobs)
+        .map(|(region, _)| region.clone())
+}
+
+/// Whether a region has a machine on record on which a task of the job may run.
+fn has_permitted_machine(spec: &JobSpec, region: &str, context: &SchedulingContext<'_>) -> bool {
+    let machine_types = &context.replica.machine_types;
+    context.replica.stock.get(region).is_some_and(|pools| {
+        pools.keys().any(|(machine_type, zone, spot)| {
+            machine_types
+                .get(machine_type)
+                .is_some_and(|known| spec.permits_machine(&known.value, zone, *spot))
+        })
+    })
 }
--- a/src/leader/demand.rs
+++ b/src/leader/demand.rs
@@ -1,117 +1,159 @@
-//! How many machines there should be, and which are not needed.
+//! How many processors flexible jobs need: the forecast that scale-out and scale-in go by.
+//!
+//! Inputs are the jobs as they are bound, the regions' reports and the waiting work. The
+//! forecast decides nothing itself; it is computed anew with each plan. The paper's processors
+//! are fixed in number, so nothing here comes from it.
 
-use super::*;
+use crate::peer_protocol::RegionReport;
+use crate::region::SchedulingContext;
+use salttiller_records::model::JobSpec;
+use salttiller_records::units::{Micros, SECOND};
 
-impl Leader {
-    /// Follows how many processors work that fits many types takes, and what should
-    /// be there for it: what is usual and some more, and enough to get through what
-    /// waits within the horizon.
-    pub(super) fn look_at_demand(
+use super::arrival_rate::ArrivalRate;
+use super::horizon::start_horizon;
+use super::planned_capacity::PlannedCapacity;
+use super::unplaced_job::UnplacedJob;
+use super::Reports;
+
+/// Weight of the latest measurement in the smoothed utilisation. At a plan every 0.4 s the
+/// average follows a change within some 10 s.
+const UTILISATION_WEIGHT: f64 = 0.04;
+/// Weight of the latest job in the smoothed job size.
+const JOB_SIZE_WEIGHT: f64 = 0.1;
+/// Bounds of the estimates' accuracy: owners are often wrong by half and sometimes by more, and
+/// a measurement beyond these says more of a few odd jobs than of all.
+const ACCURACY_BOUNDS: (f64, f64) = (0.3, 3.0);
+/// Finished work, as run time of an average job, from which the accuracy is measured: less says
+/// nothing.
+const MIN_MEASURED_RUN_TIME: Micros = 20 * SECOND;
+
+/// Forecast of the processors that flexible jobs need, in millionths.
+#[derive(Debug)]
+pub(super) struct DemandForecast {
+    arrivals: ArrivalRate,
+    /// Processors in use by flexible work, smoothed over time.
+    smoothed_utilisation: f64,
+    /// Processors that all tasks of a flexible job take, smoothed over jobs.
+    smoothed_job_size: f64,
+    /// Actual over estimated run time of the tasks that finished lately.
+    estimate_accuracy: f64,
+    scale_out_threshold: f64,
+    scale_in_threshold: f64,
+}
+
+impl DemandForecast {
+    pub(super) fn new(now: Micros) -> Self {
+        DemandForecast {
+            arrivals: ArrivalRate::new(now),
+            smoothed_utilisation: 0.0,
+            smoothed_job_size: 0.0,
+            estimate_accuracy: 1.0,
+            scale_out_threshold: 0.0,
+            scale_in_threshold: 0.0,
+        }
+    }
+
+    /// Counts a flexible job that is being bound.
+    pub(super) fn on_job_bound(&mut self, spec: &JobSpec, context: &SchedulingContext<'_>) {
+        let size = spec.cpus as f64 * f64::from(spec.task_count);
+        let age = context.wall.saturating_sub(spec.submitted_at);
+        self.arrivals.add(
+            size * spec.estimated_run_time as f64,
+            context.now.saturating_sub(age),
+        );
+        self.smoothed_job_size += (size - self.smoothed_job_size) * JOB_SIZE_WEIGHT;
+    }
+
+    /// Computes the thresholds: what the arriving work keeps busy, and what gets the backlog
+    /// under way within its horizon.
+    pub(super) fn update(
         &mut self,
-        context: &SchedulingContext<'_>,
-        waits: &[UnplacedJob],
+        waiting: &[UnplacedJob],
+        capacity: &[PlannedCapacity],
         reports: &Reports,
+        context: &SchedulingContext<'_>,
     ) {
-        // Owners' estimates may be off by half, all in one direction: what finished
-        // lately tells. Little of it says nothing.
-        let sum = |of: fn(&RegionReport) -> f64| reports.values().map(|(r, _)| of(r)).sum::<f64>();
-        let (said, took) = (sum(|r| r.estimated), sum(|r| r.actual));
-        if said > 20.0 * SECOND as f64 * self.job_size {
-            self.truth = (took / said).clamp(0.3, 3.0);
-        }
-        let wide = || self.rooms.iter().filter(|r| r.processors(false) > 0.0);
-        let used: f64 = wide()
-            .filter(|r| r.live && (r.spot || r.reserved.is_none()))
-            .map(|r| (r.cap.cpus - r.free.cpus) as f64 * r.all)
-            .sum();
-        if self.usual == 0.0 {
-            self.usual = used;
-        }
-        self.usual += (used - self.usual) * 0.04;
-        let mut backlog = 0.0;
-        for w in waits
-            .iter()
-            .filter(|w| w.narrow.is_none() && !w.whole() && !w.suspect)
-        {
-            // No more than all at once.
-            let span = self.truth * w.spec.estimated_run_time.max(SECOND) as f64;
-            let part = span / horizon(&w.spec, context) as f64;
-            backlog += (w.count * w.spec.cpus) as f64 * part.min(1.0);
-        }
+        self.measure_accuracy(reports);
+        self.measure_utilisation(capacity);
+        let backlog = self.backlog_cpus(waiting, context);
         // What came in lately is what will be needed.
-        let came = self.inflow.rate(context.now);
-        let flow = came.map_or(self.usual, |c| c * self.truth);
-        // More stays than would be rented, so that machines don't come and go with
-        // every burst: each that goes cost a minute at least.
-        self.target = flow + backlog;
-        self.keep = flow * (1.0 + context.settings.operator.headroom) + self.job_size + backlog;
+        let arriving = self
+            .arrivals
+            .rate(context.now)
+            .map_or(self.smoothed_utilisation, |rate| {
+                rate * self.estimate_accuracy
+            });
+        let headroom = context.settings.operator.headroom;
+        self.scale_out_threshold = arriving + backlog;
+        // More is kept than would be rented, so that machines don't come and go with every
+        // burst: each that goes has cost a minute at least.
+        self.scale_in_threshold = arriving * (1.0 + headroom) + self.smoothed_job_size + backlog;
     }
 
-    /// Has machines closed that all regions together can do without: of those
-    /// that leave enough the dearest by what a processor costs, emptier ones first.
-    pub(super) fn close_surplus(&mut self, context: &SchedulingContext<'_>) {
-        // Guards against a new leader that knows of no demand yet, in the middle of a
-        // burst perhaps: what it closed would be rented anew a little later.
-        if context.now < self.next_close {
-            return;
-        }
-        let Some(came) = self.inflow.rate(context.now) else {
-            return;
+    /// Processors below which machines are rented for waiting flexible work.
+    pub(super) fn scale_out_threshold(&self) -> f64 {
+        self.scale_out_threshold
+    }
+
+    /// Processors above which machines are drained.
+    pub(super) fn scale_in_threshold(&self) -> f64 {
+        self.scale_in_threshold
+    }
+
+    /// Processors that the arriving work keeps busy by its owners' estimates; `None` as long as
+    /// too little has been seen.
+    pub(super) fn arrival_rate(&mut self, now: Micros) -> Option<f64> {
+        self.arrivals.rate(now)
+    }
+
+    /// Processors in use by flexible work, smoothed over time.
+    pub(super) fn smoothed_utilisation(&self) -> f64 {
+        self.smoothed_utilisation
+    }
+
+    /// Actual over estimated run time of the tasks that finished lately.
+    pub(super) fn estimate_accuracy(&self) -> f64 {
+        self.estimate_accuracy
+    }
+
+    /// Owners' estimates may be off by half, all in one direction: what finished lately tells.
+    fn measure_accuracy(&mut self, reports: &Reports) {
+        let total = |work: fn(&RegionReport) -> f64| {
+            let all = reports.values().map(|(report, _)| work(report));
+            all.sum::<f64>()
         };
-        let open = || self.rooms.iter().filter(|r| r.spot || r.reserved.is_none());
-        let cap: f64 = open().map(|r| r.processors(false)).sum();
-        let mut spare = cap - self.keep;
-        let mut vain: Vec<(f64, &PlannedCapacity)> = open()
-            .filter(|r| r.live)
-            .filter_map(|r| {
-                let price = context
-                    .replica
-                    .machine_types
-                    .get(&r.machine_type)?
-                    .value
-                    .per_cpu(r.spot);
-                Some((
-                    price * (0.5 + r.free.cpus as f64 / r.cap.cpus.max(1) as f64),
-                    r,
-                ))
-            })
-            .collect();
-        vain.sort_by(|a, b| b.0.total_cmp(&a.0));
-        // Some at a time, so that what follows from it is seen before the next.
-        let machines: f64 = open().map(|r| r.all).sum();
-        let mut most = (machines / 20.0).max(1.0);
-        let mut closing: BTreeMap<(&str, &str, &str, bool), u32> = BTreeMap::new();
-        for (_, r) in vain {
-            let each = r.cap.cpus.max(1) as f64;
-            let count = (spare / each).floor().min(r.all).min(most.floor());
-            if count >= 1.0 {
-                spare -= count * each;
-                most -= count;
-                let kind = (&*r.region, &*r.machine_type, &*r.zone, r.spot);
-                *closing.entry(kind).or_default() += count as u32;
-            }
+        let estimated = total(|report| report.estimated);
+        let actual = total(|report| report.actual);
+        if estimated > MIN_MEASURED_RUN_TIME as f64 * self.smoothed_job_size {
+            let (least, most) = ACCURACY_BOUNDS;
+            self.estimate_accuracy = (actual / estimated).clamp(least, most);
         }
-        if closing.is_empty() {
-            return;
+    }
+
+    fn measure_utilisation(&mut self, capacity: &[PlannedCapacity]) {
+        let used: f64 = capacity
+            .iter()
+            .filter(|c| c.is_available && c.is_unreserved())
+            .map(|c| c.total.minus(c.free).cpus as f64 * c.machines)
+            .sum();
+        if self.smoothed_utilisation == 0.0 {
+            self.smoothed_utilisation = used;
         }
-        self.next_close = context.now + 500 * MILLISECOND;
-        log::debug!(
-            "leader: {} machines not needed, {:.0} processors up, {:.0} enough, {:.0} in use, {:.0} asked for, of which {:.2} true",
-            closing.values().sum::<u32>(),
-            cap / 1e6,
-            self.keep / 1e6,
-            self.usual / 1e6,
-            came / 1e6,
-            self.truth
-        );
-        for ((region, machine_type, zone, spot), count) in closing {
-            self.out.push(Action::Tell(Message::Close {
-                region: region.to_owned(),
-                machine_type: machine_type.to_owned(),
-                zone: zone.to_owned(),
-                spot,
-                count,
-            }));
+        self.smoothed_utilisation += (used - self.smoothed_utilisation) * UTILISATION_WEIGHT;
+    }
+
+    /// Processors that get the waiting flexible work under way within its horizon, at most as
+    /// many as run all of it at once.
+    fn backlog_cpus(&self, waiting: &[UnplacedJob], context: &SchedulingContext<'_>) -> f64 {
+        let counted =
+            |job: &&UnplacedJob| job.is_flexible() && !job.keeps_together() && !job.is_suspect;
+        let mut backlog = 0.0;
+        for job in waiting.iter().filter(counted) {
+            let estimated = job.spec.estimated_run_time.max(SECOND) as f64;
+            let run_time = self.estimate_accuracy * estimated;
+            let rounds = run_time / start_horizon(&job.spec, context) as f64;
+            backlog += (job.unplaced_tasks * job.spec.cpus) as f64 * rounds.min(1.0);
         }
+        backlog
     }
 }
--- a/src/leader/machine_assignment.rs
+++ b/src/leader/machine_assignment.rs
@@ -1,246 +1,248 @@
-//! Which region rented machines are assigned to, and what the cloud says of them.
+//! Which region machines are assigned to, and their records.
+//!
+//! A machine belongs to one region for life. Inputs are the machines on record by region, the
+//! batches being provisioned and the types that some jobs depend on. The paper divides its
+//! processors into spheres of fixed size; how machines are assigned is this project's own.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use crate::cloud::Offer;
+use crate::region::SchedulingContext;
+use crate::state_store::CommitPriority;
+use salttiller_records::key::Key;
+use salttiller_records::model::MachineType;
+use salttiller_records::record::{value, MachineBatchRecord, MAX_BATCH};
+
+use super::outbox::RecordChange;
+use super::provisioning_batches::ProvisioningBatch;
+use super::Leader;
+
+/// A scarce pool is kept in one region until it has so many machines a task of the largest gang
+/// that depends on it: each task may fill a machine, and others run at the same time.
+const SCARCE_MACHINES_PER_GANG_TASK: u32 = 4;
+/// Machines of a scarce pool that are kept in one region in any case.
+const MIN_SCARCE_MACHINES: u32 = 8;
+/// A region in the offer's own zone is chosen unless its load is above the mean by this factor
+/// and by so many machines of the type.
+const ZONE_LOAD_TOLERANCE: f64 = 1.25;
+const ZONE_LOAD_TOLERANCE_MACHINES: f64 = 10.0;
+
+/// What a region has.
+#[derive(Debug, Default)]
+struct RegionLoad {
+    /// Processors that flexible jobs may use, millionths.
+    usable_cpus: f64,
+    /// Machines of the pool that is being assigned.
+    machines_of_pool: u32,
+}
+
+/// What each configured region has, in the order of their names.
+#[derive(Debug)]
+struct RegionLoads<'a> {
+    by_region: BTreeMap<&'a str, RegionLoad>,
+    /// Machines of all pools and regions.
+    machines: u32,
+}
+
+impl<'a> RegionLoads<'a> {
+    /// The region with the lowest load of those that pass the filter.
+    fn least(&self, filter: impl Fn(&str) -> bool) -> Option<(&'a str, f64)> {
+        self.by_region
+            .iter()
+            .filter(|(region, _)| filter(region))
+            .map(|(region, load)| (*region, load.usable_cpus))
+            .min_by(|(_, a), (_, b)| a.total_cmp(b))
+    }
+
+    fn mean(&self) -> f64 {
+        let total: f64 = self.by_region.values().map(|load| load.usable_cpus).sum();
+        total / self.by_region.len().max(1) as f64
+    }
+}
 
 impl Leader {
-    /// The region that machines of an offer are dealt to. A type that some jobs
-    /// depend on is kept together by zone as far as the largest gang asks; all
-    /// others go where there is least, near home first, so that a zone that is cut
+    /// The region that machines of an offer are assigned to. A scarce pool is kept together as
+    /// far as the largest gang asks: cut into pieces it holds no large gang. All others go to
+    /// the region with the lowest load, one in the same zone first, so that a zone that is cut
     /// off still has an owner inside.
     pub(super) fn region_for(&self, offer: &Offer, context: &SchedulingContext<'_>) -> String {
         let regions = context.settings.regions();
-        let machine_type = |name: &str| context.replica.machine_types.get(name).map(|f| &f.value);
-        let scarce = !offer.spot
-            && (self
-                .narrow
-                .reserved_on(&offer.machine_type, context.now)
-                .is_some()
-                || machine_type(&offer.machine_type).is_some_and(|f| {
-                    context.replica.machine_types.len() > 1
-                        && context.replica.machine_types.values().all(|o| {
-                            o.value.name == f.name
-                                || (o.value.cpus < f.cpus
-                                    || o.value.memory < f.memory
-                                    || o.value.gpus < f.gpus)
-                        })
-                }));
-        let mut load: BTreeMap<&str, f64> = regions.iter().map(|r| (r.as_str(), 0.0)).collect();
-        let mut same: BTreeMap<&str, u32> = BTreeMap::new();
-        let mut all = 0;
-        let mut add = |region: &str, kind: (&str, &str, bool), n: u32| {
-            let Some((r, l)) = load.iter_mut().find(|(r, _)| **r == region) else {
+        let loads = self.region_loads(&regions, offer, context);
+        let is_scarce = self.is_scarce(offer, context);
+        if is_scarce {
+            if let Some(region) = self.region_with_most_of_pool(&loads, offer, context) {
+                return region.to_owned();
+            }
+        }
+        let machine_type = context.replica.machine_types.get(&offer.machine_type);
+        let cpus_per_machine = machine_type.map_or(0.0, |known| known.value.cpus as f64);
+        let tolerated =
+            loads.mean() * ZONE_LOAD_TOLERANCE + cpus_per_machine * ZONE_LOAD_TOLERANCE_MACHINES;
+        let in_zone = loads
+            .least(|region| home_zone(region, context) == offer.zone)
+            .filter(|(_, load)| is_scarce || *load <= tolerated);
+        match in_zone.or_else(|| loads.least(|_| true)) {
+            Some((region, _)) => region.to_owned(),
+            None => context.settings.name.clone(),
+        }
+    }
+
+    /// Whether an offer's machines are scarce: on-demand machines of a type that some jobs
+    /// depend on, or of the largest type there is.
+    fn is_scarce(&self, offer: &Offer, context: &SchedulingContext<'_>) -> bool {
+        let is_depended_on = || {
+            let reserved = self
+                .constrained_types
+                .reserved_on(&offer.machine_type, context.now);
+            reserved.is_some()
+        };
+        !offer.spot && (is_depended_on() || is_largest_type(&offer.machine_type, context))
+    }
+
+    /// The region with an owner that has the most machines of a scarce pool, unless it has as
+    /// many as are kept together.
+    fn region_with_most_of_pool<'a>(
+        &self,
+        loads: &RegionLoads<'a>,
+        offer: &Offer,
+        context: &SchedulingContext<'_>,
+    ) -> Option<&'a str> {
+        let largest_gang = self.constrained_types.largest_gang(&offer.machine_type);
+        let even_share = loads.machines / loads.by_region.len().max(1) as u32;
+        let kept_together = (SCARCE_MACHINES_PER_GANG_TASK * largest_gang)
+            .max(even_share)
+            .max(MIN_SCARCE_MACHINES);
+        loads
+            .by_region
+            .iter()
+            .map(|(region, load)| (*region, load.machines_of_pool))
+            .filter(|(_, machines)| (1..kept_together).contains(machines))
+            .filter(|(region, _)| context.replica.regions.contains_key(*region))
+            .max_by_key(|(_, machines)| *machines)
+            .map(|(region, _)| region)
+    }
+
+    /// What each region has, on record and in batches that the records don't show yet.
+    fn region_loads<'a>(
+        &self,
+        regions: &'a [String],
+        offer: &Offer,
+        context: &SchedulingContext<'_>,
+    ) -> RegionLoads<'a> {
+        let mut loads = RegionLoads {
+            by_region: regions
+                .iter()
+                .map(|region| (region.as_str(), RegionLoad::default()))
+                .collect(),
+            machines: 0,
+        };
+        let mut add = |region: &str, pool: &Offer, machines: u32| {
+            let Some(load) = loads.by_region.get_mut(region) else {
                 return;
             };
-            all += n;
-            if let Some(f) = machine_type(kind.0) {
-                let kept = self
-                    .narrow
-                    .reserved_on(kind.0, context.now)
-                    .filter(|_| !kind.2);
-                let cpus = f.cpus.saturating_sub(kept.map_or(0, |k| k.cpus));
-                *l += cpus as f64 * n as f64;
-            }
-            if kind.0 == offer.machine_type && kind.1 == offer.zone && kind.2 == offer.spot {
-                *same.entry(r).or_default() += n;
+            loads.machines += machines;
+            load.usable_cpus += self.usable_cpus(pool, context) as f64 * f64::from(machines);
+            if pool == offer {
+                load.machines_of_pool += machines;
             }
         };
-        for (region, kinds) in &context.replica.stock {
-            for ((f, z, spot), n) in kinds {
-                add(region, (f, z, *spot), *n);
+        for (region, pools) in &context.replica.stock {
+            for ((machine_type, zone, spot), machines) in pools {
+                let pool = Offer {
+                    machine_type: machine_type.clone(),
+                    zone: zone.clone(),
+                    spot: *spot,
+                };
+                add(region, &pool, *machines);
             }
         }
-        for c in self.coming.values().filter(|c| c.recorded.is_none()) {
-            let o = &c.offer;
-            add(
-                &c.region,
-                (&o.machine_type, &o.zone, o.spot),
-                c.count as u32,
-            );
+        for batch in self.provisioning_batches.unrecorded() {
+            add(&batch.region, &batch.offer, batch.machines.len() as u32);
         }
-        if scarce {
-            let most = (4 * self.narrow.largest_gang(&offer.machine_type))
-                .max(all / regions.len() as u32)
-                .max(8);
-            let together = same
-                .iter()
-                .filter(|(r, n)| **n < most && context.replica.regions.contains_key(**r))
-                .max_by_key(|(_, n)| **n);
-            if let Some((r, _)) = together {
-                return (*r).to_owned();
-            }
-        }
-        let zone_of = |r: &str| {
-            if r == context.settings.name {
-                return context.settings.zone.as_str();
-            }
-            let peer = context.settings.peers.iter().find(|p| p.name == r);
-            peer.map_or("", |p| p.zone.as_str())
-        };
-        let least = |near: bool| {
-            load.iter()
-                .filter(|(r, _)| !near || zone_of(r) == offer.zone)
-                .min_by(|a, b| a.1.total_cmp(b.1))
-                .map(|(r, l)| ((*r).to_owned(), *l))
+        loads
+    }
+
+    /// Processors of a machine that flexible jobs may use, millionths; 0 of an unknown type.
+    fn usable_cpus(&self, pool: &Offer, context: &SchedulingContext<'_>) -> u64 {
+        let Some(machine_type) = context.replica.machine_types.get(&pool.machine_type) else {
+            return 0;
         };
-        let mean = load.values().sum::<f64>() / load.len().max(1) as f64;
-        let lot = machine_type(&offer.machine_type).map_or(0.0, |f| f.cpus as f64) * 10.0;
-        match (least(true), least(false)) {
-            (Some((r, l)), _) if scarce || l <= mean * 1.25 + lot => r,
-            (_, Some((r, _))) => r,
-            _ => context.settings.name.clone(),
-        }
+        let reserved = self
+            .constrained_types
+            .reserved_on(&pool.machine_type, context.now)
+            .filter(|_| !pool.spot)
+            .map_or(0, |reserved| reserved.cpus);
+        machine_type.value.cpus.saturating_sub(reserved)
     }
 
-    /// Gives machines of one offer a record, in lots.
+    /// Assigns machines of one offer to a region: commits records of batches.
     pub(super) fn assign_machines(
         &mut self,
         offer: &Offer,
-        names: &[String],
+        machines: &[String],
         region: &str,
         context: &SchedulingContext<'_>,
     ) {
         let mut changes = Vec::new();
-        for (i, chunk) in names.chunks(MAX_BATCH).enumerate() {
-            self.counter += 1;
-            let id = format!(
-                "{}-{}-{}",
-                context.settings.name, self.version, self.counter
-            );
+        for batch in machines.chunks(MAX_BATCH) {
+            let name = self.term.next_unique_name(&context.settings.name);
             log::info!(
-                "leader: lot {id}: {} {} in {}{} dealt to {region}, from {}",
-                chunk.len(),
-                offer.machine_type,
-                offer.zone,
-                if offer.spot { ", spot" } else { "" },
-                chunk[0]
+                "region={region} batch={name}: {} {} assigned, the first is {}",
+                batch.len(),
+                describe(offer),
+                batch.first().map_or("", String::as_str)
             );
-            let rec = MachineBatchRecord {
+            let record = MachineBatchRecord {
                 region: region.to_owned(),
                 machine_type: offer.machine_type.clone(),
                 zone: offer.zone.clone(),
                 spot: offer.spot,
-                machines: chunk.to_vec(),
+                machines: batch.to_vec(),
             };
-            self.coming.insert(
-                id.clone(),
-                ProvisioningBatch {
-                    offer: offer.clone(),
-                    region: region.to_owned(),
-                    count: chunk.len(),
-                    names: chunk.to_vec(),
-                    since: context.now + i as Micros,
-                    recorded: None,
-                },
+            self.provisioning_batches.insert(
+                name.clone(),
+                ProvisioningBatch::new(offer, region, batch, context.now),
             );
-            changes.push((Key::MachineBatch(id), 0, value(&rec)));
+            changes.push(RecordChange {
+                key: Key::MachineBatch(name),
+                expected_version: 0,
+                value: value(&record),
+            });
         }
         self.commit(changes, CommitPriority::Normal, context);
     }
+}
 
-    /// A machine that has no record reports. That alone brings nothing into being:
-    /// it may be a late copy from a machine that is long gone. The cloud's list
-    /// says, and is asked for soon.
-    pub fn on_unknown_machine(&mut self, context: &SchedulingContext<'_>) {
-        let wait = if context.replica.machines.is_empty() {
-            1
-        } else {
-            4
-        };
-        self.next_list = self
-            .next_list
-            .min((self.last_list + wait * SECOND).max(context.now));
-    }
+/// Whether no other type has as much of everything as this one.
+fn is_largest_type(name: &str, context: &SchedulingContext<'_>) -> bool {
+    let machine_types = &context.replica.machine_types;
+    let Some(candidate) = machine_types.get(name).map(|known| &known.value) else {
+        return false;
+    };
+    let is_smaller = |other: &MachineType| {
+        other.cpus < candidate.cpus
+            || other.memory < candidate.memory
+            || other.gpus < candidate.gpus
+    };
+    machine_types.len() > 1
+        && machine_types
+            .values()
+            .map(|known| &known.value)
+            .all(|other| other.name == candidate.name || is_smaller(other))
+}
 
-    /// Takes what the cloud answered.
-    pub fn on_cloud_event(&mut self, ev: &CloudEvent, context: &SchedulingContext<'_>) {
-        match ev {
-            CloudEvent::Flavors(list) => {
-                let changes = list
-                    .iter()
-                    .filter_map(|f| {
-                        let known = context.replica.machine_types.get(&f.name);
-                        known.is_none_or(|k| differs(k, f)).then(|| {
-                            let version = known.map_or(0, |k| k.version);
-                            (Key::MachineType(f.name.clone()), version, value(f))
-                        })
-                    })
-                    .collect();
-                self.commit(changes, CommitPriority::Normal, context);
-            }
-            CloudEvent::Rented(offer, region, names, asked) => {
-                log::info!(
-                    "leader: rented {} of {asked} {} in {}{} for {region}",
-                    names.len(),
-                    offer.machine_type,
-                    offer.zone,
-                    if offer.spot { ", spot" } else { "" }
-                );
-                if (names.len() as u32) < *asked {
-                    self.refusals.refused(offer, context.now);
-                } else {
-                    self.refusals.filled(offer);
-                }
-                self.assign_machines(offer, names, region, context);
-            }
-            CloudEvent::NoCapacity(offer) => {
-                log::info!(
-                    "leader: no capacity for {} in {}{}",
-                    offer.machine_type,
-                    offer.zone,
-                    if offer.spot { ", spot" } else { "" }
-                );
-                self.refusals.refused(offer, context.now);
-            }
-            CloudEvent::Listed(list) => self.on_list(list, context),
-            CloudEvent::Down | CloudEvent::Released(_) => {}
-        }
+/// The zone of the controller that a region is named after; empty if it is not configured.
+fn home_zone<'a>(region: &str, context: &'a SchedulingContext<'_>) -> &'a str {
+    let settings = context.settings;
+    if region == settings.name {
+        return &settings.zone;
     }
+    let home = settings.peers.iter().find(|peer| peer.name == region);
+    home.map_or("", |peer| &peer.zone)
+}
 
-    /// Machines that nobody knows: there before us, or rented by a request that was
-    /// carried out late. They are dealt like any other and used, or returned when
-    /// idle.
-    pub(super) fn on_list(&mut self, list: &[Listed], context: &SchedulingContext<'_>) {
-        // Records that can't be read may name them.
-        if !context.replica.unreadable.is_empty() {
-            return;
-        }
-        let keep = (4 * context.settings.list_lag).max(120 * SECOND);
-        self.gone.retain(|_, at| context.now < *at + keep);
-        let cold = context.replica.machines.is_empty() && context.replica.opened.is_empty();
-        let pending: BTreeSet<&String> = self.coming.values().flat_map(|c| &c.names).collect();
-        let mut odd = BTreeMap::new();
-        let mut todo: BTreeMap<Offer, Vec<String>> = BTreeMap::new();
-        for m in list {
-            if m.failed
-                || context.replica.machines.contains_key(&m.name)
-                || pending.contains(&m.name)
-                || self.gone.contains_key(&m.name)
-            {
-                continue;
-            }
-            let since = self.odd.get(&m.name).copied().unwrap_or(context.now);
-            odd.insert(m.name.clone(), since);
-            // The list is late: only what stays odd is odd. When there never was a
-            // record of any machine, there is none that could be gone.
-            let sure = context.now > since + 2 * context.settings.list_lag
-                && m.age > 2 * context.settings.list_lag;
-            if sure || cold {
-                todo.entry(m.offer.clone())
-                    .or_default()
-                    .push(m.name.clone());
-            }
-        }
-        self.odd = odd;
-        for (offer, names) in todo {
-            // Some at a time, so that those of a type that nothing depends on are
-            // spread over the regions.
-            for some in names.chunks(8) {
-                let region = self.region_for(&offer, context);
-                self.assign_machines(&offer, some, &region, context);
-            }
-        }
-        if !self.odd.is_empty() {
-            self.next_list = self.next_list.min(context.now + context.settings.list_lag);
-        }
-    }
+/// An offer in log messages.
+pub(super) fn describe(offer: &Offer) -> String {
+    let kind = if offer.spot { "spot" } else { "on-demand" };
+    format!("{kind} {} in zone {}", offer.machine_type, offer.zone)
 }
--- a/src/leader/multi_region_gangs.rs
+++ b/src/leader/multi_region_gangs.rs
@@ -1,167 +1,165 @@
-//! Gangs over several regions.
+//! Coordination of gangs over several regions: when their parts start together.
+//!
+//! Each owner reserves capacity for its part and reports it; the leader has all parts start once
+//! every one has some, and decides on another attempt or another binding if they can't. Inputs
+//! are the records and the regions' reports alone, so that a new leader goes on where the last
+//! one ended. The paper's computations always fit into one sphere; this is the project's own.
 
-use super::*;
+use crate::peer_protocol::{Message, RegionReport};
+use crate::region::SchedulingContext;
+use crate::state_store::replica::Versioned;
+use crate::state_store::CommitPriority;
+use salttiller_records::key::Key;
+use salttiller_records::record::{value, JobRecord, MultiRegionAttempt, TaskRange};
+use salttiller_records::units::{Micros, SECOND};
+
+use super::outbox::RecordChange;
+use super::{Leader, Reports};
+
+/// A part that has waited longer is unbound, so that the gang is bound anew.
+const MAX_PART_WAIT: Micros = 60 * SECOND;
+
+/// A gang on record as bound to several regions.
+struct MultiRegionGang<'a> {
+    id: &'a str,
+    record: &'a Versioned<JobRecord>,
+    attempt: &'a MultiRegionAttempt,
+}
+
+/// One region's part of a gang, by the region's last report; nothing of it is known without.
+#[derive(Debug, Clone, Copy, Default)]
+struct PartStatus {
+    /// Capacity is reserved for this attempt.
+    is_ready: bool,
+    /// All tasks of the part wait.
+    is_waiting: bool,
+    /// How long they have waited.
+    waiting_for: Micros,
+    /// The attempt failed.
+    needs_new_attempt: bool,
+}
 
 impl Leader {
-    /// The parts of a gang that no region can hold, if several together can and
-    /// the cloud has no more: tasks by region, and what they have in common.
-    pub(super) fn joint(
+    /// Coordinates the gangs over several regions: started once all parts have capacity, given
+    /// another attempt when one failed, unbound when a part was given back.
+    pub(super) fn coordinate_multi_region_gangs(
         &mut self,
-        s: &JobSpec,
-        narrow: bool,
         context: &SchedulingContext<'_>,
-    ) -> Option<(Vec<TaskRange>, MultiRegionAttempt)> {
-        if s.kind != JobKind::Gang || s.task_count < 2 || context.now < self.began + 2 * SECOND {
-            return None;
+        reports: &Reports,
+    ) {
+        let mut changes = Vec::new();
+        for id in &context.replica.joint {
+            let Some(record) = context.replica.jobs.get(id) else {
+                continue;
+            };
+            let Some(attempt) = &record.value.multi_region else {
+                continue;
+            };
+            let gang = MultiRegionGang {
+                id,
+                record,
+                attempt,
+            };
+            changes.extend(self.coordinate_gang(&gang, reports));
         }
-        let regions = context.settings.regions();
-        let n = s.task_count as u64;
-        let most = |r: &PlannedCapacity| r.at_most(s, narrow);
-        if regions.iter().any(|r| self.in_region(s, r, most) >= n) {
-            return None;
+        self.commit(changes, CommitPriority::Normal, context);
+    }
+
+    /// Takes one gang a step further. Returns its record with another attempt if it needs one.
+    fn coordinate_gang(
+        &mut self,
+        gang: &MultiRegionGang<'_>,
+        reports: &Reports,
+    ) -> Option<RecordChange> {
+        let parts: Vec<(&TaskRange, PartStatus)> = gang
+            .record
+            .value
+            .task_ranges
+            .iter()
+            .map(|range| (range, gang.part_status(range, reports)))
+            .collect();
+        let is_given_up = parts.iter().any(|(range, _)| range.is_unbound());
+        for (range, status) in &parts {
+            let has_waited_too_long = status.waiting_for > MAX_PART_WAIT;
+            if status.is_waiting && (is_given_up || has_waited_too_long) {
+                self.outbox.send(gang.unbind_request(range));
+            }
         }
-        let for_rent = offers(&context.replica.machine_types).into_iter().any(|o| {
-            let f = context
-                .replica
-                .machine_types
-                .get(&o.machine_type)
-                .map(|f| &f.value);
-            f.is_some_and(|f| s.permits_machine(f, &o.zone, o.spot))
-                && !self.refusals.closed(&o, context.now)
-        });
-        if for_rent {
+        if is_given_up {
             return None;
         }
-        let mut by_zone: BTreeMap<&str, BTreeMap<&str, u64>> = BTreeMap::new();
-        for r in &self.rooms {
-            let m = most(r);
-            if m > 0 && context.replica.regions.contains_key(&r.region) {
-                let zone = by_zone.entry(&r.zone).or_default();
-                *zone.entry(&r.region).or_default() += m;
-            }
-        }
-        let half = s.task_count.div_ceil(2) as u64;
-        let mut share: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut zone = None;
-        if s.single_zone {
-            let (z, rs) = by_zone
-                .iter()
-                .max_by_key(|(_, rs)| rs.values().sum::<u64>())?;
-            zone = Some((*z).to_owned());
-            share.extend(rs);
-        } else {
-            // Of each zone no more than its half, if it must be spread; the regions
-            // see to that among their own machines.
-            for rs in by_zone.values() {
-                let mut left = if s.spread_zones { half } else { n };
-                for (r, m) in rs {
-                    let take = left.min(*m);
-                    left -= take;
-                    *share.entry(r).or_default() += take;
-                }
+        if parts.iter().all(|(_, status)| status.is_ready) {
+            for (range, _) in &parts {
+                self.outbox.send(gang.start_request(range));
             }
+            return None;
         }
-        // As few regions as will do.
-        let mut share: Vec<(u64, &str)> = share.into_iter().map(|(r, m)| (m, r)).collect();
-        share.sort_unstable_by(|a, b| b.cmp(a));
-        let mut parts = Vec::new();
-        let mut at = 0u32;
-        for (m, r) in share {
-            let take = (m.min(n - at as u64)) as u32;
-            if take > 0 {
-                parts.push(TaskRange::new(at, at + take, r));
-                at += take;
-            }
+        let is_idle = parts.iter().all(|(_, s)| s.is_ready || s.is_waiting);
+        let has_failed = parts.iter().any(|(_, s)| s.needs_new_attempt);
+        (is_idle && has_failed).then(|| self.retry(gang))
+    }
+
+    /// The record of a gang with another attempt.
+    fn retry(&mut self, gang: &MultiRegionGang<'_>) -> RecordChange {
+        let attempt = MultiRegionAttempt {
+            attempt: self.term.next_attempt(),
+            zone: gang.attempt.zone.clone(),
+        };
+        log::info!(
+            "job={}: attempt {} failed, starting attempt {}",
+            gang.id,
+            gang.attempt.attempt,
+            attempt.attempt
+        );
+        let record = JobRecord {
+            multi_region: Some(attempt),
+            ..gang.record.value.clone()
+        };
+        RecordChange {
+            key: Key::Job(gang.id.to_owned()),
+            expected_version: gang.record.version,
+            value: value(&record),
         }
-        if at < s.task_count || parts.len() > 12 || (s.spread_zones && parts.len() > 1) {
-            // A spread gang over several regions would need one bound per zone over
-            // all of them: it waits for a region that can hold it.
-            return None;
+    }
+}
+
+impl MultiRegionGang<'_> {
+    fn part_status(&self, range: &TaskRange, reports: &Reports) -> PartStatus {
+        let Some((report, _)) = reports.get(&range.region) else {
+            return PartStatus::default();
+        };
+        let pending = report.pending_jobs.iter().find(|p| p.job == self.id);
+        PartStatus {
+            is_ready: self.is_reserved_in(report),
+            is_waiting: pending.is_some_and(|p| p.pending_tasks == range.end - range.first),
+            waiting_for: pending.map_or(0, |p| p.since_us),
+            needs_new_attempt: pending.is_some_and(|p| p.needs_new_attempt),
         }
-        Some((
-            parts,
-            MultiRegionAttempt {
-                attempt: self.next_attempt(),
-                zone,
-            },
-        ))
     }
 
-    /// An attempt that no owner and no other term ever uses.
-    pub(super) fn next_attempt(&mut self) -> u64 {
-        self.counter += 1;
-        (1 << 62) | (self.version << 20) | (self.counter & 0xf_ffff)
+    fn is_reserved_in(&self, report: &RegionReport) -> bool {
+        report
+            .gang_parts_ready
+            .iter()
+            .any(|(job, attempt)| job == self.id && *attempt == self.attempt.attempt)
     }
 
-    /// Gangs over several regions: started once all parts have room, given another
-    /// attempt when one failed, bound anew when a part was given back. All of it
-    /// follows from the records and the regions' last reports, so that a new leader
-    /// goes on where the last one ended.
-    pub(super) fn lead_joint(&mut self, context: &SchedulingContext<'_>, reports: &Reports) {
-        let mut changes = Vec::new();
-        for id in &context.replica.joint {
-            let Some(rec) = context.replica.jobs.get(id) else {
-                continue;
-            };
-            let Some(MultiRegionAttempt { attempt, zone }) = &rec.value.multi_region else {
-                continue;
-            };
-            let parts = &rec.value.task_ranges;
-            let given_up = parts.iter().any(TaskRange::is_unbound);
-            let (mut ready, mut idle, mut stuck) = (true, true, false);
-            for TaskRange { first, end, region } in parts {
-                let Some((r, _)) = reports.get(region) else {
-                    (ready, idle) = (false, false);
-                    continue;
-                };
-                let has_room = r
-                    .gang_parts_ready
-                    .iter()
-                    .any(|(j, n)| j == id && n == attempt);
-                let wait = r.pending_jobs.iter().find(|w| w.job == *id);
-                let waits = wait.is_some_and(|w| w.pending_tasks == end - first);
-                ready &= has_room;
-                idle &= has_room || waits;
-                stuck |= wait.is_some_and(|w| w.needs_new_attempt);
-                if waits && (given_up || wait.is_some_and(|w| w.since_us > PART_PATIENCE)) {
-                    self.out.push(Action::Tell(Message::Move {
-                        job: id.clone(),
-                        from: region.clone(),
-                        to: String::new(),
-                        count: end - first,
-                    }));
-                }
-            }
-            if given_up {
-                continue;
-            }
-            if ready {
-                for TaskRange { region, .. } in parts {
-                    self.out.push(Action::Tell(Message::Go {
-                        job: id.clone(),
-                        attempt: *attempt,
-                        region: region.clone(),
-                    }));
-                }
-            } else if idle && stuck {
-                changes.push((id.clone(), rec, zone.clone()));
-            }
+    /// Asks a part's owner to bind its tasks to no region.
+    fn unbind_request(&self, range: &TaskRange) -> Message {
+        Message::Move {
+            job: self.id.to_owned(),
+            from: range.region.clone(),
+            to: String::new(),
+            count: range.end - range.first,
+        }
+    }
+
+    /// Tells a part's owner that all parts have capacity.
+    fn start_request(&self, range: &TaskRange) -> Message {
+        Message::Go {
+            job: self.id.to_owned(),
+            attempt: self.attempt.attempt,
+            region: range.region.clone(),
         }
-        let changes = changes
-            .into_iter()
-            .map(|(id, rec, zone)| {
-                let joint = Some(MultiRegionAttempt {
-                    attempt: self.next_attempt(),
-                    zone,
-                });
-                log::info!("leader: {id}: tried in vain, another attempt");
-                let new = JobRecord {
-                    multi_region: joint,
-                    ..rec.value.clone()
-                };
-                (Key::Job(id), rec.version, value(&new))
-            })
-            .collect();
-        self.commit(changes, CommitPriority::Normal, context);
     }
 }
--- /dev/null
+++ b/src/leader/plan.rs
@@ -0,0 +1,151 @@
+//! The plan that the leader makes every 0.4 s: it gathers the capacity and the waiting work and
+//! runs the leader's decisions on them, in their order.
+
+use std::collections::BTreeSet;
+
+use crate::cloud::{CloudClient, Offer};
+use crate::peer_protocol::PoolCapacity;
+use crate::region::SchedulingContext;
+use salttiller_records::units::{Micros, SECOND};
+use salttiller_records::Resources;
+
+use super::planned_capacity::PlannedCapacity;
+use super::unplaced_job::UnplacedJob;
+use super::{Leader, Reports};
+
+/// Waiting work in a report that is older is not planned for: much of it runs by now.
+const MAX_REPORT_AGE: Micros = 3 * SECOND;
+/// Nothing is rented before the term is this old: the regions' first reports are not all there
+/// yet, so capacity that there is would be rented again.
+const MIN_TERM_AGE_TO_RENT: Micros = SECOND;
+
+impl Leader {
+    /// Makes a plan and queues what follows from it.
+    pub(super) fn plan(
+        &mut self,
+        context: &SchedulingContext<'_>,
+        reports: &Reports,
+        cloud_client: &mut CloudClient,
+    ) {
+        self.recent_rebindings.expire(context.now);
+        self.provisioning_reports.expire(context.now);
+        self.update_capacity(context, reports, cloud_client);
+        self.coordinate_multi_region_gangs(context, reports);
+        let mut waiting = self.unplaced_jobs(context, reports);
+        self.demand
+            .update(&waiting, &self.capacity, reports, context);
+        self.scale_in(context);
+        self.rebind_waiting(&mut waiting, context);
+        if self.term.age(context.now) > MIN_TERM_AGE_TO_RENT {
+            waiting.retain(|job| !job.is_suspect);
+            self.scale_out(&waiting, context, cloud_client);
+        }
+    }
+
+    /// Gathers the capacity that regions report, and what their reports can't show yet: batches
+    /// being provisioned and rentals under way.
+    fn update_capacity(
+        &mut self,
+        context: &SchedulingContext<'_>,
+        reports: &Reports,
+        cloud_client: &CloudClient,
+    ) {
+        self.provisioning_batches.expire(reports, context.now);
+        let reported = reports.values().flat_map(|(report, _)| {
+            let pools = report.capacity.iter();
+            pools.filter_map(|pool| self.reported_capacity(&report.region, pool, context))
+        });
+        let provisioning = self.provisioning_batches.iter().filter_map(|batch| {
+            let machines = batch.machines.len() as f64;
+            self.empty_machines(&batch.region, &batch.offer, machines, context)
+        });
+        let rentals = cloud_client.renting();
+        let requested = rentals.iter().filter_map(|(offer, region, machines)| {
+            self.empty_machines(region, offer, f64::from(*machines), context)
+        });
+        self.capacity = reported.chain(provisioning).chain(requested).collect();
+    }
+
+    /// A line of a region's report; `None` if the machine type is unknown.
+    fn reported_capacity(
+        &self,
+        region: &str,
+        pool: &PoolCapacity,
+        context: &SchedulingContext<'_>,
+    ) -> Option<PlannedCapacity> {
+        let offer = Offer {
+            machine_type: pool.machine_type.clone(),
+            zone: pool.zone.clone(),
+            spot: pool.spot,
+        };
+        let machines = f64::from(pool.machines);
+        let mut capacity = self.empty_machines(region, &offer, machines, context)?;
+        if pool.available {
+            capacity.is_available = true;
+            capacity.free = Resources::from(pool.free);
+        }
+        Some(capacity)
+    }
+
+    /// Machines that are not up yet, with nothing on them; `None` if their type is unknown.
+    fn empty_machines(
+        &self,
+        region: &str,
+        offer: &Offer,
+        machines: f64,
+        context: &SchedulingContext<'_>,
+    ) -> Option<PlannedCapacity> {
+        let machine_type = context.replica.machine_types.get(&offer.machine_type)?;
+        let total = machine_type.value.resources();
+        Some(PlannedCapacity {
+            region: region.to_owned(),
+            machine_type: offer.machine_type.clone(),
+            zone: offer.zone.clone(),
+            spot: offer.spot,
+            free: total,
+            total,
+            is_available: false,
+            reserved: self
+                .constrained_types
+                .reserved_on(&offer.machine_type, context.now),
+            machines,
+            unclaimed_machines: machines,
+        })
+    }
+
+    /// The waiting work of all recent reports.
+    fn unplaced_jobs(
+        &mut self,
+        context: &SchedulingContext<'_>,
+        reports: &Reports,
+    ) -> Vec<UnplacedJob> {
+        let suspects = suspect_jobs(reports);
+        let mut waiting = Vec::new();
+        for (report, received_at) in reports.values() {
+            if context.now > received_at + MAX_REPORT_AGE {
+                continue;
+            }
+            for pending in &report.pending_jobs {
+                let is_suspect = suspects.contains(pending.job.as_str());
+                let job = UnplacedJob::from_report(pending, report, is_suspect, context);
+                if let Some(job) = &job {
+                    self.constrained_types
+                        .note(&job.spec, context.replica, context.now);
+                }
+                waiting.extend(job);
+            }
+        }
+        waiting
+    }
+}
+
+/// Jobs that failed on several machines without a result: what one region has found of a job
+/// holds for its tasks in all others.
+fn suspect_jobs(reports: &Reports) -> BTreeSet<&str> {
+    reports
+        .values()
+        .flat_map(|(report, _)| &report.pending_jobs)
+        .filter(|pending| pending.needs_new_attempt)
+        .map(|pending| pending.job.as_str())
+        .collect()
+}
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -1,113 +1,144 @@
-//! Kinds of machines that come up late or never, as the regions' owners tell. What is
-//! booting is a forecast, not a fact: overdue machines are no supply, so their place is
-//! rented again, of another kind if one fits; of the same only a few at a time.
+//! Pools whose machines come up late or never, by the reports of the regions' owners.
+//!
+//! A machine that boots is a forecast, not a fact: overdue machines are no supply, so they are
+//! rented again, from another pool if one fits; from the same only a few at a time.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::cloud::Offer;
+use crate::fault_injection::{is_disabled, Safeguard};
 use crate::peer_protocol::ProvisioningHealth;
 use crate::region::is_provisioning_trouble;
+use salttiller_records::units::{Micros, SECOND};
+
+/// How long an owner's report counts.
+const REPORT_TTL: Micros = 6 * SECOND;
+/// Machines of a pool in trouble that are rented at a time, to see whether they come up.
+const PROBE_MACHINES: u32 = 2;
+/// Between two probes of a pool: how long the machines of one are given to come up.
+const PROBE_INTERVAL: Micros = 20 * SECOND;
+/// How much dearer a pool in trouble counts: any other that fits goes first.
+const TROUBLE_COST_FACTOR: f64 = 8.0;
 
-/// How long an owner's word holds.
-const VALID: Micros = 6 * SECOND;
-/// Machines of a kind in trouble that are rented at a time, to see whether they come up.
-const PROBE: u32 = 2;
-/// How long a probe is given before the next.
-const PROBE_EVERY: Micros = 20 * SECOND;
-/// How much dearer a kind in trouble counts: another that fits goes first.
-const PENALTY: f64 = 8.0;
-
-/// What is known of one kind over all regions.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+/// How the machines of one pool come up, over all regions.
+#[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoolProvisioning {
+    /// The pool: type, zone, spot or on-demand.
+    pub offer: Offer,
     /// Machines that should have come up.
     pub overdue: u32,
     /// Machines that came up lately.
     pub arrived: u32,
     /// For how long the first has been overdue.
-    pub since: Micros,
+    pub longest_overdue: Micros,
 }
 
 impl PoolProvisioning {
-    fn in_trouble(self) -> bool {
+    fn is_in_trouble(&self) -> bool {
         is_provisioning_trouble(self.overdue, self.arrived)
     }
 }
 
-/// The regions' last words on boots.
+/// A region owner's report of how its machines come up.
+#[derive(Debug)]
+struct ProvisioningReport {
+    received_at: Micros,
+    pools: Vec<ProvisioningHealth>,
+}
+
+/// The last report of each region, and the probes that were made by them.
 #[derive(Debug, Default)]
-pub struct ProvisioningReports {
-    by_region: BTreeMap<String, (Micros, Vec<ProvisioningHealth>)>,
-    probed: BTreeMap<Offer, Micros>,
+pub(super) struct ProvisioningReports {
+    by_region: BTreeMap<String, ProvisioningReport>,
+    probed_at: BTreeMap<Offer, Micros>,
 }
 
 impl ProvisioningReports {
-    /// An owner tells how machines of its region come up.
-    pub fn note(&mut self, region: String, lines: Vec<ProvisioningHealth>, now: Micros) {
-        self.by_region.insert(region, (now, lines));
+    /// An owner reports how the machines of its region come up.
+    pub(super) fn on_report(
+        &mut self,
+        region: String,
+        pools: Vec<ProvisioningHealth>,
+        now: Micros,
+    ) {
+        let report = ProvisioningReport {
+            received_at: now,
+            pools,
+        };
+        self.by_region.insert(region, report);
     }
 
-    /// Forgets what is too old to go by.
-    pub fn expire(&mut self, now: Micros) {
-        self.by_region.retain(|_, (at, _)| now < *at + VALID);
+    /// Forgets reports that are too old.
+    pub(super) fn expire(&mut self, now: Micros) {
+        self.by_region
+            .retain(|_, report| now < report.received_at + REPORT_TTL);
     }
 
-    /// What is known of a kind.
-    pub fn kind(&self, offer: &Offer) -> PoolProvisioning {
-        let mut all = PoolProvisioning::default();
-        let lines = self.by_region.values().flat_map(|(_, lines)| lines);
-        for l in lines {
-            if l.machine_type == offer.machine_type && l.zone == offer.zone && l.spot == offer.spot
-            {
-                all.overdue += l.overdue;
-                all.arrived += l.arrived;
-                all.since = all.since.max(l.since_us);
-            }
-        }
-        all
-    }
-
-    /// The kinds that come up badly.
-    pub fn in_trouble(&self) -> Vec<(Offer, PoolProvisioning)> {
-        let lines = self.by_region.values().flat_map(|(_, lines)| lines);
-        let kinds: BTreeSet<Offer> = lines
-            .map(|l| Offer {
-                machine_type: l.machine_type.clone(),
-                zone: l.zone.clone(),
-                spot: l.spot,
-            })
-            .collect();
-        let known = kinds.into_iter().map(|o| {
-            let boots = self.kind(&o);
-            (o, boots)
-        });
-        known.filter(|(_, boots)| boots.in_trouble()).collect()
+    /// The pools that come up badly.
+    pub(super) fn in_trouble(&self) -> Vec<PoolProvisioning> {
+        let offers: BTreeSet<Offer> = self.reported_pools().map(offer_of).collect();
+        offers
+            .into_iter()
+            .map(|offer| self.pool(&offer))
+            .filter(PoolProvisioning::is_in_trouble)
+            .collect()
     }
 
-    /// By how much dearer a kind counts than it costs.
-    pub(super) fn penalty(&self, offer: &Offer) -> f64 {
-        if self.kind(offer).in_trouble() && !is_disabled(Safeguard::BootTrouble) {
-            PENALTY
+    /// The factor by which a pool's cost is multiplied when offers are compared.
+    pub(super) fn cost_factor(&self, offer: &Offer) -> f64 {
+        if self.pool(offer).is_in_trouble() && !is_disabled(Safeguard::BootTrouble) {
+            TROUBLE_COST_FACTOR
         } else {
             1.0
         }
     }
 
-    /// How many of `count` machines to ask for now: of a kind in trouble those that are
-    /// overdue may yet come, so no more than what they leave, and a probe now and then.
-    pub(super) fn limit(&mut self, offer: &Offer, count: u32, now: Micros) -> u32 {
-        let boots = self.kind(offer);
-        if !boots.in_trouble() || is_disabled(Safeguard::BootTrouble) {
-            return count;
+    /// How many of `wanted` machines to rent now. Of a pool in trouble the overdue machines may
+    /// yet come, so it is no more than what they leave, and a probe now and then.
+    #[must_use]
+    pub(super) fn limit(&mut self, offer: &Offer, wanted: u32, now: Micros) -> u32 {
+        let pool = self.pool(offer);
+        if !pool.is_in_trouble() || is_disabled(Safeguard::BootTrouble) {
+            return wanted;
         }
-        let rest = count.saturating_sub(boots.overdue);
-        let due = self
-            .probed
+        let beyond_overdue = wanted.saturating_sub(pool.overdue);
+        let is_probe_due = self
+            .probed_at
             .get(offer)
-            .is_none_or(|at| now > *at + PROBE_EVERY);
-        if rest == 0 && !due {
+            .is_none_or(|probed_at| now > *probed_at + PROBE_INTERVAL);
+        if beyond_overdue == 0 && !is_probe_due {
             return 0;
         }
-        self.probed.insert(offer.clone(), now);
-        rest.max(PROBE.min(count))
+        self.probed_at.insert(offer.clone(), now);
+        beyond_overdue.max(PROBE_MACHINES.min(wanted))
+    }
+
+    /// What all regions report of a pool.
+    fn pool(&self, offer: &Offer) -> PoolProvisioning {
+        let mut pool = PoolProvisioning {
+            offer: offer.clone(),
+            overdue: 0,
+            arrived: 0,
+            longest_overdue: 0,
+        };
+        for reported in self.reported_pools().filter(|p| offer_of(p) == *offer) {
+            pool.overdue += reported.overdue;
+            pool.arrived += reported.arrived;
+            pool.longest_overdue = pool.longest_overdue.max(reported.since_us);
+        }
+        pool
+    }
+
+    fn reported_pools(&self) -> impl Iterator<Item = &ProvisioningHealth> {
+        self.by_region.values().flat_map(|report| &report.pools)
+    }
+}
+
+fn offer_of(pool: &ProvisioningHealth) -> Offer {
+    Offer {
+        machine_type: pool.machine_type.clone(),
+        zone: pool.zone.clone(),
+        spot: pool.spot,
     }
 }
 
--- a/src/leader/provisioning/tests.rs
+++ b/src/leader/provisioning/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of boot reports.
+//! Tests of the limits on pools whose machines don't come up.
 
 use super::*;
 
@@ -10,7 +10,7 @@
     }
 }
 
-fn line(machine_type: &str, overdue: u32, arrived: u32) -> ProvisioningHealth {
+fn health(machine_type: &str, overdue: u32, arrived: u32) -> ProvisioningHealth {
     ProvisioningHealth {
         machine_type: machine_type.into(),
         zone: "a".into(),
@@ -21,10 +21,10 @@
     }
 }
 
-/// What the regions say together decides; of a kind in trouble no more is rented than its
-/// overdue machines leave and a probe now and then, and old words are forgotten.
+/// What all regions report together decides; of a pool in trouble no more is rented than its
+/// overdue machines leave and a probe now and then, and old reports are forgotten.
 #[test]
-fn a_kind_in_trouble_is_rented_by_probes() {
+fn a_pool_in_trouble_is_rented_by_probes() {
     // Overdue and arrived in two regions, asked for, allowed at once, allowed at 5 s.
     for (first, second, asked, at_once, soon) in [
         ((0, 0), (0, 0), 40, 40, 40),
@@ -35,23 +35,31 @@
         ((12, 0), (0, 0), 1, 1, 0),
         ((30, 4), (0, 0), 12, 2, 0),
     ] {
-        let mut boots = ProvisioningReports::default();
-        boots.note("t-0".into(), vec![line("big", first.0, first.1)], SECOND);
-        boots.note("t-1".into(), vec![line("big", second.0, second.1)], SECOND);
-        let what = format!("{first:?} {second:?} {asked}");
-        assert_eq!(boots.limit(&offer("big"), asked, SECOND), at_once, "{what}");
+        let mut reports = ProvisioningReports::default();
+        reports.on_report("t-0".into(), vec![health("big", first.0, first.1)], SECOND);
+        reports.on_report(
+            "t-1".into(),
+            vec![health("big", second.0, second.1)],
+            SECOND,
+        );
+        let case = format!("{first:?} {second:?} {asked}");
+        assert_eq!(
+            reports.limit(&offer("big"), asked, SECOND),
+            at_once,
+            "{case}"
+        );
         assert_eq!(
-            boots.limit(&offer("big"), asked, 5 * SECOND),
+            reports.limit(&offer("big"), asked, 5 * SECOND),
             soon,
-            "{what}"
+            "{case}"
         );
-        let again = boots.limit(&offer("big"), asked, 30 * SECOND);
-        assert_eq!(again, at_once, "{what}");
-        assert_eq!(boots.limit(&offer("box"), asked, SECOND), asked, "{what}");
-        let dearer = boots.penalty(&offer("big")) > 1.0;
-        assert_eq!(dearer, at_once < asked || soon < asked, "{what}");
-        assert_eq!(boots.in_trouble().len(), usize::from(dearer), "{what}");
-        boots.expire(8 * SECOND);
-        assert_eq!(boots.limit(&offer("big"), asked, 8 * SECOND), asked);
+        let again = reports.limit(&offer("big"), asked, 30 * SECOND);
+        assert_eq!(again, at_once, "{case}");
+        assert_eq!(reports.limit(&offer("box"), asked, SECOND), asked, "{case}");
+        let dearer = reports.cost_factor(&offer("big")) > 1.0;
+        assert_eq!(dearer, at_once < asked || soon < asked, "{case}");
+        assert_eq!(reports.in_trouble().len(), usize::from(dearer), "{case}");
+        reports.expire(8 * SECOND);
+        assert_eq!(reports.limit(&offer("big"), asked, 8 * SECOND), asked);
     }
 }
--- a/src/leader/scale_out.rs
+++ b/src/leader/scale_out.rs
@@ -1,279 +1,256 @@
-//! Renting machines for waiting work.
+//! Scale-out: renting machines for waiting work that does not have to keep together.
+//!
+//! Inputs are the waiting work that neither machines at hand nor those being provisioned take,
+//! the demand forecast and the cloud's offers. Work that the machines at hand, busy ones
+//! included, get through within the horizon rents nothing. The paper has no counterpart: its
+//! processors are fixed in number.
 
-use super::*;
+use std::collections::BTreeMap;
+use std::fmt;
+
+use crate::cloud::{CloudClient, Offer};
+use crate::region::SchedulingContext;
+use salttiller_records::record::MAX_BATCH;
+use salttiller_records::units::SECOND;
+
+use super::horizon::start_horizon;
+use super::machine_assignment::describe;
+use super::offer_selection::OfferChoice;
+use super::planned_capacity::claim_from;
+use super::unplaced_job::{Flexibility, UnplacedJob};
+use super::{Leader, CPU};
+
+/// Most rental requests under way at a time: the cloud's calls are paced, and what waits in the
+/// queue for long was planned on old reports.
+const MAX_RENTAL_REQUESTS: usize = 8;
+
+/// The rental requests that a plan may make.
+pub(super) struct RentalRequests<'a> {
+    cloud_client: &'a mut CloudClient,
+    remaining: usize,
+}
+
+impl<'a> RentalRequests<'a> {
+    fn new(cloud_client: &'a mut CloudClient) -> Self {
+        let under_way = cloud_client.renting().len();
+        RentalRequests {
+            cloud_client,
+            remaining: MAX_RENTAL_REQUESTS.saturating_sub(under_way),
+        }
+    }
+
+    fn is_exhausted(&self) -> bool {
+        self.remaining == 0
+    }
+}
+
+/// Waiting jobs that machines are rented for together: flexible ones, or those that fit on the
+/// same one type.
+#[derive(Debug, Default)]
+struct JobGroup<'a> {
+    /// In the order of the plan, never empty.
+    jobs: Vec<&'a UnplacedJob>,
+    /// Their tasks that no machine at hand or being provisioned takes.
+    uncovered_tasks: u64,
+}
+
+impl JobGroup<'_> {
+    fn allows_spot(&self) -> bool {
+        self.jobs.iter().any(|job| job.spec.allows_spot)
+    }
+
+    /// Processors that get all waiting tasks under way within their horizon.
+    fn backlog_cpus(&self, context: &SchedulingContext<'_>) -> f64 {
+        self.jobs
+            .iter()
+            .map(|job| {
+                job.unplaced_tasks as f64
+                    * job.spec.cpus as f64
+                    * job.spec.estimated_run_time.max(SECOND) as f64
+                    / start_horizon(&job.spec, context) as f64
+            })
+            .sum()
+    }
+}
+
+/// What a group still lacks while machines are rented for it.
+#[derive(Debug)]
+struct Shortage {
+    tasks: u64,
+    /// Processors at hand, being provisioned or asked for, millionths.
+    available_cpus: f64,
+    /// Processors that there should be, millionths.
+    wanted_cpus: f64,
+}
+
+impl fmt::Display for Shortage {
+    /// In log messages, whole processors.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "waiting_tasks={} cpus_available={:.0} cpus_wanted={:.0}",
+            self.tasks,
+            self.available_cpus / CPU,
+            self.wanted_cpus / CPU
+        )
+    }
+}
+
+impl Shortage {
+    fn lacks_cpus(&self) -> bool {
+        self.available_cpus < self.wanted_cpus
+    }
+
+    /// How many machines of an offer to ask for: no more than processors are lacking, nor than
+    /// the tasks fill; at least one.
+    fn machines_to_rent(&self, choice: &OfferChoice) -> u32 {
+        let lacking_cpus = self.wanted_cpus - self.available_cpus;
+        let for_cpus = (lacking_cpus / choice.cpus_per_machine.max(1) as f64)
+            .ceil()
+            .max(1.0) as u64;
+        let for_tasks = self.tasks.div_ceil(choice.tasks_per_machine.max(1));
+        for_cpus.min(for_tasks).clamp(1, MAX_BATCH as u64) as u32
+    }
+
+    fn on_requested(&mut self, choice: &OfferChoice, machines: u32) {
+        let machines = u64::from(machines);
+        self.available_cpus += (choice.cpus_per_machine * machines) as f64;
+        self.tasks = self
+            .tasks
+            .saturating_sub(choice.tasks_per_machine * machines);
+    }
+}
 
 impl Leader {
-    /// Rents the cheapest machines that bring waiting work under way soon
-    /// enough. Work that the machines at hand, busy ones included, will get
-    /// through within the horizon rents nothing.
-    pub(super) fn rent(
+    /// Rents the cheapest machines that bring waiting work under way soon enough, first for jobs
+    /// that keep together.
+    pub(super) fn scale_out(
         &mut self,
+        waiting: &[UnplacedJob],
         context: &SchedulingContext<'_>,
-        waits: &[UnplacedJob],
-        rooms: &mut [PlannedCapacity],
         cloud_client: &mut CloudClient,
     ) {
-        const AT_ONCE: usize = 8;
         if cloud_client.down() {
             return;
         }
-        let mut asks = AT_ONCE.saturating_sub(cloud_client.renting().len());
-        // Jobs that keep together get what each lacks.
-        for w in waits.iter().filter(|w| w.whole() && w.count > 0) {
-            if asks == 0 {
+        let mut requests = RentalRequests::new(cloud_client);
+        let (together, divisible): (Vec<_>, Vec<_>) = waiting
+            .iter()
+            .filter(|job| job.unplaced_tasks > 0)
+            .partition(|job| job.keeps_together());
+        for job in together {
+            if requests.is_exhausted() {
                 return;
             }
-            asks -= usize::from(self.rent_whole(context, w, rooms, cloud_client));
+            self.scale_out_for_unit(job, &mut requests, context);
         }
-        // Other work, by the one type it fits or for all types together.
-        let mut groups: BTreeMap<Option<&str>, Vec<&UnplacedJob>> = BTreeMap::new();
-        let mut uncovered: BTreeMap<Option<&str>, u64> = BTreeMap::new();
-        for w in waits.iter().filter(|w| !w.whole() && w.count > 0) {
-            groups.entry(w.narrow.as_deref()).or_default().push(w);
-            // What is coming will take some of it.
-            let mut left = w.count;
-            for r in rooms.iter_mut().filter(|r| !r.live) {
-                if left == 0 {
-                    break;
-                }
-                left -= r.take(&w.spec, w.narrow.is_some(), left);
-            }
-            *uncovered.entry(w.narrow.as_deref()).or_default() += left;
+        let groups = self.group_by_type(divisible);
+        for (only_type, group) in groups {
+            self.scale_out_for_group(only_type, &group, &mut requests, context);
         }
-        for (narrow, list) in groups {
-            let Some(first) = list.first() else { continue };
-            let mut tasks = uncovered.get(&narrow).copied().unwrap_or(0);
-            let spot = list.iter().any(|w| w.spec.allows_spot);
-            // Capacity at hand or on its way, and what there should be.
-            let mut have: f64 = rooms
-                .iter()
-                .filter(|r| narrow.is_none_or(|f| r.machine_type == f && (spot || !r.spot)))
-                .map(|r| r.processors(narrow.is_some()))
-                .sum();
-            let target = match narrow {
-                None => self.target,
-                Some(_) => list
-                    .iter()
-                    .map(|w| {
-                        w.count as f64
-                            * w.spec.cpus as f64
-                            * w.spec.estimated_run_time.max(SECOND) as f64
-                            / horizon(&w.spec, context) as f64
-                    })
-                    .sum(),
-            };
-            // With nothing that would ever hold the first, one is needed whatever
-            // the sums say.
-            let shut = |w: &UnplacedJob| {
-                let holds = |r: &PlannedCapacity| r.at_most(&w.spec, w.narrow.is_some()) > 0;
-                !rooms.iter().any(holds)
-            };
-            let mut must = list.iter().find(|w| shut(w)).copied();
-            while asks > 0 && tasks > 0 && (have < target || must.is_some()) {
-                let w = must.take().unwrap_or(first);
-                let Some((offer, per)) = self.best_offer(&w.spec, narrow.is_some(), None, context)
-                else {
-                    break;
-                };
-                let Some(f) = context
-                    .replica
-                    .machine_types
-                    .get(&offer.machine_type)
-                    .map(|f| &f.value)
-                else {
-                    break;
-                };
-                let by_work = ((target - have) / f.cpus.max(1) as f64).ceil().max(1.0) as u64;
-                let by_tasks = tasks.div_ceil(per.max(1));
-                let count = by_work.min(by_tasks).clamp(1, MAX_BATCH as u64);
-                let count = u64::from(self.boots.limit(&offer, count as u32, context.now));
-                if count == 0 {
-                    break;
-                }
-                log::info!(
-                    "leader: renting {count} {} in {}{}: {tasks} tasks wait, {:.0} processors, {:.0} wanted",
-                    offer.machine_type,
-                    offer.zone,
-                    if offer.spot { ", spot" } else { "" },
-                    have / 1e6,
-                    target / 1e6
-                );
-                have += (f.cpus * count) as f64;
-                tasks = tasks.saturating_sub(per * count);
-                asks -= 1;
-                let region = self.region_for(&offer, context);
-                self.ask(offer, region, count as u32, context, cloud_client);
-            }
+    }
+
+    /// Groups jobs by the one type that they fit on, flexible ones together and first, and claims
+    /// the capacity of machines being provisioned for them.
+    fn group_by_type<'a>(
+        &mut self,
+        jobs: Vec<&'a UnplacedJob>,
+    ) -> BTreeMap<Option<&'a str>, JobGroup<'a>> {
+        let mut groups: BTreeMap<Option<&str>, JobGroup<'_>> = BTreeMap::new();
+        for job in jobs {
+            let provisioning = self.capacity.iter_mut().filter(|c| !c.is_available);
+            let uncovered = claim_from(
+                provisioning,
+                &job.spec,
+                job.flexibility(),
+                job.unplaced_tasks,
+            );
+            let group = groups.entry(job.only_type.as_deref()).or_default();
+            group.jobs.push(job);
+            group.uncovered_tasks += uncovered;
         }
+        groups
     }
 
-    /// Rents what a job that keeps together lacks where it is, or has it moved to
-    /// where that can be had. Whether anything was asked for. Machines go to the
-    /// region that is home to their kind, not to where the job happens to be: a
-    /// scarce type cut into pieces holds no large gang.
-    pub(super) fn rent_whole(
+    fn scale_out_for_group(
         &mut self,
+        only_type: Option<&str>,
+        group: &JobGroup<'_>,
+        requests: &mut RentalRequests<'_>,
         context: &SchedulingContext<'_>,
-        w: &UnplacedJob,
-        rooms: &mut [PlannedCapacity],
-        cloud_client: &mut CloudClient,
-    ) -> bool {
-        let (s, narrow) = (&w.spec, w.narrow.is_some());
-        let need = s.task_count as u64;
-        // A zone, or all of them if it may be anywhere.
-        let mut places: BTreeSet<Option<String>> = BTreeSet::new();
-        if s.single_zone {
-            let zones = context
-                .replica
-                .machine_types
-                .values()
-                .flat_map(|f| &f.value.zones);
-            places.extend(zones.cloned().map(Some));
-        } else {
-            places.insert(None);
-        }
-        let inside = |r: &PlannedCapacity, region: &str, zone: &Option<String>| {
-            r.region == region && zone.as_ref().is_none_or(|z| *z == r.zone)
-        };
-        let has = |zone: &Option<String>| -> u64 {
-            rooms
-                .iter()
-                .filter(|r| inside(r, &w.region, zone))
-                .map(|r| r.takes(s, narrow))
-                .sum()
-        };
-        let offer =
-            |l: &Self, zone: &Option<String>| l.best_offer(s, narrow, zone.as_deref(), context);
-        let here = |l: &Self, zone: &Option<String>| {
-            offer(l, zone).filter(|(o, _)| l.region_for(o, context) == w.region)
-        };
-        let best = places
-            .iter()
-            .map(|z| {
-                let n = has(z);
-                (n >= need, here(self, z).is_some(), n, z)
-            })
-            .max();
-        let Some((enough, for_rent, have, zone)) = best else {
-            return false;
+    ) {
+        let Some(&first) = group.jobs.first() else {
+            return;
         };
-        if enough || for_rent {
-            let mut left = have.min(need);
-            for r in rooms.iter_mut().filter(|r| inside(r, &w.region, zone)) {
-                left -= r.take(s, narrow, left);
-            }
-        }
-        if enough {
-            return false;
-        }
-        if let Some((o, per)) = here(self, zone) {
-            let lacking = need - have;
-            let count = lacking.div_ceil(per.max(1)).clamp(1, MAX_BATCH as u64) as u32;
-            let count = self.boots.limit(&o, count, context.now);
-            if count == 0 {
-                return false;
+        let flexibility = Flexibility::of(only_type);
+        let mut shortage = self.shortage(only_type, group, context);
+        // With nothing that would ever hold a job, a machine is needed whatever the sums say.
+        let mut unplaceable = group.jobs.iter().find(|job| !self.could_hold(job)).copied();
+        while !requests.is_exhausted()
+            && shortage.tasks > 0
+            && (shortage.lacks_cpus() || unplaceable.is_some())
+        {
+            let job = unplaceable.take().unwrap_or(first);
+            let Some(choice) = self.cheapest_offer(&job.spec, flexibility, None, context) else {
+                break;
+            };
+            let wanted = shortage.machines_to_rent(&choice);
+            let machines = self
+                .provisioning_reports
+                .limit(&choice.offer, wanted, context.now);
+            if machines == 0 {
+                break;
             }
-            log::info!(
-                "leader: {}: {lacking} of its {need} tasks lack machines",
-                w.id
-            );
-            self.ask(o, w.region.clone(), count, context, cloud_client);
-            return true;
-        }
-        if w.since < 2 * SECOND || self.moved.contains_key(&w.id) || w.count != need {
-            return false;
+            log::info!("renting {machines} {}: {shortage}", describe(&choice.offer));
+            shortage.on_requested(&choice, machines);
+            let region = self.region_for(&choice.offer, context);
+            self.rent(choice.offer, region, machines, requests, context);
         }
-        let holds = |r: &str| self.in_region(s, r, |x| x.at_most(s, narrow)) >= need;
-        let owned = |r: &String| context.replica.regions.contains_key(r);
-        let elsewhere = places
+    }
+
+    fn shortage(
+        &self,
+        only_type: Option<&str>,
+        group: &JobGroup<'_>,
+        context: &SchedulingContext<'_>,
+    ) -> Shortage {
+        let allows_spot = group.allows_spot();
+        let flexibility = Flexibility::of(only_type);
+        let available_cpus = self
+            .capacity
             .iter()
-            .filter_map(|z| offer(self, z))
-            .map(|(o, _)| self.region_for(&o, context))
-            .find(|r| *r != w.region && owned(r));
-        let to = match elsewhere {
-            Some(r) => r,
-            // Its region holds it once others are through.
-            None if holds(&w.region) => return false,
-            // Another does; or nobody, and it is bound anew, over several.
-            None => {
-                let mut all = context.settings.regions().into_iter();
-                all.find(|r| owned(r) && holds(r)).unwrap_or_default()
-            }
-        };
-        log::info!("leader: {}: can't be had in {}, to {to:?}", w.id, w.region);
-        self.moved.insert(w.id.clone(), context.now + 10 * SECOND);
-        self.out.push(Action::Tell(Message::Move {
-            job: w.id.clone(),
-            from: w.region.clone(),
-            to,
-            count: s.task_count,
-        }));
-        false
+            .filter(|c| only_type.is_none_or(|t| c.machine_type == t && (allows_spot || !c.spot)))
+            .map(|c| c.usable_cpus(flexibility))
+            .sum();
+        Shortage {
+            tasks: group.uncovered_tasks,
+            available_cpus,
+            wanted_cpus: match flexibility {
+                Flexibility::Flexible => self.demand.scale_out_threshold(),
+                Flexibility::Constrained => group.backlog_cpus(context),
+            },
+        }
     }
 
-    /// Asks the cloud, under a request name that nobody ever used: host, term
-    /// of leading, number.
-    pub(super) fn ask(
+    /// Whether any machine, with nothing else on it, would hold a task of the job.
+    fn could_hold(&self, job: &UnplacedJob) -> bool {
+        let mut machines = self.capacity.iter();
+        machines.any(|c| c.max_tasks(&job.spec, job.flexibility()) > 0)
+    }
+
+    /// Asks the cloud for machines, under an idempotency key that nobody ever used.
+    pub(super) fn rent(
         &mut self,
         offer: Offer,
         region: String,
-        count: u32,
+        machines: u32,
+        requests: &mut RentalRequests<'_>,
         context: &SchedulingContext<'_>,
-        cloud_client: &mut CloudClient,
     ) {
-        self.counter += 1;
-        let tenancy = format!(
-            "{}-{}-{}",
-            context.settings.name, self.version, self.counter
-        );
-        cloud_client.rent(offer, region, count, tenancy);
-    }
-
-    /// The cheapest offer for a job, by price of the processors it would use,
-    /// slow boots counted as dearer, and how many of its tasks a machine holds.
-    pub(super) fn best_offer(
-        &self,
-        s: &JobSpec,
-        narrow: bool,
-        zone: Option<&str>,
-        context: &SchedulingContext<'_>,
-    ) -> Option<(Offer, u64)> {
-        let mut best: Option<(f64, Offer, u64)> = None;
-        for o in offers(&context.replica.machine_types) {
-            let Some(f) = context
-                .replica
-                .machine_types
-                .get(&o.machine_type)
-                .map(|f| &f.value)
-            else {
-                continue;
-            };
-            if !s.permits_machine(f, &o.zone, o.spot)
-                || self.refusals.closed(&o, context.now)
-                || zone.is_some_and(|z| z != o.zone)
-            {
-                continue;
-            }
-            if !narrow
-                && !o.spot
-                && self
-                    .narrow
-                    .reserved_on(&o.machine_type, context.now)
-                    .is_some()
-            {
-                continue;
-            }
-            let per = s.tasks_per_machine(f);
-            if per == 0 {
-                continue;
-            }
-            let cost = f.price_of(o.spot) as f64 / (per * s.cpus).max(1) as f64
-                * (1.0 + to_secs(f.boot_time) / 100.0)
-                * self.boots.penalty(&o);
-            if best.as_ref().is_none_or(|(c, ..)| cost < *c) {
-                best = Some((cost, o, per));
-            }
-        }
-        best.map(|(_, o, n)| (o, n))
+        let idempotency_key = self.term.next_unique_name(&context.settings.name);
+        requests.remaining = requests.remaining.saturating_sub(1);
+        requests
+            .cloud_client
+            .rent(offer, region, machines, idempotency_key);
     }
 }
