--- a/src/leader.rs
+++ b/src/leader.rs
@@ -36,6 +36,7 @@
 mod outbox;
 mod plan;
 mod planned_capacity;
+mod pool;
 mod provisioning;
 mod provisioning_batches;
 mod rebinding;
--- a/src/leader/cloud_polling.rs
+++ b/src/leader/cloud_polling.rs
@@ -2,8 +2,8 @@
 
 use salttiller_records::units::{Micros, SECOND};
 
-/// No list in the first while of a term: most of what it would show as unknown is being
-/// recorded.
+/// No list in the first while of a term: machines that the last leader rented may still get
+/// their record.
 const FIRST_LIST_DELAY: Micros = 20 * SECOND;
 /// Between lists when nothing is amiss.
 const LIST_INTERVAL: Micros = 30 * SECOND;
--- a/src/leader/machine_assignment.rs
+++ b/src/leader/machine_assignment.rs
@@ -14,6 +14,7 @@
 use salttiller_records::record::{value, MachineBatchRecord, MAX_BATCH};
 
 use super::outbox::RecordChange;
+use super::pool::Pool;
 use super::provisioning_batches::ProvisioningBatch;
 use super::Leader;
 
@@ -136,40 +137,41 @@
                 .collect(),
             machines: 0,
         };
-        let mut add = |region: &str, pool: &Offer, machines: u32| {
+        let mut add = |region: &str, pool: Pool<'_>, machines: u32| {
             let Some(load) = loads.by_region.get_mut(region) else {
                 return;
             };
             loads.machines += machines;
             load.usable_cpus += self.usable_cpus(pool, context) as f64 * f64::from(machines);
-            if pool == offer {
+            if pool == Pool::from(offer) {
                 load.machines_of_pool += machines;
             }
         };
         for (region, pools) in &context.replica.stock {
             for ((machine_type, zone, spot), machines) in pools {
-                let pool = Offer {
-                    machine_type: machine_type.clone(),
-                    zone: zone.clone(),
+                let pool = Pool {
+                    machine_type,
+                    zone,
                     spot: *spot,
                 };
-                add(region, &pool, *machines);
+                add(region, pool, *machines);
             }
         }
         for batch in self.provisioning_batches.unrecorded() {
-            add(&batch.region, &batch.offer, batch.machines.len() as u32);
+            let machines = batch.machines.len() as u32;
+            add(&batch.region, Pool::from(&batch.offer), machines);
         }
         loads
     }
 
     /// Processors of a machine that flexible jobs may use, millionths; 0 of an unknown type.
-    fn usable_cpus(&self, pool: &Offer, context: &SchedulingContext<'_>) -> u64 {
-        let Some(machine_type) = context.replica.machine_types.get(&pool.machine_type) else {
+    fn usable_cpus(&self, pool: Pool<'_>, context: &SchedulingContext<'_>) -> u64 {
+        let Some(machine_type) = context.replica.machine_types.get(pool.machine_type) else {
             return 0;
         };
         let reserved = self
             .constrained_types
-            .reserved_on(&pool.machine_type, context.now)
+            .reserved_on(pool.machine_type, context.now)
             .filter(|_| !pool.spot)
             .map_or(0, |reserved| reserved.cpus);
         machine_type.value.cpus.saturating_sub(reserved)
--- a/src/leader/multi_region_binding.rs
+++ b/src/leader/multi_region_binding.rs
@@ -19,7 +19,7 @@
 /// No gang is bound to several regions before the term is this old: the regions' first reports
 /// are not all there yet, so a region that could hold it may be unknown.
 const MIN_TERM_AGE: Micros = 2 * SECOND;
-/// Most regions of a gang: each is a part whose owner must be up for the gang to start.
+/// Most regions of a gang: the owners of all parts must be up at the same time for it to start.
 const MAX_REGIONS: usize = 12;
 
 /// A gang's tasks by region.
--- a/src/leader/plan.rs
+++ b/src/leader/plan.rs
@@ -3,13 +3,14 @@
 
 use std::collections::BTreeSet;
 
-use crate::cloud::{CloudClient, Offer};
+use crate::cloud::CloudClient;
 use crate::peer_protocol::PoolCapacity;
 use crate::region::SchedulingContext;
 use salttiller_records::units::{Micros, SECOND};
 use salttiller_records::Resources;
 
 use super::planned_capacity::PlannedCapacity;
+use super::pool::Pool;
 use super::unplaced_job::UnplacedJob;
 use super::{Leader, Reports};
 
@@ -57,11 +58,11 @@
         });
         let provisioning = self.provisioning_batches.iter().filter_map(|batch| {
             let machines = batch.machines.len() as f64;
-            self.empty_machines(&batch.region, &batch.offer, machines, context)
+            self.empty_machines(&batch.region, Pool::from(&batch.offer), machines, context)
         });
         let rentals = cloud_client.renting();
         let requested = rentals.iter().filter_map(|(offer, region, machines)| {
-            self.empty_machines(region, offer, f64::from(*machines), context)
+            self.empty_machines(region, Pool::from(offer), f64::from(*machines), context)
         });
         self.capacity = reported.chain(provisioning).chain(requested).collect();
     }
@@ -70,19 +71,14 @@
     fn reported_capacity(
         &self,
         region: &str,
-        pool: &PoolCapacity,
+        reported: &PoolCapacity,
         context: &SchedulingContext<'_>,
     ) -> Option<PlannedCapacity> {
-        let offer = Offer {
-            machine_type: pool.machine_type.clone(),
-            zone: pool.zone.clone(),
-            spot: pool.spot,
-        };
-        let machines = f64::from(pool.machines);
-        let mut capacity = self.empty_machines(region, &offer, machines, context)?;
-        if pool.available {
+        let machines = f64::from(reported.machines);
+        let mut capacity = self.empty_machines(region, Pool::from(reported), machines, context)?;
+        if reported.available {
             capacity.is_available = true;
-            capacity.free = Resources::from(pool.free);
+            capacity.free = Resources::from(reported.free);
         }
         Some(capacity)
     }
@@ -91,23 +87,23 @@
     fn empty_machines(
         &self,
         region: &str,
-        offer: &Offer,
+        pool: Pool<'_>,
         machines: f64,
         context: &SchedulingContext<'_>,
     ) -> Option<PlannedCapacity> {
-        let machine_type = context.replica.machine_types.get(&offer.machine_type)?;
+        let machine_type = context.replica.machine_types.get(pool.machine_type)?;
         let total = machine_type.value.resources();
         Some(PlannedCapacity {
             region: region.to_owned(),
-            machine_type: offer.machine_type.clone(),
-            zone: offer.zone.clone(),
-            spot: offer.spot,
+            machine_type: pool.machine_type.to_owned(),
+            zone: pool.zone.to_owned(),
+            spot: pool.spot,
             free: total,
             total,
             is_available: false,
             reserved: self
                 .constrained_types
-                .reserved_on(&offer.machine_type, context.now),
+                .reserved_on(pool.machine_type, context.now),
             machines,
             unclaimed_machines: machines,
         })
--- a/src/leader/planned_capacity.rs
+++ b/src/leader/planned_capacity.rs
@@ -5,6 +5,7 @@
 use salttiller_records::model::JobSpec;
 use salttiller_records::Resources;
 
+use super::pool::Pool;
 use super::unplaced_job::Flexibility;
 
 /// Added before a product of tasks and machines is rounded down: claims subtract fractions of
@@ -34,6 +35,15 @@
 }
 
 impl PlannedCapacity {
+    /// The pool that the machines belong to.
+    pub(super) fn pool(&self) -> Pool<'_> {
+        Pool {
+            machine_type: &self.machine_type,
+            zone: &self.zone,
+            spot: self.spot,
+        }
+    }
+
     /// How many tasks of a job all unclaimed machines take now.
     pub(super) fn fitting_tasks(&self, spec: &JobSpec, flexibility: Flexibility) -> u64 {
         let per_machine = self.fitting_tasks_per_machine(spec, flexibility);
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -11,6 +11,8 @@
 use crate::region::is_provisioning_trouble;
 use salttiller_records::units::{Micros, SECOND};
 
+use super::pool::Pool;
+
 /// How long an owner's report counts.
 const REPORT_TTL: Micros = 6 * SECOND;
 /// Machines of a pool in trouble that are rented at a time, to see whether they come up.
@@ -76,10 +78,10 @@
 
     /// The pools that come up badly.
     pub(super) fn in_trouble(&self) -> Vec<PoolProvisioning> {
-        let offers: BTreeSet<Offer> = self.reported_pools().map(offer_of).collect();
-        offers
+        let pools: BTreeSet<Pool<'_>> = self.reported_pools().map(Pool::from).collect();
+        pools
             .into_iter()
-            .map(|offer| self.pool(&offer))
+            .map(|pool| self.pool(&pool.to_offer()))
             .filter(PoolProvisioning::is_in_trouble)
             .collect()
     }
@@ -121,7 +123,10 @@
             arrived: 0,
             longest_overdue: 0,
         };
-        for reported in self.reported_pools().filter(|p| offer_of(p) == *offer) {
+        for reported in self
+            .reported_pools()
+            .filter(|p| Pool::from(*p) == Pool::from(offer))
+        {
             pool.overdue += reported.overdue;
             pool.arrived += reported.arrived;
             pool.longest_overdue = pool.longest_overdue.max(reported.since_us);
@@ -134,13 +139,5 @@
     }
 }
 
-fn offer_of(pool: &ProvisioningHealth) -> Offer {
-    Offer {
-        machine_type: pool.machine_type.clone(),
-        zone: pool.zone.clone(),
-        spot: pool.spot,
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/leader/scale_in.rs
+++ b/src/leader/scale_in.rs
@@ -11,6 +11,7 @@
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
 use super::planned_capacity::PlannedCapacity;
+use super::pool::Pool;
 use super::unplaced_job::Flexibility;
 use super::{Leader, CPU};
 
@@ -21,26 +22,23 @@
 /// One of so many machines is drained at a time, at least one, so that what follows from it is
 /// seen before the next.
 const MACHINES_PER_DRAINED: f64 = 20.0;
-/// Weight of a processor's price when the machine is busy; an idle machine adds 1 to it. So of
-/// machines at the same price emptier ones go first, and price goes before emptiness.
+/// Weight of a processor's price on a fully used machine; an idle one has 1 more. So of machines
+/// at the same price emptier ones go first, and a busy one goes before an idle one only if it is
+/// more than three times as dear.
 const BUSY_PRICE_WEIGHT: f64 = 0.5;
 
 /// Machines of one pool in one region. The order is that in which owners are told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RegionPool<'a> {
     region: &'a str,
-    machine_type: &'a str,
-    zone: &'a str,
-    spot: bool,
+    pool: Pool<'a>,
 }
 
 impl<'a> RegionPool<'a> {
     fn of(capacity: &'a PlannedCapacity) -> Self {
         RegionPool {
             region: &capacity.region,
-            machine_type: &capacity.machine_type,
-            zone: &capacity.zone,
-            spot: capacity.spot,
+            pool: capacity.pool(),
         }
     }
 }
@@ -128,9 +126,9 @@
     }
 }
 
-fn drain_request(pool: RegionPool<'_>, count: u32) -> Message {
+fn drain_request(RegionPool { region, pool }: RegionPool<'_>, count: u32) -> Message {
     Message::Close {
-        region: pool.region.to_owned(),
+        region: region.to_owned(),
         machine_type: pool.machine_type.to_owned(),
         zone: pool.zone.to_owned(),
         spot: pool.spot,
