--- a/src/controller.rs
+++ b/src/controller.rs
@@ -7,7 +7,7 @@
 use crate::admission::{self, Limiter, Refusal};
 use crate::cloud::{CloudClient, CloudEvent};
 use crate::fault_injection::{is_disabled, Safeguard};
-use crate::leader::{self, Leader, Reports};
+use crate::leader::{self, Leader, ReceivedReport, Reports};
 use crate::peer_protocol::{self, Message};
 use crate::quota;
 use crate::reactor::{Call, CallError, CallId, ConnId, Limits, Net, NetEvent, Reactor};
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -202,7 +202,7 @@
             return admission::state_body(id, stage, None);
         }
         let mut running = 0;
-        for (name, (r, _)) in &self.reports {
+        for (name, ReceivedReport { report: r, .. }) in &self.reports {
             running += match self.regions.get(name) {
                 Some(own) => own.running(id),
                 // Owners list their jobs by name.
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -13,12 +13,17 @@
             Vec::new()
         };
         for r in &regions {
-            self.reports.insert(r.region.clone(), (r.clone(), self.now));
+            let received = ReceivedReport {
+                report: r.clone(),
+                received_at: self.now,
+            };
+            self.reports.insert(r.region.clone(), received);
         }
         let now = self.now;
-        self.reports.retain(|_, (_, at)| now < *at + 6 * SECOND);
+        self.reports
+            .retain(|_, received| received.age(now) < 6 * SECOND);
         self.short.clear();
-        for (name, (r, _)) in &self.reports {
+        for (name, ReceivedReport { report: r, .. }) in &self.reports {
             if !self.regions.contains_key(name) {
                 for (team, at) in &r.quota_blocked_teams {
                     let e = self.short.entry(team.clone()).or_insert(*at);
@@ -117,9 +122,14 @@
                     let newer = self
                         .reports
                         .get(&r.region)
-                        .is_none_or(|(old, _)| r.token >= old.token);
+                        .is_none_or(|old| r.token >= old.report.token);
                     if newer && !self.regions.contains_key(&r.region) {
-                        self.reports.insert(r.region.clone(), (r, now));
+                        let received = ReceivedReport {
+                            report: r,
+                            received_at: now,
+                        };
+                        self.reports
+                            .insert(received.report.region.clone(), received);
                     }
                 }
             }
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -6,7 +6,7 @@
 impl<N: Net> Controller<N> {
     /// What is wrong just now, the gravest first.
     pub(super) fn cause(&self) -> &'static str {
-        let unsettled = |(r, _): &(peer_protocol::RegionReport, Micros)| !r.reconciled;
+        let unsettled = |received: &ReceivedReport| !received.report.reconciled;
         if self.held.is_some() {
             "state service lost records"
         } else if self.registry.failing() {
@@ -49,7 +49,7 @@
         let running: BTreeSet<&str> = self
             .reports
             .values()
-            .flat_map(|(r, _)| r.running_tasks.iter().map(|c| c.job.as_str()))
+            .flat_map(|received| received.report.running_tasks.iter().map(|c| c.job.as_str()))
             .collect();
         let replica = &self.registry.replica;
         let open = replica.open_jobs().map(|(id, _, spec)| signals::Seen {
@@ -98,7 +98,8 @@
             );
         }
         found.extend(self.unreached_owners());
-        let waits = self.reports.values().flat_map(|(r, _)| &r.pending_jobs);
+        let reports = self.reports.values();
+        let waits = reports.flat_map(|received| &received.report.pending_jobs);
         for w in waits.filter(|w| w.needs_new_attempt) {
             let record = self.registry.replica.jobs.get(&w.job).map(|r| &r.value);
             let Some(record) = record.filter(|r| r.multi_region.is_none()) else {
@@ -130,8 +131,8 @@
     pub(super) fn status(&mut self) -> peer_protocol::Status {
         let r = &self.registry.replica;
         let mut waiting: BTreeMap<String, u32> = BTreeMap::new();
-        for (rep, _) in self.reports.values() {
-            for w in &rep.pending_jobs {
+        for received in self.reports.values() {
+            for w in &received.report.pending_jobs {
                 if let Some(s) = r.jobs.get(&w.job).and_then(|j| j.value.open_spec()) {
                     *waiting.entry(s.class.clone()).or_default() += w.pending_tasks;
                 }
@@ -149,7 +150,7 @@
             );
         }
         let regions = self.settings.regions().into_iter().map(|name| {
-            let rep = self.reports.get(&name).map(|(r, _)| r);
+            let rep = self.reports.get(&name).map(|received| &received.report);
             let rec = r.regions.get(&name).map(|r| &r.value);
             peer_protocol::StatusRegion {
                 owner: rec.map(|r| r.owner.clone()),
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -40,6 +40,7 @@
 mod provisioning;
 mod provisioning_batches;
 mod rebinding;
+mod reports;
 mod scale_in;
 mod scale_out;
 mod term;
@@ -48,10 +49,8 @@
 mod unplaced_job;
 mod upstream_cancellations;
 
-use std::collections::BTreeMap;
-
 use crate::cloud::{CloudClient, Refusals};
-use crate::peer_protocol::{ProvisioningHealth, RegionReport};
+use crate::peer_protocol::ProvisioningHealth;
 use crate::region::{ConstrainedTypes, SchedulingContext};
 use crate::state_store::CommitPriority;
 use salttiller_records::key::Key;
@@ -70,9 +69,7 @@
 
 pub use outbox::Action;
 pub use provisioning::PoolProvisioning;
-
-/// The last report of each region, and when it was received (steady clock).
-pub type Reports = BTreeMap<String, (RegionReport, Micros)>;
+pub use reports::{ReceivedReport, Reports};
 
 /// Between plans: the regions report about as often, and a plan goes through all waiting work.
 const PLAN_INTERVAL: Micros = 400 * MILLISECOND;
--- a/src/leader/demand.rs
+++ b/src/leader/demand.rs
@@ -12,8 +12,8 @@
 use super::arrival_rate::ArrivalRate;
 use super::horizon::start_horizon;
 use super::planned_capacity::PlannedCapacity;
+use super::reports::Reports;
 use super::unplaced_job::UnplacedJob;
-use super::Reports;
 
 /// Weight of the latest measurement in the smoothed utilisation. At a plan every 0.4 s the
 /// average follows a change within some 10 s.
@@ -119,7 +119,7 @@
     /// Owners' estimates may be off by half, all in one direction: what finished lately tells.
     fn measure_accuracy(&mut self, reports: &Reports) {
         let total = |work: fn(&RegionReport) -> f64| {
-            let all = reports.values().map(|(report, _)| work(report));
+            let all = reports.values().map(|received| work(&received.report));
             all.sum::<f64>()
         };
         let estimated = total(|report| report.estimated);
--- a/src/leader/multi_region_gangs.rs
+++ b/src/leader/multi_region_gangs.rs
@@ -14,7 +14,8 @@
 use salttiller_records::units::{Micros, SECOND};
 
 use super::outbox::RecordChange;
-use super::{Leader, Reports};
+use super::reports::{ReceivedReport, Reports};
+use super::Leader;
 
 /// A part that has waited longer is unbound, so that the gang is bound anew.
 const MAX_PART_WAIT: Micros = 60 * SECOND;
@@ -125,7 +126,7 @@
 
 impl MultiRegionGang<'_> {
     fn part_status(&self, range: &TaskRange, reports: &Reports) -> PartStatus {
-        let Some((report, _)) = reports.get(&range.region) else {
+        let Some(ReceivedReport { report, .. }) = reports.get(&range.region) else {
             return PartStatus::default();
         };
         let pending = report.pending_jobs.iter().find(|p| p.job == self.id);
--- a/src/leader/outbox.rs
+++ b/src/leader/outbox.rs
@@ -106,3 +106,6 @@
         lease: None,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/leader/plan.rs
+++ b/src/leader/plan.rs
@@ -11,8 +11,9 @@
 
 use super::planned_capacity::PlannedCapacity;
 use super::pool::Pool;
+use super::reports::{ReceivedReport, Reports};
 use super::unplaced_job::UnplacedJob;
-use super::{Leader, Reports};
+use super::Leader;
 
 /// Waiting work in a report that is older is not planned for: much of it runs by now.
 const MAX_REPORT_AGE: Micros = 3 * SECOND;
@@ -52,7 +53,7 @@
         cloud_client: &CloudClient,
     ) {
         self.provisioning_batches.expire(reports, context.now);
-        let reported = reports.values().flat_map(|(report, _)| {
+        let reported = reports.values().flat_map(|ReceivedReport { report, .. }| {
             let pools = report.capacity.iter();
             pools.filter_map(|pool| self.reported_capacity(&report.region, pool, context))
         });
@@ -117,10 +118,8 @@
     ) -> Vec<UnplacedJob> {
         let suspects = suspect_jobs(reports);
         let mut waiting = Vec::new();
-        for (report, received_at) in reports.values() {
-            if context.now > received_at + MAX_REPORT_AGE {
-                continue;
-            }
+        let is_recent = |r: &&ReceivedReport| r.age(context.now) <= MAX_REPORT_AGE;
+        for ReceivedReport { report, .. } in reports.values().filter(is_recent) {
             for pending in &report.pending_jobs {
                 let is_suspect = suspects.contains(pending.job.as_str());
                 let job = UnplacedJob::from_report(pending, report, is_suspect, context);
@@ -140,7 +139,7 @@
 fn suspect_jobs(reports: &Reports) -> BTreeSet<&str> {
     reports
         .values()
-        .flat_map(|(report, _)| &report.pending_jobs)
+        .flat_map(|received| &received.report.pending_jobs)
         .filter(|pending| pending.needs_new_attempt)
         .map(|pending| pending.job.as_str())
         .collect()
--- a/src/leader/provisioning_batches.rs
+++ b/src/leader/provisioning_batches.rs
@@ -5,7 +5,7 @@
 use crate::cloud::Offer;
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
-use super::Reports;
+use super::reports::Reports;
 
 /// A report that came this much later than the batch's record was committed shows its machines:
 /// the owner needs a moment to learn of the record and to report.
@@ -38,11 +38,11 @@
     }
 
     fn is_reported(&self, reports: &Reports) -> bool {
-        let Some((_, received_at)) = reports.get(&self.region) else {
+        let Some(received) = reports.get(&self.region) else {
             return false;
         };
         self.recorded_at
-            .is_some_and(|recorded_at| *received_at > recorded_at + REPORT_DELAY)
+            .is_some_and(|recorded_at| received.received_at > recorded_at + REPORT_DELAY)
     }
 }
 
@@ -90,3 +90,6 @@
             .collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/leader/term.rs
+++ b/src/leader/term.rs
@@ -58,3 +58,6 @@
         self.last_sequence
     }
 }
+
+#[cfg(test)]
+mod tests;
