--- a/src/controller.rs
+++ b/src/controller.rs
@@ -7,7 +7,7 @@
 use crate::admission::{self, Limiter, Refusal};
 use crate::cloud::{CloudClient, CloudEvent};
 use crate::fault_injection::{is_disabled, Safeguard};
-use crate::leader::{self, Leader, Reports};
+use crate::leader::{self, Leader, ReceivedReport, Reports};
 use crate::peer_protocol::{self, Message};
 use crate::quota;
 use crate::reactor::{Call, CallError, CallId, ConnId, Limits, Net, NetEvent, Reactor};
@@ -568,7 +568,7 @@
             }
             if !context.replica.machines.contains_key(name) {
                 if let Some(l) = &mut self.leader {
-                    l.machine_gone(name, context.now);
+                    l.on_machine_removed(name, context.now);
                 }
             }
         }
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -7,7 +7,7 @@
 impl<N: Net> Controller<N> {
     /// What is wrong just now, the gravest first.
     pub(super) fn cause(&self) -> &'static str {
-        let unsettled = |(r, _): &(peer_protocol::RegionReport, Micros)| !r.reconciled;
+        let unsettled = |received: &ReceivedReport| !received.report.reconciled;
         if self.held.is_some() {
             "state service lost records"
         } else if self.registry.is_failing() {
@@ -17,12 +17,16 @@
             "takeover under way"
         } else if self.cloud_client.down() {
             "cloud down"
-        } else if self.leader.as_ref().is_some_and(|l| l.refused(self.now)) {
+        } else if self
+            .leader
+            .as_ref()
+            .is_some_and(|l| l.has_capacity_refusals(self.now))
+        {
             "no capacity"
         } else if self
             .leader
             .as_ref()
-            .is_some_and(|l| !l.boots.in_trouble().is_empty())
+            .is_some_and(|l| !l.pools_in_trouble().is_empty())
         {
             "machines come up late or not at all"
         } else if self.regions.values().any(Region::is_quota_blocked) {
@@ -46,7 +50,7 @@
         let running: BTreeSet<&str> = self
             .reports
             .values()
-            .flat_map(|(r, _)| r.running_tasks.iter().map(|c| c.job.as_str()))
+            .flat_map(|received| received.report.running_tasks.iter().map(|c| c.job.as_str()))
             .collect();
         let replica = &self.registry.replica;
         let open = replica.open_jobs().map(|(id, _, spec)| signals::Seen {
@@ -82,18 +86,21 @@
         let mut found: Vec<Condition> = self.question_rate.look(self.now).into_iter().collect();
         found.extend(self.records_lost());
         if let Some(l) = &self.leader {
-            found.extend(l.boots.in_trouble().into_iter().map(|(offer, boots)| {
-                Condition::BadBoots {
-                    machine_type: offer.machine_type,
-                    zone: offer.zone,
-                    spot: offer.spot,
-                    overdue: boots.overdue,
-                    since: boots.since,
-                }
-            }));
+            found.extend(
+                l.pools_in_trouble()
+                    .into_iter()
+                    .map(|pool| Condition::BadBoots {
+                        machine_type: pool.offer.machine_type,
+                        zone: pool.offer.zone,
+                        spot: pool.offer.spot,
+                        overdue: pool.overdue,
+                        since: pool.longest_overdue,
+                    }),
+            );
         }
         found.extend(self.unreached_owners());
-        let waits = self.reports.values().flat_map(|(r, _)| &r.pending_jobs);
+        let reports = self.reports.values();
+        let waits = reports.flat_map(|received| &received.report.pending_jobs);
         for w in waits.filter(|w| w.needs_new_attempt) {
             let record = self.registry.replica.jobs.get(&w.job).map(|r| &r.value);
             let Some(record) = record.filter(|r| r.multi_region.is_none()) else {
@@ -125,8 +132,8 @@
     pub(super) fn status(&mut self) -> peer_protocol::Status {
         let r = &self.registry.replica;
         let mut waiting: BTreeMap<String, u32> = BTreeMap::new();
-        for (rep, _) in self.reports.values() {
-            for w in &rep.pending_jobs {
+        for received in self.reports.values() {
+            for w in &received.report.pending_jobs {
                 if let Some(s) = r.jobs.get(&w.job).and_then(|j| j.value.open_spec()) {
                     *waiting.entry(s.class.clone()).or_default() += w.pending_tasks;
                 }
@@ -144,7 +151,7 @@
             );
         }
         let regions = self.settings.regions().into_iter().map(|name| {
-            let rep = self.reports.get(&name).map(|(r, _)| r);
+            let rep = self.reports.get(&name).map(|received| &received.report);
             let rec = r.regions.get(&name).map(|r| &r.value);
             peer_protocol::StatusRegion {
                 owner: rec.map(|r| r.owner.clone()),
