--- /dev/null
+++ b/src/controller/broadcasts.rs
@@ -0,0 +1,134 @@
+//! Messages to the other controllers that are sent at intervals: this controller's state, the
+//! reports of its regions, cancellations.
+
+use salttiller_records::units::{Micros, MILLISECOND};
+
+use super::Controller;
+use crate::peer_protocol::{self, Message, RegionReport, UNDERSTANDS_EXTENSIONS};
+use crate::reactor::Net;
+
+/// Interval of state messages.
+const STATE_INTERVAL: Micros = 400 * MILLISECOND;
+/// Every so many state messages all controllers get the region reports, not just the leader.
+const FULL_STATE_EVERY: u32 = 4;
+
+/// What is to be sent, and when.
+#[derive(Debug, Default)]
+pub(super) struct Broadcasts {
+    next_state_at: Micros,
+    /// State messages sent so far.
+    state_rounds: u32,
+    /// Jobs cancelled here that the peers are to be told of.
+    cancelled_jobs: Vec<String>,
+}
+
+impl Broadcasts {
+    /// Has a cancellation that was committed here announced at the next step.
+    pub fn announce_cancellation(&mut self, job: String) {
+        self.cancelled_jobs.push(job);
+    }
+}
+
+impl<N: Net> Controller<N> {
+    /// Sends the state of this controller if that is due; returns when it is due next.
+    pub(super) fn broadcast_state(&mut self) -> Micros {
+        let now = self.cluster.now;
+        if now >= self.broadcasts.next_state_at {
+            self.broadcasts.next_state_at = now + STATE_INTERVAL;
+            let reports = self.report_owned_regions();
+            self.update_region_reports(&reports);
+            self.send_provisioning_health();
+            self.send_state(reports);
+        }
+        self.broadcasts.next_state_at
+    }
+
+    /// Reports of the owned regions; none without authority.
+    fn report_owned_regions(&self) -> Vec<RegionReport> {
+        if !self.cluster.has_authority() {
+            return Vec::new();
+        }
+        let context = self.cluster.scheduling_context(self.net.wall());
+        let regions = self.ownership.regions();
+        regions.map(|region| region.report(&context)).collect()
+    }
+
+    fn update_region_reports(&mut self, own: &[RegionReport]) {
+        let now = self.cluster.now;
+        let reports = &mut self.cluster.region_reports;
+        for report in own {
+            reports.record_own(report.clone(), now);
+        }
+        reports.expire(now);
+        let ownership = &self.ownership;
+        reports.update_quota_blocked_teams(|region| ownership.owns(region));
+    }
+
+    /// Sends the leader all reports each time, since it plans by them, and the others every few
+    /// times; in between they learn only that this controller is up.
+    fn send_state(&mut self, reports: Vec<RegionReport>) {
+        self.broadcasts.state_rounds += 1;
+        let is_full_round = self
+            .broadcasts
+            .state_rounds
+            .is_multiple_of(FULL_STATE_EVERY);
+        let brief = self.encode_state(Vec::new());
+        let full = self.encode_state(reports);
+        let leader = self.cluster.recorded_leader();
+        for (index, peer) in self.cluster.settings.peers.iter().enumerate() {
+            let is_leader = leader == Some(peer.name.as_str());
+            let state = if is_full_round || is_leader {
+                &full
+            } else {
+                &brief
+            };
+            self.net.send(index, state);
+        }
+    }
+
+    fn encode_state(&self, regions: Vec<RegionReport>) -> Vec<u8> {
+        peer_protocol::encode(&Message::State {
+            from: self.cluster.settings.name.clone(),
+            run: self.cluster.incarnation() | UNDERSTANDS_EXTENSIONS,
+            fresh: self.cluster.is_fresh(),
+            regions,
+        })
+    }
+
+    /// Tells the leader how machines of the owned regions come up, if some are overdue.
+    fn send_provisioning_health(&mut self) {
+        if !self.cluster.has_authority() {
+            return;
+        }
+        let now = self.cluster.now;
+        let mut messages = Vec::new();
+        for region in self.ownership.regions_mut() {
+            let kinds = region.provisioning_health(now);
+            if !kinds.is_empty() {
+                let region = region.name.clone();
+                messages.push(Message::Boots { region, kinds });
+            }
+        }
+        let leader = self.cluster.recorded_leader().unwrap_or_default();
+        let leader_peer = self.cluster.peer_with_extensions(leader);
+        for message in messages {
+            match leader_peer {
+                Some(peer) => self.net.send(peer, &peer_protocol::encode(&message)),
+                None if self.leadership.is_leading() => self.on_message(message),
+                None => {}
+            }
+        }
+    }
+
+    /// Tells all peers of the jobs that were cancelled here since the last step.
+    pub(super) fn announce_cancellations(&mut self) {
+        if self.broadcasts.cancelled_jobs.is_empty() {
+            return;
+        }
+        let jobs = std::mem::take(&mut self.broadcasts.cancelled_jobs);
+        let message = peer_protocol::encode(&Message::Cancelled { jobs });
+        for peer in 0..self.cluster.settings.peers.len() {
+            self.net.send(peer, &message);
+        }
+    }
+}
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -1,89 +1,102 @@
-//! Ends of the controller's own commits.
+//! The controller's own commits: each is registered with what it commits, and its outcome is
+//! handed to the part that sent it. Commits of regions are tracked by the regions.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use salttiller_records::key::Key;
+use salttiller_records::units::Micros;
+
+use super::Controller;
+use crate::reactor::{ConnId, Net};
+use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
+
+/// What a commit of the controller's own is about.
+#[derive(Debug)]
+pub(super) enum PendingCommit {
+    /// The record of a new job.
+    JobSubmission {
+        conn: ConnId,
+        job: String,
+        received_at: Micros,
+    },
+    /// The cancellation of a job.
+    JobCancellation {
+        conn: ConnId,
+        job: String,
+        deadline: Micros,
+    },
+    /// The record of a region's owner.
+    RegionAcquisition { region: String },
+    /// The deletion of that record.
+    RegionRelease { region: String },
+    /// The leader's record.
+    LeaderRecord,
+    /// Something that the leader decided; the keys name what it concerns.
+    LeaderDecision { keys: Vec<Key> },
+    /// The record of a data-loss hold.
+    DataLossHoldRecord,
+    /// The record of a region's owner, within a hold.
+    RegionAcquisitionInHold { region: String, token: u64 },
+}
+
+/// Commits in progress by ticket.
+pub(super) type PendingCommits = BTreeMap<u64, PendingCommit>;
 
 impl<N: Net> Controller<N> {
-    pub(super) fn on_committed(&mut self, ticket: u64, outcome: CommitOutcome) {
-        let context = context!(self);
-        for r in self.regions.values_mut() {
-            if r.on_committed(ticket, &outcome, &context) {
-                return;
-            }
+    /// Sends a transaction of the controller's own. `deadline` is when it is given up, if it is.
+    pub(super) fn commit(
+        &mut self,
+        transaction: Transaction,
+        priority: CommitPriority,
+        deadline: Option<Micros>,
+        pending: PendingCommit,
+    ) {
+        let state_store = &mut self.cluster.state_store;
+        let ticket = state_store.commit(transaction, priority, deadline);
+        self.pending_commits.insert(ticket, pending);
+    }
+
+    /// A commit ended: of a region, or of the controller's own.
+    pub(super) fn on_committed(&mut self, ticket: u64, outcome: &CommitOutcome) {
+        let context = self.cluster.scheduling_context(self.net.wall());
+        let is_of_region = self
+            .ownership
+            .regions_mut()
+            .any(|region| region.on_committed(ticket, outcome, &context));
+        if is_of_region {
+            return;
         }
-        let looking = match outcome {
-            CommitOutcome::Conflict(rev) => Acquisition::CatchingUp(rev),
-            _ => Acquisition::CatchingUp(0),
+        let Some(pending) = self.pending_commits.remove(&ticket) else {
+            return;
         };
-        match self.tickets.remove(&ticket) {
-            Some(PendingCommit::Submit { conn, id, came }) => {
-                self.users_busy -= 1;
-                match outcome {
-                    CommitOutcome::Committed(_) => {
-                        log::debug!("intake: {id}: accepted");
-                        // Cancelled at once, if one that it needs is.
-                        let stage = self.registry.replica.stage(&id).unwrap_or(JobStage::Open);
-                        let body = admission::state_body(&id, stage, None);
-                        self.reactor.respond(conn, Response::new(201, body));
-                    }
-                    CommitOutcome::Conflict(_) => {
-                        // Known already, or our own unanswered sending did it.
-                        self.waiting.push(PendingRequest {
-                            conn,
-                            ask: ClientRequest::JobState {
-                                id,
-                                submitted: false,
-                            },
-                            came: self.now,
-                            give_up: came + ASK_PATIENCE,
-                        });
-                        self.registry.want_barrier();
-                    }
-                    CommitOutcome::Refused | CommitOutcome::Unknown => self.refuse(conn, 503, 1),
-                }
-            }
-            Some(PendingCommit::Cancel { conn, id, give_up }) => {
-                self.users_busy -= 1;
-                match outcome {
-                    CommitOutcome::Committed(_) => {
-                        log::debug!("intake: {id}: cancelled");
-                        self.to_tell.push(id.clone());
-                        let body = admission::state_body(&id, JobStage::Cancelled, None);
-                        self.reactor.respond(conn, Response::new(200, body));
-                    }
-                    CommitOutcome::Conflict(_) if self.now < give_up => {
-                        self.waiting.push(PendingRequest {
-                            conn,
-                            ask: ClientRequest::Cancel { id },
-                            came: self.now,
-                            give_up,
-                        });
-                        self.registry.want_barrier();
-                    }
-                    _ => self.refuse(conn, 503, 1),
-                }
-            }
-            Some(PendingCommit::Take { region }) => {
-                self.claims.insert(region, looking);
+        match pending {
+            PendingCommit::JobSubmission {
+                conn,
+                job,
+                received_at,
+            } => self.on_submission_committed(conn, job, received_at, outcome),
+            PendingCommit::JobCancellation {
+                conn,
+                job,
+                deadline,
+            } => self.on_cancellation_committed(conn, job, deadline, outcome),
+            PendingCommit::RegionAcquisition { region } => {
+                self.ownership.on_acquisition_committed(region, outcome);
             }
-            Some(PendingCommit::Lead) => self.lead_claim = Some(looking),
-            Some(PendingCommit::Leader(keys)) => {
-                let done = matches!(outcome, CommitOutcome::Committed(_));
-                if let Some(l) = &mut self.leader {
-                    l.concluded(&keys, done, self.now);
-                }
+            PendingCommit::RegionRelease { region } => {
+                self.ownership.on_release_committed(region, outcome);
             }
-            Some(PendingCommit::Hand { region }) => {
-                if !matches!(outcome, CommitOutcome::Committed(_)) {
-                    // Should it still be ours, then only under another token.
-                    self.retake.insert(region.clone());
+            PendingCommit::LeaderRecord => self.leadership.on_acquisition_committed(outcome),
+            PendingCommit::LeaderDecision { keys } => {
+                let is_committed = matches!(outcome, CommitOutcome::Committed(_));
+                if let Some(leader) = self.leadership.leader_mut() {
+                    leader.concluded(&keys, is_committed, self.cluster.now);
                 }
-                self.claims.insert(region, looking);
             }
-            Some(PendingCommit::DataLossHoldRecord) => self.on_hold_record_committed(looking),
-            Some(PendingCommit::HoldRegion { region, token }) => {
-                self.on_hold_region_committed(region, token, &outcome, looking);
+            PendingCommit::DataLossHoldRecord => self.on_hold_record_committed(outcome),
+            PendingCommit::RegionAcquisitionInHold { region, token } => {
+                self.on_acquired_in_hold(region, token, outcome);
             }
-            None => {}
         }
     }
 }
--- /dev/null
+++ b/src/controller/data_loss_hold/kept_regions.rs
@@ -0,0 +1,164 @@
+//! Regions that are kept in a hold: acquired as always, under a token above all that were seen,
+//! but run by nobody. Their owner only renews the leases of their workers.
+
+use std::collections::BTreeMap;
+
+use salttiller_records::units::{add_drift, Micros, MILLISECOND};
+
+use super::super::commits::PendingCommit;
+use super::super::region_ownership::Acquisition;
+use super::super::Controller;
+use super::AUTHORITY_MARGIN;
+use crate::fault_injection::{is_disabled, Safeguard};
+use crate::reactor::Net;
+use crate::state_store::{CommitOutcome, CommitPriority, LeaseRole};
+
+/// Back-off after an acquisition that failed: transactions cost write quota then, too.
+const ACQUISITION_BACKOFF: Micros = 300 * MILLISECOND;
+
+/// A region that is kept.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct KeptRegion {
+    pub token: u64,
+    /// From when on workers are answered.
+    pub answers_from: Micros,
+}
+
+/// The regions that this controller keeps in the hold.
+#[derive(Debug)]
+pub(super) struct KeptRegions {
+    regions: BTreeMap<String, KeptRegion>,
+    acquisitions: BTreeMap<String, Acquisition>,
+    /// The highest token seen on record or in heartbeats.
+    highest_token: u64,
+    next_attempt_at: Micros,
+}
+
+impl KeptRegions {
+    /// No regions yet; the highest token known is `token`.
+    pub fn new(token: u64) -> Self {
+        KeptRegions {
+            regions: BTreeMap::new(),
+            acquisitions: BTreeMap::new(),
+            highest_token: token,
+            next_attempt_at: 0,
+        }
+    }
+
+    /// Keeps no region any more.
+    pub fn clear(&mut self) {
+        self.regions.clear();
+    }
+
+    /// A kept region.
+    pub fn get(&self, region: &str) -> Option<KeptRegion> {
+        self.regions.get(region).copied()
+    }
+
+    /// Keeps a region no more, so that it is acquired again.
+    pub fn remove(&mut self, region: &str) {
+        self.regions.remove(region);
+    }
+
+    /// A worker has seen this token.
+    pub fn on_token_seen(&mut self, token: u64) {
+        self.highest_token = self.highest_token.max(token);
+    }
+
+    /// Whether a region may be acquired, at this time and replica revision.
+    fn may_acquire(&self, region: &str, revision: u64, now: Micros) -> bool {
+        let acquisition = self.acquisitions.get(region);
+        let is_pending = acquisition.is_some_and(|a| a.is_pending(revision));
+        !self.regions.contains_key(region) && !is_pending && now >= self.next_attempt_at
+    }
+
+    /// The token to acquire a region under, above all that were seen.
+    fn next_token(&self, recorded: u64) -> u64 {
+        if is_disabled(Safeguard::SufficientToken) {
+            return recorded + 1;
+        }
+        recorded.max(self.highest_token) + 1
+    }
+}
+
+impl<N: Net> Controller<N> {
+    /// Drops regions that are no longer this controller's on record.
+    pub(super) fn drop_lost_kept_regions(&mut self) {
+        let records = &self.cluster.state_store.replica.regions;
+        let incarnation = self.cluster.incarnation();
+        let Some(hold) = &mut self.data_loss.hold else {
+            return;
+        };
+        hold.kept.regions.retain(|name, region| {
+            let record = records.get(name).map(|r| &r.value);
+            record.is_some_and(|r| r.run == incarnation && r.token == region.token)
+        });
+    }
+
+    /// Acquires a region if this controller may.
+    pub(super) fn keep_region(&mut self, region: String) {
+        let now = self.cluster.now;
+        let revision = self.cluster.state_store.replica.revision;
+        let owner = self.cluster.recorded_owner(&region);
+        if owner.is_some_and(|owner| owner != self.cluster.settings.name) {
+            return;
+        }
+        let Some(hold) = &self.data_loss.hold else {
+            return;
+        };
+        let incident = hold.incident;
+        let token = hold.kept.next_token(self.cluster.recorded_token());
+        if !hold.kept.may_acquire(&region, revision, now) || !self.is_grace_period_over(&region) {
+            return;
+        }
+        let Some(lease) = self.cluster.state_store.lease_id(LeaseRole::Owner) else {
+            return;
+        };
+        log::info!("region={region} token={token}: acquiring within the hold");
+        if let Some(hold) = &mut self.data_loss.hold {
+            let acquisitions = &mut hold.kept.acquisitions;
+            acquisitions.insert(region.clone(), Acquisition::Committing);
+        }
+        let transaction = self.acquisition_transaction(&region, token, Some(incident), lease);
+        let pending = PendingCommit::RegionAcquisitionInHold { region, token };
+        self.commit(transaction, CommitPriority::Urgent, None, pending);
+    }
+
+    /// The commit of an acquisition within the hold ended.
+    pub(in super::super) fn on_acquired_in_hold(
+        &mut self,
+        region: String,
+        token: u64,
+        outcome: &CommitOutcome,
+    ) {
+        let now = self.cluster.now;
+        let Some(hold) = &mut self.data_loss.hold else {
+            return;
+        };
+        let acquisition = Acquisition::after(outcome);
+        hold.kept.acquisitions.insert(region.clone(), acquisition);
+        if !matches!(outcome, CommitOutcome::Committed(_)) {
+            hold.kept.next_attempt_at = now + ACQUISITION_BACKOFF;
+            if matches!(outcome, CommitOutcome::Refused) {
+                // The lease was lost in a further loss, before its renewal would show that.
+                self.cluster.state_store.drop_lease(LeaseRole::Owner);
+                self.cluster.state_store.want_lease(LeaseRole::Owner);
+            }
+            return;
+        }
+        self.ownership.on_owner_recorded(&region);
+        // Guards against renewing leases while a former owner that has not noticed the loss
+        // counts the machine as empty and starts its tasks elsewhere.
+        let former_authority = add_drift(self.cluster.settings.owner_lease_life());
+        let answers_from = if hold.owned_before.contains(&region) {
+            now
+        } else {
+            hold.since + former_authority + AUTHORITY_MARGIN
+        };
+        let kept = KeptRegion {
+            token,
+            answers_from,
+        };
+        hold.kept.regions.insert(region, kept);
+    }
+}
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,81 +1,118 @@
-//! Reports of workers, and the answers to them.
+//! Heartbeats of workers, and the answers to them. Each accepted answer renews a worker's lease,
+//! so it is given with authority only.
 
-use super::*;
+use salttiller_protocol::http::Response;
+
+use super::http_status::{BAD_REQUEST, MISDIRECTED, OK, RETRY_AFTER_S, UNAVAILABLE};
+use super::Controller;
+use crate::reactor::{ConnId, Net};
+use crate::region::HeartbeatOutcome;
+use crate::worker_protocol::{self, Heartbeat};
 
 impl<N: Net> Controller<N> {
+    /// A worker's heartbeat.
     pub(super) fn on_heartbeat(&mut self, conn: ConnId, body: &[u8]) {
-        let Some(r) = worker_protocol::parse_heartbeat(body) else {
-            return self.reactor.respond(conn, Response::new(400, Vec::new()));
+        let Some(heartbeat) = worker_protocol::parse_heartbeat(body) else {
+            return self.respond(conn, BAD_REQUEST, Vec::new());
         };
-        if !self.registry.loaded() {
-            return self.refuse(conn, 503, 1);
+        if !self.cluster.state_store.loaded() {
+            return self.refuse_unavailable(conn);
         }
-        if self.held.is_some() {
-            return self.on_report_while_held(conn, &r);
+        if self.is_held() {
+            return self.on_heartbeat_in_hold(conn, &heartbeat);
         }
-        if self.speaks_against_records(&r) {
-            return self.refuse(conn, 503, 1);
+        if self.contradicts_records(&heartbeat) {
+            return self.refuse_unavailable(conn);
         }
-        let me = self.settings.name.clone();
-        let elsewhere = |to: Option<&str>| Response::new(421, worker_protocol::elsewhere(to));
-        let Some(rec) = self.registry.replica.machines.get(&r.machine) else {
-            // No record: the leader finds out what it is.
-            let context = context!(self);
-            if let Some(l) = &mut self.leader {
-                l.on_unknown_machine(&context);
-                return self.reactor.respond(conn, elsewhere(None));
-            }
-            let to = self
-                .registry
-                .replica
-                .leader
-                .as_ref()
-                .map(|l| l.value.holder.clone());
-            let to = to.filter(|h| *h != me);
-            return self.reactor.respond(conn, elsewhere(to.as_deref()));
+        let machines = &self.cluster.state_store.replica.machines;
+        let Some(machine) = machines.get(&heartbeat.machine) else {
+            return self.redirect_unknown_machine(conn);
         };
-        let region = rec.value.region.clone();
-        if !self.regions.contains_key(&region) {
-            let to = self.registry.replica.regions.get(&region);
-            let to = to.map(|r| r.value.owner.clone()).filter(|o| *o != me);
-            self.redirects.note(&region, &r.machine, self.now);
-            return self.reactor.respond(conn, elsewhere(to.as_deref()));
+        let region = machine.value.region.clone();
+        if !self.ownership.owns(&region) {
+            let now = self.cluster.now;
+            self.reachability
+                .record_redirect(&region, &heartbeat.machine, now);
+            return self.redirect_to_owner(conn, &region);
         }
-        self.now = self.reactor.clock();
-        if !self.authority() {
-            return self.refuse(conn, 503, 1);
+        self.answer_heartbeat(conn, &region, &heartbeat);
+    }
+
+    /// A machine without a record: the leader finds out what it is.
+    fn redirect_unknown_machine(&mut self, conn: ConnId) {
+        let context = self.cluster.scheduling_context(self.net.wall());
+        if let Some(leader) = self.leadership.leader_mut() {
+            leader.on_unknown_machine(&context);
+            return self.redirect(conn, None);
         }
-        let context = context!(self);
-        let Some(owned) = self.regions.get_mut(&region) else {
+        let leader = self.cluster.recorded_leader().map(str::to_owned);
+        self.redirect(conn, leader);
+    }
+
+    /// Redirects a worker to the owner of a region, if one is on record.
+    pub(super) fn redirect_to_owner(&mut self, conn: ConnId, region: &str) {
+        let owner = self.cluster.recorded_owner(region).map(str::to_owned);
+        self.redirect(conn, owner);
+    }
+
+    /// Redirects a worker to another controller, or to none that is known.
+    fn redirect(&mut self, conn: ConnId, to: Option<String>) {
+        let to = to.filter(|controller| *controller != self.cluster.settings.name);
+        let body = worker_protocol::elsewhere(to.as_deref());
+        self.respond(conn, MISDIRECTED, body);
+    }
+
+    /// Applies a heartbeat to its owned region and answers with the region's commands.
+    fn answer_heartbeat(&mut self, conn: ConnId, region: &str, heartbeat: &Heartbeat) {
+        self.cluster.now = self.net.clock();
+        if !self.cluster.has_authority() {
+            return self.refuse_unavailable(conn);
+        }
+        let context = self.cluster.scheduling_context(self.net.wall());
+        let Some(owned) = self.ownership.get_mut(region) else {
             return;
         };
         let token = owned.token;
-        let verdict = owned.on_heartbeat(&r, &context);
-        let answer = match verdict {
-            HeartbeatOutcome::Accepted(c) => Response::new(200, worker_protocol::answer(token, &c)),
+        let outcome = owned.on_heartbeat(heartbeat, &context);
+        let answer = self.heartbeat_response(region, token, heartbeat, outcome);
+        // The clock is read again as the bytes go out. A pause between here and the wire does no
+        // harm: the worker counts its lease from when it sent the heartbeat, and drops answers
+        // after 4 s.
+        self.cluster.now = self.net.clock();
+        if answer.status == OK && !self.cluster.has_authority() {
+            return self.refuse_unavailable(conn);
+        }
+        self.net.respond(conn, answer);
+    }
+
+    fn heartbeat_response(
+        &mut self,
+        region: &str,
+        token: u64,
+        heartbeat: &Heartbeat,
+        outcome: HeartbeatOutcome,
+    ) -> Response {
+        let machine = &heartbeat.machine;
+        match outcome {
+            HeartbeatOutcome::Accepted(commands) => {
+                Response::new(OK, worker_protocol::answer(token, &commands))
+            }
             HeartbeatOutcome::Stale => {
-                log::debug!("node: {}: late or repeated report passed over", r.machine);
-                Response::refusal(503, 1)
+                log::debug!("region={region} machine={machine}: stale heartbeat ignored");
+                Response::refusal(UNAVAILABLE, RETRY_AFTER_S)
             }
             HeartbeatOutcome::Superseded => {
+                let seen = heartbeat.token;
                 log::info!(
-                    "node: {}: has seen token {}, ours is {token}",
-                    r.machine,
-                    r.token
+                    "region={region} machine={machine} token={token}: superseded, the machine has seen token {seen}"
                 );
-                self.retake.insert(region);
-                self.registry.want_barrier();
-                Response::refusal(503, 1)
+                self.ownership.reacquire(region);
+                self.cluster.state_store.want_barrier();
+                Response::refusal(UNAVAILABLE, RETRY_AFTER_S)
+            }
+            HeartbeatOutcome::UnknownMachine => {
+                Response::new(MISDIRECTED, worker_protocol::elsewhere(None))
             }
-            HeartbeatOutcome::UnknownMachine => elsewhere(None),
-        };
-        // The clock is read again as the bytes go out. A pause between here and
-        // the wire does no harm: the worker counts its lease from when it sent
-        // the report, and drops answers after 4 s.
-        self.now = self.reactor.clock();
-        if answer.status == 200 && !self.authority() {
-            return self.refuse(conn, 503, 1);
         }
-        self.reactor.respond(conn, answer);
     }
 }
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -1,124 +1,220 @@
-//! Becoming the leader, ceasing to be it, and carrying out what it plans.
+//! Leadership: acquiring it, losing it, and carrying out what the leader decides.
+//!
+//! | state | kept as | left when |
+//! | --- | --- | --- |
+//! | follower | another holder on record | its record goes with its lease |
+//! | waiting to be candidate | `candidacy_at` | that time has come, or another holder is on record |
+//! | candidate | [`Acquisition`] | the commit ended and the replica caught up |
+//! | leader | a [`Leader`] whose version is that of the record | the record changes, the lease or records are lost |
+//!
+//! The leader is fenced by its record's version in each transaction. `Leader` decides; this
+//! module only sends what it decides.
 
-use super::*;
+use std::ops::Range;
+
+use salttiller_records::key::Key;
+use salttiller_records::record::{value, LeaderRecord};
+use salttiller_records::units::{Micros, MILLISECOND};
+
+use super::commits::PendingCommit;
+use super::region_ownership::Acquisition;
+use super::{Controller, MAX_STEP_INTERVAL};
+use crate::leader::{self, Leader};
+use crate::peer_protocol::{self, Message};
+use crate::reactor::Net;
+use crate::state_store::{CommitOutcome, CommitPriority, LeaseRole, Transaction};
+
+/// How long a controller waits at random before it tries to become leader, so that not all try
+/// at once.
+const CANDIDACY_DELAY: Range<Micros> = 20 * MILLISECOND..300 * MILLISECOND;
+
+/// Whether this controller leads, or is about to.
+#[derive(Default)]
+pub(super) struct Leadership {
+    leader: Option<Leader>,
+    acquisition: Option<Acquisition>,
+    candidacy_at: Option<Micros>,
+}
+
+impl Leadership {
+    /// Whether this controller leads.
+    pub fn is_leading(&self) -> bool {
+        self.leader.is_some()
+    }
+
+    /// The leader, if this controller is it.
+    pub fn leader(&self) -> Option<&Leader> {
+        self.leader.as_ref()
+    }
+
+    /// The leader, if this controller is it.
+    pub fn leader_mut(&mut self) -> Option<&mut Leader> {
+        self.leader.as_mut()
+    }
+
+    /// The commit of the leader's record ended.
+    pub fn on_acquisition_committed(&mut self, outcome: &CommitOutcome) {
+        self.acquisition = Some(Acquisition::after(outcome));
+    }
+
+    /// Whether the time of the candidacy has come; draws it when first asked.
+    fn is_candidacy_due(&mut self, now: Micros) -> bool {
+        let at = self
+            .candidacy_at
+            .get_or_insert_with(|| now + fastrand::u64(CANDIDACY_DELAY));
+        now >= *at
+    }
+}
+
+/// Whom the leader's record names.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum RecordedLeader {
+    Nobody,
+    ThisIncarnation,
+    /// A former incarnation of this controller, which acts no more.
+    FormerIncarnation,
+    OtherController,
+}
 
 impl<N: Net> Controller<N> {
-    pub(super) fn step_down(&mut self, why: &str) {
-        if self.leader.take().is_some() {
-            log::info!("node: leader: no more, {why}");
+    /// Stops leading, if this controller does.
+    pub(super) fn step_down(&mut self, reason: &str) {
+        if self.leadership.leader.take().is_some() {
+            log::info!("stepping down as leader: {reason}");
             self.cloud_client.drop_rentals();
         }
     }
 
-    pub(super) fn manage_leader(&mut self) {
-        if !self.registry.loaded() {
+    /// Acquires leadership where that is due, and steps down if it was lost.
+    pub(super) fn manage_leadership(&mut self) {
+        if !self.cluster.state_store.loaded() {
             return;
         }
-        let rec = self.registry.replica.leader.as_ref();
-        let (version, rec) = match rec {
-            Some(r) => (r.version, Some(r.value.clone())),
-            None => (0, None),
+        let (version, recorded) = self.leader_record();
+        let is_superseded = |leader: &Leader| {
+            recorded != RecordedLeader::ThisIncarnation || leader.version != version
         };
-        let ours = rec
-            .as_ref()
-            .is_some_and(|r| r.holder == self.settings.name && self.is_this_run(r.run));
-        if self
-            .leader
-            .as_ref()
-            .is_some_and(|l| !ours || l.version != version)
-        {
-            self.step_down("another is on record");
+        if self.leadership.leader().is_some_and(is_superseded) {
+            self.step_down("another leader is on record");
         }
-        let revision = self.registry.replica.revision;
-        if self.lead_claim.is_some_and(|c| c.is_pending(revision)) {
+        let revision = self.cluster.state_store.replica.revision;
+        let acquisition = self.leadership.acquisition;
+        if acquisition.is_some_and(|a| a.is_pending(revision)) {
             return;
         }
-        self.lead_claim = None;
-        if ours {
-            if self.leader.is_none() && self.now < self.registry.leader_until() {
-                log::info!("node: leader: since revision {version}");
-                let context = context!(self);
-                self.leader = Some(Leader::new(version, &context));
+        self.leadership.acquisition = None;
+        match recorded {
+            RecordedLeader::ThisIncarnation => self.enter_leading(version),
+            RecordedLeader::OtherController => self.follow(true),
+            RecordedLeader::Nobody | RecordedLeader::FormerIncarnation => {
+                if self.cluster.is_fresh() {
+                    self.stand_as_candidate(version);
+                } else {
+                    self.follow(recorded != RecordedLeader::Nobody);
+                }
             }
-            return;
         }
-        let stale_self = rec.as_ref().is_some_and(|r| r.holder == self.settings.name);
-        if (rec.is_some() && !stale_self) || !self.fresh() {
-            self.lead_at = None;
-            if rec.is_some() && self.registry.lease_id(LeaseRole::Leader).is_some() {
-                self.registry.drop_lease(LeaseRole::Leader);
-            }
+    }
+
+    /// The version of the leader's record (0 if there is none) and whom it names.
+    fn leader_record(&self) -> (u64, RecordedLeader) {
+        let Some(record) = &self.cluster.state_store.replica.leader else {
+            return (0, RecordedLeader::Nobody);
+        };
+        let leader = if record.value.holder != self.cluster.settings.name {
+            RecordedLeader::OtherController
+        } else if self.cluster.is_this_incarnation(record.value.run) {
+            RecordedLeader::ThisIncarnation
+        } else {
+            RecordedLeader::FormerIncarnation
+        };
+        (record.version, leader)
+    }
+
+    /// This controller is leader on record.
+    fn enter_leading(&mut self, version: u64) {
+        let leader_until = self.cluster.state_store.leader_until();
+        if self.leadership.is_leading() || self.cluster.now >= leader_until {
             return;
         }
-        let now = self.now;
-        let at = *self
-            .lead_at
-            .get_or_insert_with(|| now + fastrand::u64(20 * MILLISECOND..300 * MILLISECOND));
-        if now < at {
+        log::info!("leading since revision {version}");
+        let context = self.cluster.scheduling_context(self.net.wall());
+        self.leadership.leader = Some(Leader::new(version, &context));
+    }
+
+    /// This controller can't be leader now; its own lease for that is of no use if a leader is
+    /// on record.
+    fn follow(&mut self, has_recorded_leader: bool) {
+        self.leadership.candidacy_at = None;
+        let state_store = &mut self.cluster.state_store;
+        if has_recorded_leader && state_store.lease_id(LeaseRole::Leader).is_some() {
+            state_store.drop_lease(LeaseRole::Leader);
+        }
+    }
+
+    /// Tries to become leader, once the random delay is over and the lease is held.
+    fn stand_as_candidate(&mut self, version: u64) {
+        if !self.leadership.is_candidacy_due(self.cluster.now) {
             return;
         }
-        self.registry.want_lease(LeaseRole::Leader);
-        let Some(lease) = self.registry.lease_id(LeaseRole::Leader) else {
+        self.cluster.state_store.want_lease(LeaseRole::Leader);
+        let Some(lease) = self.cluster.state_store.lease_id(LeaseRole::Leader) else {
             return;
         };
-        let txn = Transaction {
+        let record = LeaderRecord {
+            holder: self.cluster.settings.name.clone(),
+            run: self.cluster.incarnation(),
+        };
+        let transaction = Transaction {
             conditions: vec![(Key::Leader, version)],
-            changes: vec![(
-                Key::Leader,
-                Some(value(&LeaderRecord {
-                    holder: self.settings.name.clone(),
-                    run: self.run,
-                })),
-            )],
+            changes: vec![(Key::Leader, Some(value(&record)))],
             lease: Some((Key::Leader, lease)),
         };
-        let t = self.registry.commit(txn, CommitPriority::Urgent, None);
-        self.lead_claim = Some(Acquisition::Committing);
-        self.tickets.insert(t, PendingCommit::Lead);
+        self.leadership.acquisition = Some(Acquisition::Committing);
+        let pending = PendingCommit::LeaderRecord;
+        self.commit(transaction, CommitPriority::Urgent, None, pending);
     }
 
+    /// Runs the leader, if this controller is it, and carries out its actions; returns when to
+    /// run it again.
     pub(super) fn run_leader(&mut self) -> Micros {
-        let mut until = self.now + SECOND;
-        if self.now >= self.registry.leader_until() {
-            return until;
+        let next = self.cluster.now + MAX_STEP_INTERVAL;
+        if self.cluster.now >= self.cluster.state_store.leader_until() {
+            return next;
         }
-        let Some(mut l) = self.leader.take() else {
-            return until;
+        let context = self.cluster.scheduling_context(self.net.wall());
+        let Some(leader) = self.leadership.leader_mut() else {
+            return next;
         };
-        let context = context!(self);
-        until = until.min(l.tick(&context, &self.reports, &mut self.cloud_client));
-        let actions = l.take_actions();
-        self.leader = Some(l);
-        for e in actions {
-            match e {
-                leader::Action::Commit(txn, urgency, keys) => {
-                    let t = self.registry.commit(txn, urgency, None);
-                    self.tickets.insert(t, PendingCommit::Leader(keys));
+        let reports = self.cluster.region_reports.latest();
+        let next = next.min(leader.tick(&context, reports, &mut self.cloud_client));
+        for action in leader.take_actions() {
+            match action {
+                leader::Action::Commit(transaction, priority, keys) => {
+                    let pending = PendingCommit::LeaderDecision { keys };
+                    self.commit(transaction, priority, None, pending);
                 }
-                leader::Action::Tell(m) => self.tell_owner(m),
+                leader::Action::Tell(message) => self.send_to_owner(message),
             }
         }
-        until
+        next
     }
 
-    pub(super) fn tell_owner(&mut self, m: Message) {
-        let (Message::Move { from, .. }
-        | Message::Close { region: from, .. }
-        | Message::Go { region: from, .. }) = &m
+    /// Sends a decision of the leader to the owner of the region that it concerns, which may be
+    /// this controller.
+    fn send_to_owner(&mut self, message: Message) {
+        let (Message::Move { from: region, .. }
+        | Message::Close { region, .. }
+        | Message::Go { region, .. }) = &message
         else {
             return;
         };
-        if self.regions.contains_key(from) {
-            return self.on_message(m);
+        if self.ownership.owns(region) {
+            return self.on_message(message);
         }
-        let owner = self
-            .registry
-            .replica
-            .regions
-            .get(from)
-            .map(|r| r.value.owner.clone());
-        if let Some(i) = owner.and_then(|o| self.peer_index(&o)) {
-            self.reactor.send(i, &peer_protocol::encode(&m));
+        let owner = self.cluster.recorded_owner(region);
+        if let Some(peer) = owner.and_then(|owner| self.cluster.peer_index(owner)) {
+            self.net.send(peer, &peer_protocol::encode(&message));
         }
     }
 }
--- /dev/null
+++ b/src/controller/monitoring.rs
@@ -0,0 +1,222 @@
+//! What operators are alerted to: service-level objectives that are missed, conditions that
+//! need attention, jobs that wait for dependencies without a record. Evaluated by every
+//! controller, logged by the leader.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
+
+use salttiller_records::record::JobStage;
+use salttiller_records::units::{Micros, SECOND};
+
+use super::Controller;
+use crate::peer_protocol::Status;
+use crate::quota;
+use crate::reactor::Net;
+use crate::region::Region;
+use crate::settings::Settings;
+use crate::status::conditions::{Condition, QuestionRate};
+use crate::status::{Aims, Seen, Signal};
+
+/// Interval of evaluations.
+const EVALUATION_INTERVAL: Micros = 2 * SECOND;
+
+/// State of the evaluation.
+pub(super) struct Monitoring {
+    objectives: Aims,
+    question_rate: QuestionRate,
+    next_evaluation_at: Micros,
+    /// Jobs that waited for jobs without a record at the last evaluation.
+    jobs_with_unknown_dependencies: usize,
+}
+
+impl Monitoring {
+    /// The objectives and thresholds of the settings, with nothing evaluated yet.
+    pub fn new(settings: &Settings) -> Self {
+        Monitoring {
+            objectives: Aims::new(&settings.objectives, &settings.operator),
+            question_rate: QuestionRate::default(),
+            next_evaluation_at: 0,
+            jobs_with_unknown_dependencies: 0,
+        }
+    }
+
+    /// Counts a question about a job.
+    pub fn record_question(&mut self) {
+        self.question_rate.note();
+    }
+
+    /// Fills in the objectives' part of the status page; `wall` is the time of day.
+    pub fn fill_status_page(&mut self, page: &mut Status, wall: Micros) {
+        self.objectives.fill(page, wall);
+    }
+}
+
+/// What most likely keeps objectives from being met, the gravest first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum LikelyCause {
+    RecordsLost,
+    StateServiceDown,
+    Takeover,
+    CloudDown,
+    NoCapacity,
+    SlowProvisioning,
+    QuotaUsedUp,
+    Backlog,
+}
+
+impl fmt::Display for LikelyCause {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            LikelyCause::RecordsLost => "state service lost records",
+            LikelyCause::StateServiceDown => "state service down",
+            LikelyCause::Takeover => "takeover under way",
+            LikelyCause::CloudDown => "cloud down",
+            LikelyCause::NoCapacity => "no capacity",
+            LikelyCause::SlowProvisioning => "machines come up late or not at all",
+            LikelyCause::QuotaUsedUp => "quota",
+            LikelyCause::Backlog => "backlog",
+        })
+    }
+}
+
+impl<N: Net> Controller<N> {
+    /// Evaluates objectives and conditions if that is due.
+    pub(super) fn monitor(&mut self) {
+        let now = self.cluster.now;
+        if now < self.monitoring.next_evaluation_at || !self.cluster.state_store.loaded() {
+            return;
+        }
+        self.monitoring.next_evaluation_at = now + EVALUATION_INTERVAL;
+        let mut signals = self.evaluate_objectives();
+        let conditions = self.conditions();
+        let objectives = &mut self.monitoring.objectives;
+        signals.extend(objectives.look_at_conditions(conditions, now));
+        if self.leadership.is_leading() || self.is_held() {
+            signals.iter().for_each(log_signal);
+        }
+        self.check_unknown_dependencies();
+    }
+
+    fn likely_cause(&self) -> LikelyCause {
+        let regions = self.cluster.settings.size();
+        let leader = self.leadership.leader();
+        if self.is_held() {
+            LikelyCause::RecordsLost
+        } else if self.cluster.state_store.failing() {
+            LikelyCause::StateServiceDown
+        } else if !self.cluster.region_reports.are_all_reconciled(regions) {
+            LikelyCause::Takeover
+        } else if self.cloud_client.down() {
+            LikelyCause::CloudDown
+        } else if leader.is_some_and(|leader| leader.refused(self.cluster.now)) {
+            LikelyCause::NoCapacity
+        } else if leader.is_some_and(|leader| !leader.boots.in_trouble().is_empty()) {
+            LikelyCause::SlowProvisioning
+        } else if self.ownership.regions().any(Region::is_quota_blocked) {
+            LikelyCause::QuotaUsedUp
+        } else {
+            LikelyCause::Backlog
+        }
+    }
+
+    /// Evaluates the objectives against the open jobs; returns the signals to give.
+    fn evaluate_objectives(&mut self) -> Vec<Signal> {
+        let cause = self.likely_cause().to_string();
+        let replica = &self.cluster.state_store.replica;
+        let settings = &self.cluster.settings;
+        let last_guaranteed: BTreeMap<&str, (u64, String)> = replica
+            .teams
+            .keys()
+            .filter_map(|team| {
+                let last = quota::last_guaranteed(replica, settings, team)?;
+                Some((team.as_str(), last))
+            })
+            .collect();
+        let reports = &self.cluster.region_reports;
+        let running: BTreeSet<&str> = reports.running_tasks().map(|t| t.job.as_str()).collect();
+        let open_jobs = replica.open_jobs().map(|(id, _, spec)| Seen {
+            id,
+            spec,
+            guaranteed: last_guaranteed
+                .get(spec.team.as_str())
+                .is_some_and(|last| (spec.submitted_at, id) <= (last.0, &last.1)),
+            started: running.contains(id.as_str()) || replica.progress.contains_key(id),
+            pipeline: replica.pipeline_end(id),
+        });
+        let is_done = |id: &str| replica.stage(id) == Some(JobStage::Done);
+        let is_open = |id: &str| replica.stage(id) == Some(JobStage::Open);
+        let wall = self.net.wall();
+        let objectives = &mut self.monitoring.objectives;
+        objectives.look(open_jobs, is_done, is_open, wall, &cause)
+    }
+
+    /// Conditions that operators should know of, as far as this controller sees them.
+    fn conditions(&mut self) -> Vec<Condition> {
+        let question_rate = self.monitoring.question_rate.look(self.cluster.now);
+        let mut found: Vec<Condition> = question_rate.into_iter().collect();
+        found.extend(self.data_loss.condition());
+        found.extend(self.slow_provisioning());
+        found.extend(self.unreachable_owners());
+        found.extend(self.failing_jobs());
+        found
+    }
+
+    /// Machine pools that the leader finds to come up late or not at all.
+    fn slow_provisioning(&self) -> Vec<Condition> {
+        let Some(leader) = self.leadership.leader() else {
+            return Vec::new();
+        };
+        let pools = leader.boots.in_trouble().into_iter();
+        let conditions = pools.map(|(offer, health)| Condition::BadBoots {
+            machine_type: offer.machine_type,
+            zone: offer.zone,
+            spot: offer.spot,
+            overdue: health.overdue,
+            since: health.since,
+        });
+        conditions.collect()
+    }
+
+    /// Jobs that failed on several machines without a result.
+    fn failing_jobs(&self) -> Vec<Condition> {
+        let jobs = &self.cluster.state_store.replica.jobs;
+        let pending = self.cluster.region_reports.pending_jobs();
+        let failing = pending.filter(|pending| pending.needs_new_attempt);
+        let conditions = failing.filter_map(|pending| {
+            let record = &jobs.get(&pending.job)?.value;
+            // Of a multi-region gang it says only that an attempt failed.
+            if record.multi_region.is_some() {
+                return None;
+            }
+            let spec = record.open_spec()?;
+            Some(Condition::JobFails {
+                job: pending.job.clone(),
+                team: spec.team.clone(),
+                class: spec.class.clone(),
+            })
+        });
+        conditions.collect()
+    }
+
+    /// Logs once when jobs wait for dependencies that have no record, as only a damaged state
+    /// service could bring about. They go on waiting, and nothing of them starts.
+    fn check_unknown_dependencies(&mut self) {
+        let replica = &self.cluster.state_store.replica;
+        let waiting = replica.waiting_for_unknown();
+        let count = waiting.len();
+        if count > self.monitoring.jobs_with_unknown_dependencies {
+            let first = waiting.first().map_or("", |job| job.as_str());
+            log::warn!("job={first}: waits for jobs without a record, {count} jobs in all");
+        }
+        self.monitoring.jobs_with_unknown_dependencies = count;
+    }
+}
+
+fn log_signal(signal: &Signal) {
+    let level = if signal.is_warning() {
+        log::Level::Warn
+    } else {
+        log::Level::Info
+    };
+    log::log!(level, "{signal}");
+}
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -1,35 +1,41 @@
-//! Regions whose owner their workers don't reach: a controller may lose its workers alone
-//! and keep the state service and its peers. Its lease stands, so nobody would take its
-//! regions, and each worker's own lease runs out.
+//! Regions whose machines don't reach their owner: a controller may lose its workers alone and
+//! keep the state service and its peers. Its lease is renewed, so nobody would acquire its
+//! regions, and each worker's own lease expires.
 //!
-//! The other controllers see it: workers that reach no owner turn to them. They tell the
-//! owner how many, and an owner that itself hears from few releases the region. Nothing of
-//! this carries authority: a release is the deletion of the region's record by its owner,
-//! as when a region is returned to its home, and whoever takes it accounts for every
-//! machine.
+//! The other controllers see it: workers that reach no owner turn to them. They tell the owner
+//! how many, and an owner that itself receives heartbeats from few releases the region. None of
+//! this carries authority: a release is the deletion of the region's record by its owner, as in
+//! a failback, and whoever acquires the region reconciles every machine.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use salttiller_records::units::{Micros, SECOND};
+
+use super::Controller;
+use crate::fault_injection::{is_disabled, Safeguard};
+use crate::peer_protocol::{self, Message};
+use crate::reactor::Net;
 use crate::status::conditions::Condition;
 
-/// For how long a worker that turned to us counts.
+/// For how long a worker that turned to this controller counts.
 const REDIRECT_WINDOW: Micros = 12 * SECOND;
-/// How often owners are told.
-const TELL_EVERY: Micros = SECOND;
-/// How old an owner's news of its unreached machines may be.
-const NEWS_VALID: Micros = 3 * SECOND;
-/// How long the controller that released a region leaves it to the others.
+/// A worker that turns to this controller for longer than this didn't reach its owner after it
+/// was first redirected there.
+const REDIRECT_GRACE_PERIOD: Micros = 2 * SECOND;
+/// Interval at which owners are notified.
+const NOTIFICATION_INTERVAL: Micros = SECOND;
+/// How long an owner goes by a peer's notification.
+const NOTIFICATION_VALIDITY: Micros = 3 * SECOND;
+/// How long the controller that released a region leaves it to its peers.
 const RELEASE_PAUSE: Micros = 15 * SECOND;
-/// How long a region is kept from a home that its workers didn't reach; doubled each time.
-const KEEP_FROM_HOME: Micros = 60 * SECOND;
+/// How long a region is kept from a home that its machines didn't reach; doubled each time.
+const FAILBACK_BACKOFF: Micros = 60 * SECOND;
 /// Most doublings of that.
-const MAX_DOUBLINGS: u32 = 3;
-/// A region with fewer machines is not released: too little to judge by.
-const LEAST_MACHINES: usize = 2;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
+/// A region with fewer machines is not released: too few to judge by.
+const MIN_MACHINES: usize = 2;
 
-/// A worker that turns to us for longer than this didn't find its owner the first time.
-const LASTING: Micros = 2 * SECOND;
-
-/// When a worker turned to us.
+/// When a worker turned to this controller.
 #[derive(Debug, Clone, Copy)]
 struct Redirect {
     first: Micros,
@@ -38,16 +44,16 @@
 
 /// Workers of other owners' regions that turned to this controller.
 #[derive(Debug, Default)]
-pub(super) struct Redirects {
+struct Redirects {
     /// By region and machine.
-    seen: BTreeMap<String, BTreeMap<String, Redirect>>,
+    by_region: BTreeMap<String, BTreeMap<String, Redirect>>,
 }
 
 impl Redirects {
-    /// A machine of this region turned to us. Machines are those on record, so there are
-    /// no more of them than of these.
-    pub fn note(&mut self, region: &str, machine: &str, now: Micros) {
-        let machines = self.seen.entry(region.to_owned()).or_default();
+    /// A machine of this region was redirected. Machines are those on record, so there are no
+    /// more entries than of these.
+    fn record(&mut self, region: &str, machine: &str, now: Micros) {
+        let machines = self.by_region.entry(region.to_owned()).or_default();
         let first = Redirect {
             first: now,
             last: now,
@@ -57,178 +63,230 @@
 
     /// Forgets what is older than the window.
     fn expire(&mut self, now: Micros) {
-        for machines in self.seen.values_mut() {
+        for machines in self.by_region.values_mut() {
             machines.retain(|_, redirect| now < redirect.last + REDIRECT_WINDOW);
         }
-        self.seen.retain(|_, machines| !machines.is_empty());
+        self.by_region.retain(|_, machines| !machines.is_empty());
+    }
+
+    /// The regions with redirected machines, and how many these are.
+    fn regions(&self) -> impl Iterator<Item = (&String, usize)> {
+        self.by_region
+            .iter()
+            .map(|(region, machines)| (region, machines.len()))
     }
 
-    /// How many machines of a region turned to us lately.
+    /// How many machines of a region were redirected within the window.
     fn count(&self, region: &str) -> usize {
-        self.seen.get(region).map_or(0, BTreeMap::len)
+        self.by_region.get(region).map_or(0, BTreeMap::len)
     }
 
-    /// How many of these did so again after they were told of their owner.
-    fn lasting(&self, region: &str) -> usize {
-        let machines = self.seen.get(region).into_iter().flatten();
-        let lasts = |r: &Redirect| r.last > r.first + LASTING;
-        machines.filter(|(_, r)| lasts(r)).count()
+    /// How many of these returned although they were told of their owner.
+    fn count_returned(&self, region: &str) -> usize {
+        let machines = self.by_region.get(region).into_iter().flatten();
+        let has_returned = |r: &Redirect| r.last > r.first + REDIRECT_GRACE_PERIOD;
+        machines.filter(|(_, r)| has_returned(r)).count()
     }
 }
 
-/// What a peer told of our region's machines.
+/// A peer's notification that machines of an owned region turn to it.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct UnreachedNews {
+struct Notification {
     machines: usize,
-    at: Micros,
+    received_at: Micros,
+}
+
+/// A region that was acquired although its home was healthy.
+#[derive(Debug, Clone, Copy, Default)]
+struct FailbackBackoff {
+    until: Micros,
+    /// How often that has happened.
+    times: u32,
 }
 
-/// Regions that changed hands because their owner wasn't reached.
+/// Regions whose owner changed because their machines didn't reach it.
 #[derive(Debug, Default)]
-pub(super) struct Releases {
-    /// Regions of ours that we released, and until when others may take them first.
+struct Releases {
+    /// Regions that this controller released, and until when they are left to its peers.
     released: BTreeMap<String, Micros>,
-    /// Regions that we took from a home that was well, until when they are kept, and how
-    /// often that has happened.
-    kept: BTreeMap<String, (Micros, u32)>,
+    /// Regions that this controller acquired from a healthy home.
+    kept: BTreeMap<String, FailbackBackoff>,
 }
 
 impl Releases {
-    /// Notes that we released a region.
-    fn note_release(&mut self, region: &str, now: Micros) {
+    /// This controller released a region.
+    fn on_released(&mut self, region: &str, now: Micros) {
         self.released.insert(region.to_owned(), now + RELEASE_PAUSE);
     }
 
     /// Whether a region may be released, that is not again soon after.
     fn may_release(&self, region: &str, now: Micros) -> bool {
         let last = self.released.get(region);
-        last.is_none_or(|until| now > *until + KEEP_FROM_HOME)
+        last.is_none_or(|until| now > *until + FAILBACK_BACKOFF)
     }
 
-    /// Whether a region is left to the others for now.
-    pub fn is_left(&self, region: &str, now: Micros) -> bool {
+    /// Whether a region is left to the peers for now.
+    fn is_left_to_peers(&self, region: &str, now: Micros) -> bool {
         self.released.get(region).is_some_and(|until| now < *until)
     }
 
     /// Whether a region is kept from its home for now.
-    pub fn is_kept(&self, region: &str, now: Micros) -> bool {
-        self.kept.get(region).is_some_and(|(until, _)| now < *until)
+    fn is_kept_from_home(&self, region: &str, now: Micros) -> bool {
+        self.kept.get(region).is_some_and(|kept| now < kept.until)
     }
 
-    /// Notes that a region was taken although its home was well.
-    pub fn keep(&mut self, region: &str, now: Micros) {
-        let (until, times) = self.kept.entry(region.to_owned()).or_default();
-        *until = now + (KEEP_FROM_HOME << (*times).min(MAX_DOUBLINGS));
-        *times += 1;
+    /// A region was acquired although its home was healthy.
+    fn keep_from_home(&mut self, region: &str, now: Micros) {
+        let kept = self.kept.entry(region.to_owned()).or_default();
+        kept.until = now + (FAILBACK_BACKOFF << kept.times.min(MAX_BACKOFF_DOUBLINGS));
+        kept.times += 1;
+    }
+}
+
+/// What is known of owners that their machines don't reach, this controller included.
+#[derive(Debug, Default)]
+pub(super) struct OwnerReachability {
+    redirects: Redirects,
+    releases: Releases,
+    /// Latest notification about each owned region.
+    notifications: BTreeMap<String, Notification>,
+    next_notification_at: Micros,
+    /// Since when this controller could answer its machines without a break.
+    able_to_answer_since: Option<Micros>,
+}
+
+impl OwnerReachability {
+    /// A machine of another owner's region was redirected to it.
+    pub fn record_redirect(&mut self, region: &str, machine: &str, now: Micros) {
+        self.redirects.record(region, machine, now);
+    }
+
+    /// Whether a region that this controller released is left to its peers for now.
+    pub fn is_left_to_peers(&self, region: &str, now: Micros) -> bool {
+        self.releases.is_left_to_peers(region, now)
+    }
+
+    /// Whether a region is kept from its home for now, since its machines didn't reach that.
+    pub fn is_kept_from_home(&self, region: &str, now: Micros) -> bool {
+        self.releases.is_kept_from_home(region, now)
+    }
+
+    /// A region was acquired although its home was healthy: it is kept for a while.
+    pub fn keep_from_home(&mut self, region: &str, now: Micros) {
+        self.releases.keep_from_home(region, now);
     }
 }
 
 impl<N: Net> Controller<N> {
     /// Whether half of a region's machines turn to this controller.
     pub(super) fn is_asked_by_most(&self, region: &str) -> bool {
-        let stock = self.registry.replica.stock.get(region);
-        let machines: u32 = stock.map_or(0, |kinds| kinds.values().sum());
-        let count = self.redirects.count(region);
-        count >= LEAST_MACHINES && count * 2 >= machines as usize
-    }
-
-    /// Owners whose workers mostly turn to this controller.
-    pub(super) fn unreached_owners(&self) -> Vec<Condition> {
-        let regions = self.redirects.seen.keys();
-        let asked = regions.filter(|r| !self.regions.contains_key(*r) && self.is_asked_by_most(r));
-        asked
-            .map(|r| (r, self.redirects.lasting(r)))
-            .filter(|(_, machines)| *machines >= LEAST_MACHINES)
-            .map(|(r, machines)| Condition::OwnerUnreached {
-                region: r.clone(),
+        let machines = self.cluster.recorded_machines(region) as usize;
+        let redirected = self.reachability.redirects.count(region);
+        redirected >= MIN_MACHINES && redirected * 2 >= machines
+    }
+
+    /// Conditions of other owners whose machines mostly turn to this controller.
+    pub(super) fn unreachable_owners(&self) -> Vec<Condition> {
+        let redirects = &self.reachability.redirects;
+        let regions = redirects.regions().map(|(region, _)| region);
+        regions
+            .filter(|region| !self.ownership.owns(region) && self.is_asked_by_most(region))
+            .map(|region| (region, redirects.count_returned(region)))
+            .filter(|(_, machines)| *machines >= MIN_MACHINES)
+            .map(|(region, machines)| Condition::OwnerUnreached {
+                region: region.clone(),
                 machines,
             })
             .collect()
     }
 
-    /// Tells owners how many of their machines turn to us instead.
-    pub(super) fn tell_unreached(&mut self) {
-        if self.now < self.tell_unreached_next {
+    /// Tells owners how many of their machines turn to this controller, if that is due.
+    pub(super) fn notify_unreachable_owners(&mut self) {
+        let now = self.cluster.now;
+        if now < self.reachability.next_notification_at {
             return;
         }
-        self.tell_unreached_next = self.now + TELL_EVERY;
-        self.redirects.expire(self.now);
-        if !self.fresh() {
-            // We could not take the region either.
+        self.reachability.next_notification_at = now + NOTIFICATION_INTERVAL;
+        self.reachability.redirects.expire(now);
+        if !self.cluster.is_fresh() {
+            // This controller could not acquire the region either.
             return;
         }
-        let mut messages = Vec::new();
-        for (region, machines) in &self.redirects.seen {
-            let record = self.registry.replica.regions.get(region);
-            let Some(owner) = record.map(|r| &r.value) else {
+        let records = &self.cluster.state_store.replica.regions;
+        for (region, machines) in self.reachability.redirects.regions() {
+            let Some(record) = records.get(region).map(|record| &record.value) else {
                 continue;
             };
-            let Some(peer) = self.peer_with_extensions(&owner.owner) else {
+            let Some(peer) = self.cluster.peer_with_extensions(&record.owner) else {
                 continue;
             };
             let message = Message::Unreached {
                 region: region.clone(),
-                token: owner.token,
-                machines: machines.len() as u32,
+                token: record.token,
+                machines: machines as u32,
             };
-            messages.push((peer, peer_protocol::encode(&message)));
-        }
-        for (peer, bytes) in messages {
-            self.reactor.send(peer, &bytes);
+            self.net.send(peer, &peer_protocol::encode(&message));
         }
     }
 
     /// A peer tells that machines of a region turn to it.
-    pub(super) fn on_unreached(&mut self, region: String, token: u64, machines: u32) {
-        let ours = self.regions.get(&region).is_some_and(|r| r.token == token);
-        if ours {
-            let news = UnreachedNews {
+    pub(super) fn on_unreachable_report(&mut self, region: String, token: u64, machines: u32) {
+        let owned = self.ownership.get(&region);
+        if owned.is_some_and(|owned| owned.token == token) {
+            let notification = Notification {
                 machines: machines as usize,
-                at: self.now,
+                received_at: self.cluster.now,
             };
-            self.unreached.insert(region, news);
+            self.reachability.notifications.insert(region, notification);
         }
     }
 
-    /// Releases regions whose machines reach a peer and not us. Not while the state
-    /// service doesn't answer us: nobody could be told; and not again soon after.
-    pub(super) fn release_unreached(&mut self) {
-        let now = self.now;
-        if !self.authority() || !self.fresh() {
-            self.able_since = None;
+    /// Releases regions whose machines reach a peer but not this controller. Not while the state
+    /// service is out: nobody could acquire them then.
+    pub(super) fn release_unreachable_regions(&mut self) {
+        let now = self.cluster.now;
+        if !self.cluster.has_authority() || !self.cluster.is_fresh() {
+            self.reachability.able_to_answer_since = None;
             return;
         }
-        // Guards against machines that turned elsewhere while we answered nobody, in an
-        // outage perhaps: they come back by themselves.
-        let able_since = *self.able_since.get_or_insert(now);
-        self.unreached.retain(|_, news| now < news.at + NEWS_VALID);
-        let off = is_disabled(Safeguard::UnreachedRelease);
-        if off || self.unreached.is_empty() {
+        // Guards against machines that turned elsewhere while this controller answered nobody,
+        // in an outage perhaps: they come back by themselves.
+        let able_since = *self.reachability.able_to_answer_since.get_or_insert(now);
+        let notifications = &mut self.reachability.notifications;
+        notifications.retain(|_, n| now < n.received_at + NOTIFICATION_VALIDITY);
+        if is_disabled(Safeguard::UnreachedRelease) {
             return;
         }
-        let context = context!(self);
-        let release: Vec<(String, u64)> = self
-            .unreached
-            .iter()
-            .filter_map(|(name, news)| Some((self.regions.get(name)?, news)))
-            .filter(|(r, news)| {
-                let opened = r.activated_machines();
-                opened >= LEAST_MACHINES
-                    && news.machines * 2 >= opened
-                    && r.hears_from_few(able_since, &context)
-            })
-            .filter(|(r, _)| self.releases.may_release(&r.name, now))
-            .map(|(r, _)| (r.name.clone(), r.version))
-            .collect();
-        for (name, version) in release {
-            log::warn!("node: region {name}: released, its machines reach a peer and not us");
-            // From here on nothing is commanded for it, whatever becomes of the commit.
-            self.regions.remove(&name);
-            self.unreached.remove(&name);
-            self.releases.note_release(&name, now);
-            self.give_up(name, version);
+        for (region, version) in self.unreachable_regions(able_since) {
+            log::warn!("region={region}: released, its machines reach a peer but not this owner");
+            self.reachability.notifications.remove(&region);
+            self.reachability.releases.on_released(&region, now);
+            self.release_region(&region, version);
         }
     }
+
+    /// Owned regions to release, with the versions of their records: at least half of their
+    /// machines turn to a peer, and few of them reach this controller, which has been able to
+    /// answer them since `able_since`.
+    fn unreachable_regions(&self, able_since: Micros) -> Vec<(String, u64)> {
+        if self.reachability.notifications.is_empty() {
+            return Vec::new();
+        }
+        let now = self.cluster.now;
+        let context = self.cluster.scheduling_context(self.net.wall());
+        let notified = self.reachability.notifications.iter();
+        notified
+            .filter_map(|(name, notification)| Some((self.ownership.get(name)?, notification)))
+            .filter(|(region, notification)| {
+                let activated = region.activated_machines();
+                activated >= MIN_MACHINES
+                    && notification.machines * 2 >= activated
+                    && region.hears_from_few(able_since, &context)
+            })
+            .filter(|(region, _)| self.reachability.releases.may_release(&region.name, now))
+            .map(|(region, _)| (region.name.clone(), region.version))
+            .collect()
+    }
 }
 
 #[cfg(test)]
--- a/src/controller/owner_reachability/tests.rs
+++ b/src/controller/owner_reachability/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of reachability.
+//! Tests of the reachability of owners.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 fn redirects_and_releases_are_forgotten() {
     let mut redirects = Redirects::default();
     for (machine, at) in [("m-1", 1), ("m-2", 5), ("m-1", 8)] {
-        redirects.note("t-0", machine, at * SECOND);
+        redirects.record("t-0", machine, at * SECOND);
     }
     for (at, count) in [(8, 2), (16, 2), (18, 1), (20, 0)] {
         redirects.expire(at * SECOND);
@@ -16,10 +16,10 @@
     let mut releases = Releases::default();
     let mut now = 0;
     for span in [60, 120, 240, 480, 480] {
-        releases.keep("t-0", now);
-        assert!(releases.is_kept("t-0", now + (span - 1) * SECOND));
+        releases.keep_from_home("t-0", now);
+        assert!(releases.is_kept_from_home("t-0", now + (span - 1) * SECOND));
         now += span * SECOND;
-        assert!(!releases.is_kept("t-0", now), "{span} s");
+        assert!(!releases.is_kept_from_home("t-0", now), "{span} s");
     }
-    assert!(!releases.is_kept("t-1", now));
+    assert!(!releases.is_kept_from_home("t-1", now));
 }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,174 +1,75 @@
-//! Messages between controllers.
+//! Messages from the other controllers. None carries authority: each is checked against the
+//! records and the owned regions before it is acted on.
 
-use super::*;
+use salttiller_records::model::is_job_id;
+use salttiller_records::record::JobStage;
+use salttiller_records::units::{Micros, SECOND};
 
-impl<N: Net> Controller<N> {
-    /// Tells the other controllers how we are: the leader all and often, since it
-    /// plans by it, the others just that we are here, and all of it now and then.
-    pub(super) fn send_state(&mut self) {
-        let regions: Vec<peer_protocol::RegionReport> = if self.authority() {
-            let context = context!(self);
-            self.regions.values().map(|r| r.report(&context)).collect()
-        } else {
-            Vec::new()
-        };
-        for r in &regions {
-            self.reports.insert(r.region.clone(), (r.clone(), self.now));
-        }
-        let now = self.now;
-        self.reports.retain(|_, (_, at)| now < *at + 6 * SECOND);
-        self.short.clear();
-        for (name, (r, _)) in &self.reports {
-            if !self.regions.contains_key(name) {
-                for (team, at) in &r.quota_blocked_teams {
-                    let e = self.short.entry(team.clone()).or_insert(*at);
-                    *e = (*e).min(*at);
-                }
-            }
-        }
-        self.send_boots();
-        self.mesh_count += 1;
-        let all = self.mesh_count.is_multiple_of(ALL_TOLD);
-        let state = |regions: Vec<peer_protocol::RegionReport>| {
-            peer_protocol::encode(&Message::State {
-                from: self.settings.name.clone(),
-                run: self.run | peer_protocol::UNDERSTANDS_EXTENSIONS,
-                fresh: self.fresh(),
-                regions,
-            })
-        };
-        let leader = self.registry.replica.leader.as_ref();
-        let leader = leader.map(|l| l.value.holder.clone());
-        let brief = state(Vec::new());
-        let full = state(regions);
-        for i in 0..self.settings.peers.len() {
-            let leads = leader.as_deref() == Some(&*self.settings.peers[i].name);
-            self.reactor
-                .send(i, if all || leads { &full } else { &brief });
+use super::Controller;
+use crate::fault_injection::{is_disabled, Safeguard};
+use crate::peer_protocol::{self, Message, RegionReport};
+use crate::reactor::{ConnId, Net};
+
+/// At most one line in this time is logged about messages that can't be decoded.
+const DECODE_FAILURE_LOG_INTERVAL: Micros = 60 * SECOND;
+
+/// State of the receiving side.
+#[derive(Debug, Default)]
+pub(super) struct PeerMessages {
+    /// When a message that can't be decoded is logged again.
+    next_decode_failure_log_at: Micros,
+}
+
+impl PeerMessages {
+    /// Logs that a message couldn't be decoded: one line for a peer of another version, not one
+    /// for each of its messages.
+    fn on_decode_failure(&mut self, now: Micros) {
+        if now >= self.next_decode_failure_log_at {
+            self.next_decode_failure_log_at = now + DECODE_FAILURE_LOG_INTERVAL;
+            log::warn!("messages of an unknown form are ignored");
         }
     }
+}
 
-    /// Tells the leader how machines of our regions come up, if some are overdue.
-    fn send_boots(&mut self) {
-        if !self.authority() {
-            return;
-        }
-        let now = self.now;
-        let told: Vec<Message> = self
-            .regions
-            .values_mut()
-            .map(|r| Message::Boots {
-                region: r.name.clone(),
-                kinds: r.provisioning_health(now),
-            })
-            .filter(|m| matches!(m, Message::Boots { kinds, .. } if !kinds.is_empty()))
-            .collect();
-        let leader = self.registry.replica.leader.as_ref();
-        let leader = leader.map(|l| l.value.holder.clone()).unwrap_or_default();
-        let peer = self.peer_with_extensions(&leader);
-        for m in told {
-            match peer {
-                Some(i) => self.reactor.send(i, &peer_protocol::encode(&m)),
-                None if self.leader.is_some() => self.on_message(m),
-                None => {}
+impl<N: Net> Controller<N> {
+    /// A frame of a peer or of the operators' tools.
+    pub(super) fn on_frame(&mut self, conn: ConnId, bytes: &[u8]) {
+        match peer_protocol::decode(bytes) {
+            Some(Message::AskStatus) => {
+                let page = Message::Status(self.status_page());
+                self.net.reply(conn, &peer_protocol::encode(&page));
             }
+            Some(message) => self.on_message(message),
+            None => self.peer_messages.on_decode_failure(self.cluster.now),
         }
     }
 
-    /// A peer's place among the reactor's.
-    pub(super) fn peer_index(&self, name: &str) -> Option<usize> {
-        self.settings.peers.iter().position(|p| p.name == name)
-    }
-
-    /// The same for one that understands the messages that came with 0.5.
-    pub(super) fn peer_with_extensions(&self, name: &str) -> Option<usize> {
-        let peer = self.peers.get(name)?;
-        self.peer_index(name)
-            .filter(|_| peer.understands_extensions)
-    }
-
-    pub(super) fn on_message(&mut self, m: Message) {
-        match m {
+    /// A message of a peer, or one of this controller's own to itself.
+    pub(super) fn on_message(&mut self, message: Message) {
+        match message {
             Message::State {
                 from,
                 run,
                 fresh,
                 regions,
-            } => {
-                let now = self.now;
-                let Some(p) = self.peers.get_mut(&from) else {
-                    log::info!("node: mesh: state from unknown {from}");
-                    return;
-                };
-                let gap = p.heard.is_none_or(|h| now > h + 3 * SECOND);
-                p.heard = Some(now);
-                p.understands_extensions = run & peer_protocol::UNDERSTANDS_EXTENSIONS != 0;
-                p.fresh = fresh;
-                p.stale_since = (!fresh).then(|| p.stale_since.unwrap_or(now));
-                if !fresh || gap {
-                    p.well_since = None;
-                }
-                if fresh {
-                    p.well_since.get_or_insert(now);
-                }
-                // One with other settings may name regions that we don't have.
-                let known = self.settings.regions();
-                for r in regions.into_iter().filter(|r| known.contains(&r.region)) {
-                    let newer = self
-                        .reports
-                        .get(&r.region)
-                        .is_none_or(|(old, _)| r.token >= old.token);
-                    if newer && !self.regions.contains_key(&r.region) {
-                        self.reports.insert(r.region.clone(), (r, now));
-                    }
-                }
-            }
+            } => self.on_peer_state(&from, run, fresh, regions),
             Message::Move {
                 job,
                 from,
                 to,
                 count,
-            } => {
-                let known = to.is_empty() || self.settings.regions().contains(&to);
-                if !self.authority() || !known {
-                    return;
-                }
-                let context = context!(self);
-                if let Some(r) = self.regions.get_mut(&from) {
-                    r.hand_over_tasks(&job, &to, count, &context);
-                }
-            }
-            Message::AskStatus | Message::Status(_) => {}
+            } => self.on_rebind(&job, &from, &to, count),
             Message::Unreached {
                 region,
                 token,
                 machines,
-            } => self.on_unreached(region, token, machines),
+            } => self.on_unreachable_report(region, token, machines),
             Message::Boots { region, kinds } => {
-                if let Some(l) = &mut self.leader {
-                    l.boots.note(region, kinds, self.now);
-                }
-            }
-            Message::Cancelled { .. }
-                if is_disabled(Safeguard::StartDeadline)
-                    || is_disabled(Safeguard::AuthorityDeadline) => {}
-            Message::Cancelled { jobs } => {
-                for id in jobs {
-                    let rec = self.registry.replica.jobs.get(&id);
-                    let shown = rec.is_some_and(|r| r.value.stage != JobStage::Open);
-                    if shown
-                        || !is_job_id(&id)
-                        || self.reported_cancelled.len() >= MAX_REPORTED_CANCELLED
-                    {
-                        continue;
-                    }
-                    self.reported_cancelled.insert(id.clone());
-                    let context = context!(self);
-                    for r in self.regions.values_mut() {
-                        r.on_reported_cancelled(&id, &context);
-                    }
+                if let Some(leader) = self.leadership.leader_mut() {
+                    leader.boots.note(region, kinds, self.cluster.now);
                 }
             }
+            Message::Cancelled { jobs } => self.on_cancellations_announced(&jobs),
             Message::Close {
                 region,
                 machine_type,
@@ -176,9 +77,9 @@
                 spot,
                 count,
             } => {
-                let context = context!(self);
-                if let Some(r) = self.regions.get_mut(&region) {
-                    r.cordon_surplus((&machine_type, &zone, spot), count, &context);
+                let context = self.cluster.scheduling_context(self.net.wall());
+                if let Some(region) = self.ownership.get_mut(&region) {
+                    region.cordon_surplus((&machine_type, &zone, spot), count, &context);
                 }
             }
             Message::Go {
@@ -186,11 +87,60 @@
                 attempt,
                 region,
             } => {
-                let context = context!(self);
-                if let Some(r) = self.regions.get_mut(&region) {
-                    r.start_gang_part(&job, attempt, &context);
+                let context = self.cluster.scheduling_context(self.net.wall());
+                if let Some(region) = self.ownership.get_mut(&region) {
+                    region.start_gang_part(&job, attempt, &context);
                 }
             }
+            Message::AskStatus | Message::Status(_) => {}
+        }
+    }
+
+    /// A peer's health and the reports of its regions.
+    fn on_peer_state(&mut self, from: &str, run: u64, fresh: bool, reports: Vec<RegionReport>) {
+        let now = self.cluster.now;
+        if !self.cluster.peers.on_state(from, run, fresh, now) {
+            log::info!("state message of unknown controller {from}");
+            return;
+        }
+        // A peer with other settings may name regions that these settings don't have.
+        let known = self.cluster.settings.regions();
+        let reports = reports.into_iter();
+        for report in reports.filter(|report| known.contains(&report.region)) {
+            if !self.ownership.owns(&report.region) {
+                self.cluster.region_reports.record_from_peer(report, now);
+            }
+        }
+    }
+
+    /// The leader has an owned region give tasks of a job to another region, or, if that is
+    /// empty, back to the leader.
+    fn on_rebind(&mut self, job: &str, from: &str, to: &str, count: u32) {
+        let is_known = to.is_empty() || self.cluster.settings.regions().iter().any(|r| r == to);
+        if !self.cluster.has_authority() || !is_known {
+            return;
+        }
+        let context = self.cluster.scheduling_context(self.net.wall());
+        if let Some(region) = self.ownership.get_mut(from) {
+            region.hand_over_tasks(job, to, count, &context);
+        }
+    }
+
+    /// A peer committed the cancellation of jobs.
+    fn on_cancellations_announced(&mut self, jobs: &[String]) {
+        if is_disabled(Safeguard::StartDeadline) || is_disabled(Safeguard::AuthorityDeadline) {
+            return;
+        }
+        for job in jobs {
+            let record = self.cluster.state_store.replica.jobs.get(job);
+            let is_recorded = record.is_some_and(|r| r.value.stage != JobStage::Open);
+            if is_recorded || !is_job_id(job) || !self.cluster.cancellations.record(job) {
+                continue;
+            }
+            let context = self.cluster.scheduling_context(self.net.wall());
+            for region in self.ownership.regions_mut() {
+                region.on_reported_cancelled(job, &context);
+            }
         }
     }
 }
--- a/src/controller/pending_requests/tests.rs
+++ b/src/controller/pending_requests/tests.rs
@@ -1,27 +1,26 @@
 //! Tests of pending requests.
 
-use super::super::ClientRequest;
 use super::*;
 
-fn request(slot: usize, came: Micros, give_up: Micros) -> PendingRequest {
+fn request(slot: usize, received_at: Micros, deadline: Micros) -> PendingRequest {
     PendingRequest {
         conn: ConnId {
             slot,
             generation: 1,
         },
-        ask: ClientRequest::Cancel { id: String::new() },
-        came,
-        give_up,
+        request: ClientRequest::Cancel { job: String::new() },
+        received_at,
+        deadline,
     }
 }
 
-/// Requests leave in the order in which they came, each once: with the read that was
-/// sent after it came, or when its time is up.
+/// Requests leave in the order in which they were received, each once: with the read that was
+/// sent after it was received, or when it expires.
 #[test]
 fn each_request_leaves_once() {
     let mut pending = PendingRequests::default();
-    for (slot, came, give_up) in [(0, 10, 100), (1, 20, 40), (2, 30, 90), (3, 40, 60)] {
-        pending.push(request(slot, came, give_up));
+    for (slot, received_at, deadline) in [(0, 10, 100), (1, 20, 40), (2, 30, 90), (3, 40, 60)] {
+        pending.push(request(slot, received_at, deadline));
     }
     assert_eq!(pending.next_expiry(), Some(40));
     assert!(pending.take_expired(39).is_empty());
--- a/src/controller/regions.rs
+++ b/src/controller/regions.rs
@@ -1,111 +1,196 @@
-//! Taking regions, giving them back, and running those that are ours.
+//! Ownership of regions: acquiring them, releasing them, running those that are owned.
+//!
+//! The states are listed in [`super::region_ownership`]. A controller acquires its home region
+//! at once and others after a grace period; it releases a region to its home (failback) when that
+//! has been healthy for a while.
 
-use super::*;
+use salttiller_records::key::Key;
+use salttiller_records::record::{value, RegionRecord};
+use salttiller_records::units::{Micros, MILLISECOND, SECOND};
+
+use super::commits::PendingCommit;
+use super::{Controller, MAX_STEP_INTERVAL};
+use crate::reactor::Net;
+use crate::region::{self, Region};
+use crate::state_store::{CommitPriority, LeaseRole, Transaction};
+
+/// How long a region must have had no owner before another controller than its home acquires it.
+const HOME_GRACE_PERIOD: Micros = 3 * SECOND;
+/// At most this is added to the grace period at random, so that not all controllers try at once.
+const ACQUISITION_JITTER: Micros = 500 * MILLISECOND;
+/// How long a region's home must have been healthy before the region is released to it.
+const FAILBACK_DELAY: Micros = 10 * SECOND;
+
+/// Whom a region's record names as owner.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum RecordedOwner {
+    /// There is no record.
+    Nobody,
+    /// This incarnation of this controller.
+    ThisIncarnation,
+    /// A former incarnation of this controller, which acts no more.
+    FormerIncarnation,
+    /// Another controller.
+    OtherController,
+}
+
+/// The record of a region's owner as the replica shows it.
+#[derive(Debug, Clone, Copy)]
+struct OwnerRecord {
+    /// 0 if there is none.
+    version: u64,
+    /// 0 if there is none.
+    token: u64,
+    owner: RecordedOwner,
+}
 
 impl<N: Net> Controller<N> {
-    /// Takes regions that are ours to take, and notes those we have lost.
+    /// Acquires and releases regions where that is due, and drops those that were lost.
     pub(super) fn manage_regions(&mut self) {
-        if !self.registry.loaded() {
+        if !self.cluster.state_store.loaded() {
             return;
         }
-        self.release_unreached();
-        for name in self.settings.regions() {
-            let rec = self.registry.replica.regions.get(&name);
-            let (version, rec) = match rec {
-                Some(r) => (r.version, Some(r.value.clone())),
-                None => (0, None),
-            };
-            let ours = rec
-                .as_ref()
-                .is_some_and(|r| r.owner == self.settings.name && self.is_this_run(r.run));
-            if let Some(r) = self.regions.get(&name) {
-                if !ours || rec.as_ref().is_some_and(|x| x.token != r.token) {
-                    log::info!("node: region {name}: lost, token {}", r.token);
-                    self.regions.remove(&name);
-                }
-            }
-            if rec.is_some() {
-                self.absent.remove(&name);
-            }
-            let revision = self.registry.replica.revision;
-            let claim = self.claims.get(&name);
-            if claim.is_some_and(|c| c.is_pending(revision)) {
-                continue;
-            }
-            if !self.authority() {
-                continue;
-            }
-            if ours && !self.retake.contains(&name) {
-                // Ours on record, and the replica holds all that came before.
-                if !self.regions.contains_key(&name) && self.registry.replica.revision >= version {
-                    let token = rec.map_or(0, |r| r.token);
-                    log::info!("node: region {name}: taken, token {token}");
-                    let context = context!(self);
-                    let region = Region::new(&name, token, version, &context);
-                    self.regions.insert(name.clone(), region);
-                    self.claims.remove(&name);
-                }
-                continue;
+        self.release_unreachable_regions();
+        for region in self.cluster.settings.regions() {
+            self.manage_region(&region);
+        }
+        self.fail_back_region();
+    }
+
+    /// One region's transition, if one is due; see [`super::region_ownership`].
+    fn manage_region(&mut self, region: &str) {
+        let record = self.owner_record(region);
+        self.drop_if_lost(region, record);
+        if record.owner != RecordedOwner::Nobody {
+            self.ownership.on_owner_recorded(region);
+        }
+        let revision = self.cluster.state_store.replica.revision;
+        if self.ownership.is_pending(region, revision) || !self.cluster.has_authority() {
+            return;
+        }
+        let reacquire = self.ownership.is_to_be_reacquired(region);
+        match record.owner {
+            RecordedOwner::ThisIncarnation if !reacquire => self.enter_owned(region, record),
+            RecordedOwner::FormerIncarnation if !reacquire && !self.is_home(region) => {
+                // Guards against acquiring it only to fail it back, and reconciling all its
+                // machines twice. Its home acquires it at once if it is up, any other
+                // controller a moment later.
+                log::info!("region={region}: owned by a former incarnation, releasing");
+                self.release_region(region, record.version);
             }
-            let home = name == self.settings.name;
-            // Kept by our former life for another: guards against taking it only to
-            // hand it back, and all its machines being accounted for twice. Its home
-            // takes it at once if it is there, any other a moment later.
-            let left = rec
-                .as_ref()
-                .is_some_and(|r| r.owner == self.settings.name && r.run != self.run);
-            if left && !home && !self.retake.contains(&name) {
-                log::info!("node: region {name}: left by our former life, given up");
-                self.give_up(name, version);
-                continue;
+            // The former process is dead, or a higher token is needed.
+            RecordedOwner::ThisIncarnation | RecordedOwner::FormerIncarnation => {
+                self.acquire_region(region, record.owner);
             }
-            let take = match &rec {
-                // Our own former process is dead, or we want a higher token.
-                Some(r) => r.owner == self.settings.name,
-                None => {
-                    let now = self.now;
-                    let since = *self.absent.entry(name.clone()).or_insert(now);
-                    home || self.is_asked_by_most(&name)
-                        || now >= since + HOME_FIRST + fastrand::u64(0..500 * MILLISECOND)
-                }
-            };
-            if !take || (rec.is_none() && self.releases.is_left(&name, self.now)) {
-                continue;
+            RecordedOwner::Nobody if self.may_acquire_unowned(region) => {
+                self.acquire_region(region, record.owner);
             }
-            let Some(lease) = self.registry.lease_id(LeaseRole::Owner) else {
-                continue;
+            RecordedOwner::Nobody | RecordedOwner::OtherController => {}
+        }
+    }
+
+    fn is_home(&self, region: &str) -> bool {
+        region == self.cluster.settings.name
+    }
+
+    fn owner_record(&self, region: &str) -> OwnerRecord {
+        let Some(record) = self.cluster.state_store.replica.regions.get(region) else {
+            return OwnerRecord {
+                version: 0,
+                token: 0,
+                owner: RecordedOwner::Nobody,
             };
-            let token = self.registry.replica.token.as_ref().map_or(0, |t| t.value) + 1;
-            let txn = self.taking(&name, token, None, lease);
-            log::info!("node: region {name}: taking, token {token}");
-            if !home && rec.is_none() && self.is_well(&name) {
-                self.releases.keep(&name, self.now);
-            }
-            self.retake.remove(&name);
-            self.regions.remove(&name);
-            let t = self.registry.commit(txn, CommitPriority::Urgent, None);
-            self.claims.insert(name.clone(), Acquisition::Committing);
-            self.tickets.insert(t, PendingCommit::Take { region: name });
+        };
+        let owner = if record.value.owner != self.cluster.settings.name {
+            RecordedOwner::OtherController
+        } else if self.cluster.is_this_incarnation(record.value.run) {
+            RecordedOwner::ThisIncarnation
+        } else {
+            RecordedOwner::FormerIncarnation
+        };
+        OwnerRecord {
+            version: record.version,
+            token: record.value.token,
+            owner,
+        }
+    }
+
+    /// Drops a region that is no longer owned on record under its token.
+    fn drop_if_lost(&mut self, region: &str, record: OwnerRecord) {
+        let Some(token) = self.ownership.get(region).map(|r| r.token) else {
+            return;
+        };
+        if record.owner != RecordedOwner::ThisIncarnation || record.token != token {
+            log::info!("region={region} token={token}: lost, no longer owned on record");
+            self.ownership.on_lost(region);
+        }
+    }
+
+    /// The region is owned on record, and the replica holds all that was written before.
+    fn enter_owned(&mut self, region: &str, record: OwnerRecord) {
+        let replica = &self.cluster.state_store.replica;
+        if self.ownership.owns(region) || replica.revision < record.version {
+            return;
+        }
+        log::info!("region={region} token={}: acquired", record.token);
+        let context = self.cluster.scheduling_context(self.net.wall());
+        let region = Region::new(region, record.token, record.version, &context);
+        self.ownership.on_acquired(region);
+    }
+
+    /// Whether a region without an owner may be acquired now: by its home at once, by the
+    /// controller to which most of its machines turn too, by others after the grace period.
+    fn may_acquire_unowned(&mut self, region: &str) -> bool {
+        let now = self.cluster.now;
+        let since = self.ownership.unowned_since(region, now);
+        let is_due = self.is_home(region)
+            || self.is_asked_by_most(region)
+            || now >= since + HOME_GRACE_PERIOD + fastrand::u64(0..ACQUISITION_JITTER);
+        is_due && !self.reachability.is_left_to_peers(region, now)
+    }
+
+    /// Whether the grace period of a region without an owner is over, without jitter.
+    pub(super) fn is_grace_period_over(&mut self, region: &str) -> bool {
+        let now = self.cluster.now;
+        let since = self.ownership.unowned_since(region, now);
+        self.is_home(region) || now >= since + HOME_GRACE_PERIOD
+    }
+
+    /// Commits the acquisition of a region, if the owner lease is held.
+    fn acquire_region(&mut self, region: &str, recorded: RecordedOwner) {
+        let Some(lease) = self.cluster.state_store.lease_id(LeaseRole::Owner) else {
+            return;
+        };
+        let now = self.cluster.now;
+        let token = self.cluster.recorded_token() + 1;
+        let transaction = self.acquisition_transaction(region, token, None, lease);
+        log::info!("region={region} token={token}: acquiring");
+        let is_home_healthy = self.cluster.peers.is_healthy(region, now);
+        if !self.is_home(region) && recorded == RecordedOwner::Nobody && is_home_healthy {
+            self.reachability.keep_from_home(region, now);
         }
-        self.return_region();
+        self.ownership.on_acquisition_sent(region);
+        let region = region.to_owned();
+        let pending = PendingCommit::RegionAcquisition { region };
+        self.commit(transaction, CommitPriority::Urgent, None, pending);
     }
 
-    /// The transaction that takes a region as its records stand, under a token drawn with it;
-    /// `held` names the incident if it is taken in a hold.
-    pub(super) fn taking(
+    /// The transaction that acquires a region at its record's present version, under a token
+    /// drawn with it; `incident` names the hold if it is acquired in one.
+    pub(super) fn acquisition_transaction(
         &self,
-        name: &str,
+        region: &str,
         token: u64,
-        held: Option<u64>,
+        incident: Option<u64>,
         lease: u64,
     ) -> Transaction {
-        let replica = &self.registry.replica;
-        let key = Key::Region(name.to_owned());
+        let replica = &self.cluster.state_store.replica;
+        let key = Key::Region(region.to_owned());
         let owner = RegionRecord {
-            owner: self.settings.name.clone(),
-            run: self.run,
+            owner: self.cluster.settings.name.clone(),
+            run: self.cluster.incarnation(),
             token,
-            held,
+            held: incident,
         };
         Transaction {
             conditions: vec![
@@ -120,73 +205,70 @@
         }
     }
 
-    /// Whether a peer was just heard and reaches the state service.
-    fn is_well(&self, peer: &str) -> bool {
-        self.peers
-            .get(peer)
-            .is_some_and(|p| p.fresh && p.heard.is_some_and(|h| self.now < h + 2 * SECOND))
-    }
-
-    /// Gives a region back to its home once that has been well for a while, so
-    /// that after a cut the load is shared again.
-    pub(super) fn return_region(&mut self) {
-        if !self.authority() {
+    /// Releases a region to its home once that has been healthy for a while, so that the load
+    /// is shared again after a partition. One region a step.
+    fn fail_back_region(&mut self) {
+        if !self.cluster.has_authority() {
             return;
         }
-        let now = self.now;
-        let back = self.regions.values().find(|r| {
+        let now = self.cluster.now;
+        let peers = &self.cluster.peers;
+        let candidate = self.ownership.regions().find(|r| {
             r.is_ready_to_hand_over(now)
-                && r.name != self.settings.name
-                && !self.releases.is_kept(&r.name, now)
-                && self.is_well(&r.name)
-                && self
-                    .peers
-                    .get(&r.name)
-                    .is_some_and(|p| p.well_since.is_some_and(|w| now > w + RETURN_AFTER))
+                && r.name != self.cluster.settings.name
+                && !self.reachability.is_kept_from_home(&r.name, now)
+                && peers.is_healthy_for(&r.name, FAILBACK_DELAY, now)
         });
-        let Some(r) = back else { return };
-        let (name, version) = (r.name.clone(), r.version);
-        log::info!("node: region {name}: handed back to its home");
-        // From here on nothing is commanded for it, whatever becomes of the commit.
-        self.regions.remove(&name);
-        self.give_up(name, version);
+        let Some(region) = candidate else { return };
+        let (name, version) = (region.name.clone(), region.version);
+        log::info!("region={name}: released to its home");
+        self.release_region(&name, version);
     }
 
-    /// Deletes a region's record as it stands, so that its home may take it.
-    pub(super) fn give_up(&mut self, name: String, version: u64) {
-        self.claims.insert(name.clone(), Acquisition::Committing);
-        let key = Key::Region(name.clone());
-        let txn = Transaction {
+    /// Deletes a region's record at the given version, so that another controller may acquire
+    /// the region.
+    pub(super) fn release_region(&mut self, region: &str, version: u64) {
+        self.ownership.on_release_sent(region);
+        let key = Key::Region(region.to_owned());
+        let transaction = Transaction {
             conditions: vec![(key.clone(), version)],
             changes: vec![(key, None)],
             lease: None,
         };
-        let t = self.registry.commit(txn, CommitPriority::Urgent, None);
-        self.tickets.insert(t, PendingCommit::Hand { region: name });
+        let region = region.to_owned();
+        let pending = PendingCommit::RegionRelease { region };
+        self.commit(transaction, CommitPriority::Urgent, None, pending);
     }
 
+    /// Runs the owned regions and carries out their actions; returns when to run them again.
     pub(super) fn run_regions(&mut self) -> Micros {
-        let mut until = self.now + SECOND;
-        if !self.authority() {
-            return until;
+        let mut next = self.cluster.now + MAX_STEP_INTERVAL;
+        if !self.cluster.has_authority() {
+            return next;
         }
-        let context = context!(self);
+        let context = self.cluster.scheduling_context(self.net.wall());
         let mut actions = Vec::new();
-        for (name, r) in self.regions.iter_mut() {
-            until = until.min(r.tick(&context));
-            actions.extend(r.take_actions().into_iter().map(|e| (name.clone(), e)));
+        for region in self.ownership.regions_mut() {
+            next = next.min(region.tick(&context));
+            let name = region.name.clone();
+            let region_actions = region.take_actions().into_iter();
+            actions.extend(region_actions.map(|action| (name.clone(), action)));
         }
-        for (name, e) in actions {
-            match e {
-                region::Action::Commit(txn, urgency, kind) => {
-                    let t = self.registry.commit(txn, urgency, None);
-                    if let Some(r) = self.regions.get_mut(&name) {
-                        r.commit_sent(t, kind);
-                    }
+        for (region, action) in actions {
+            self.carry_out_region_action(&region, action);
+        }
+        next
+    }
+
+    fn carry_out_region_action(&mut self, region: &str, action: region::Action) {
+        match action {
+            region::Action::Commit(transaction, priority, kind) => {
+                let ticket = self.cluster.state_store.commit(transaction, priority, None);
+                if let Some(region) = self.ownership.get_mut(region) {
+                    region.commit_sent(ticket, kind);
                 }
-                region::Action::Release(names) => self.cloud_client.release(names),
             }
+            region::Action::Release(machines) => self.cloud_client.release(machines),
         }
-        until
     }
 }
--- /dev/null
+++ b/src/controller/state_store_events.rs
@@ -0,0 +1,125 @@
+//! Events of the state service's client: changed records, completed reads, commits, lost leases.
+//! Each is handed to the parts that it concerns.
+
+use salttiller_records::key::Key;
+use salttiller_records::record::JobStage;
+
+use super::Controller;
+use crate::reactor::Net;
+use crate::region::{Region, SchedulingContext};
+use crate::state_store::StateStoreEvent;
+
+impl<N: Net> Controller<N> {
+    /// Handles events in their order.
+    pub(super) fn on_state_store_events(&mut self, events: Vec<StateStoreEvent>) {
+        for event in events {
+            self.on_state_store_event(event);
+        }
+        let now = self.cluster.now;
+        for latency in self.cluster.state_store.take_times() {
+            self.client_requests.record_latency(latency, now);
+        }
+    }
+
+    fn on_state_store_event(&mut self, event: StateStoreEvent) {
+        let now = self.cluster.now;
+        match event {
+            StateStoreEvent::Loaded => self.on_loaded(),
+            StateStoreEvent::Changed(keys) => self.on_changed(keys),
+            StateStoreEvent::Barrier(sent) => {
+                self.client_requests.record_latency(now - sent, now);
+                self.check_evidence_of_loss(sent);
+                self.answer_pending_requests(sent);
+            }
+            StateStoreEvent::BarrierFailed(sent) => self.refuse_pending_requests(sent),
+            StateStoreEvent::Committed(ticket, outcome) => self.on_committed(ticket, &outcome),
+            StateStoreEvent::OwnerLeaseLost => {
+                // Records of this controller that the replica still shows belong to the past:
+                // under another incarnation they can only be acquired anew, by
+                // compare-and-swap, never resumed.
+                self.cluster.renew_incarnation();
+                self.ownership.on_lease_lost(now);
+            }
+            StateStoreEvent::LeaderLeaseLost => self.step_down("its lease is lost"),
+            StateStoreEvent::RecordsLost(finding) => self.begin_hold(finding),
+        }
+    }
+
+    /// The replica was read anew.
+    fn on_loaded(&mut self) {
+        let replica = &mut self.cluster.state_store.replica;
+        replica.take_touched();
+        self.cluster.cancellations.retain_unrecorded(replica);
+        replica.take_respecified();
+        let context = self.cluster.scheduling_context(self.net.wall());
+        for region in self.ownership.regions_mut() {
+            region.on_loaded(&context);
+        }
+    }
+
+    /// Continues a cancellation along dependencies that was too long for one step; returns
+    /// whether there was one.
+    pub(super) fn continue_propagation(&mut self) -> bool {
+        let replica = &mut self.cluster.state_store.replica;
+        if !replica.has_unpropagated() {
+            return false;
+        }
+        replica.continue_propagation();
+        self.on_changed(Vec::new());
+        true
+    }
+
+    /// Records changed.
+    fn on_changed(&mut self, keys: Vec<Key>) {
+        let replica = &mut self.cluster.state_store.replica;
+        let machines = replica.take_touched();
+        let respecified_jobs = replica.take_respecified();
+        self.on_machines_changed(&machines);
+        let context = self.cluster.scheduling_context(self.net.wall());
+        for job in &respecified_jobs {
+            for region in self.ownership.regions_mut() {
+                region.on_job(job, &context, false);
+            }
+        }
+        for key in &keys {
+            for region in self.ownership.regions_mut() {
+                on_record_changed(region, key, &context);
+            }
+        }
+        for key in &keys {
+            if let Key::Job(job) = key {
+                let record = self.cluster.state_store.replica.jobs.get(job);
+                if record.is_some_and(|r| r.value.stage != JobStage::Open) {
+                    self.cluster.cancellations.remove(job);
+                }
+            }
+        }
+    }
+
+    fn on_machines_changed(&mut self, machines: &[String]) {
+        let context = self.cluster.scheduling_context(self.net.wall());
+        for machine in machines {
+            for region in self.ownership.regions_mut() {
+                region.on_machine(machine, &context);
+            }
+            if !context.replica.machines.contains_key(machine) {
+                if let Some(leader) = self.leadership.leader_mut() {
+                    leader.machine_gone(machine, context.now);
+                }
+            }
+        }
+    }
+}
+
+/// Tells an owned region of a changed record. Machines are told of one by one, see
+/// `on_machines_changed`; ownership records are read at each step.
+fn on_record_changed(region: &mut Region, key: &Key, context: &SchedulingContext<'_>) {
+    match key {
+        Key::Job(job) => region.on_job(job, context, false),
+        Key::Quota(team) => region.on_quota(team),
+        Key::MachineType(_) => region.on_machine_types_changed(context),
+        Key::Progress(job, ..) => region.on_progress(job, context),
+        Key::Region(_) | Key::Leader | Key::Token | Key::DataLossHold => {}
+        Key::Machine(_) | Key::MachineBatch(_) | Key::Activation(..) => {}
+    }
+}
