--- a/src/controller.rs
+++ b/src/controller.rs
@@ -20,7 +20,6 @@
 //! module that it belongs to.
 
 mod broadcasts;
-mod cancellations;
 mod client_requests;
 mod cluster_state;
 mod commits;
@@ -37,6 +36,7 @@
 mod region_ownership;
 mod region_reports;
 mod regions;
+mod reported_cancellations;
 mod state_store_events;
 mod status_page;
 
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -2,28 +2,25 @@
 //!
 //! An answer is never older than what any controller has answered before. Final states are
 //! answered from the replica; all else waits for a read that begins after the request was
-//! received (see `pending_requests`), and is refused if that can't be had in time.
+//! received (see `pending_requests`), and is refused if that can't be had in time. Requests that
+//! change a job are in `submissions` and `cancellations`.
+
+mod cancellations;
+mod submissions;
 
 use std::collections::VecDeque;
-use std::rc::Rc;
 
 use salttiller_protocol::http::Request;
-use salttiller_records::key::Key;
-use salttiller_records::model::{is_job_id, JobSpec};
-use salttiller_records::record::{value, JobRecord, JobStage};
+use salttiller_records::model::is_job_id;
+use salttiller_records::record::JobStage;
 use salttiller_records::units::{Micros, MILLISECOND};
 
-use super::commits::PendingCommit;
-use super::http_status::{
-    BAD_REQUEST, CREATED, METHOD_NOT_ALLOWED, NOT_FOUND, OK, RETRY_AFTER_S, TOO_MANY_REQUESTS,
-    UNPROCESSABLE,
-};
+use super::http_status::{METHOD_NOT_ALLOWED, NOT_FOUND, OK, UNPROCESSABLE};
 use super::pending_requests::{ClientRequest, PendingRequest, PendingRequests};
 use super::{Controller, MAX_STEP_INTERVAL};
-use crate::admission::{self, Limiter, Refusal};
+use crate::admission::{self, Limiter};
 use crate::peer_protocol::RegionReport;
 use crate::reactor::{ConnId, Net};
-use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
 
 /// A question about a job is refused after this; users wait 2 s for its answer.
 const POLL_TIMEOUT: Micros = 1500 * MILLISECOND;
@@ -100,20 +97,6 @@
         is_answerable
     }
 
-    /// Whether a submission is admitted; if not it is refused at once.
-    fn is_admitted(&mut self, conn: ConnId) -> bool {
-        if !self.is_answerable(conn) {
-            return false;
-        }
-        let in_progress = self.client_requests.committing;
-        let is_admitted = self.client_requests.limiter.admits(in_progress);
-        if !is_admitted {
-            log::info!("submission refused, {in_progress} requests in progress");
-            self.refuse(conn, TOO_MANY_REQUESTS, RETRY_AFTER_S);
-        }
-        is_admitted
-    }
-
     /// Has a request answered after a read that begins now or later.
     fn answer_after_read(&mut self, conn: ConnId, request: ClientRequest, deadline: Micros) {
         self.client_requests.pending.push(PendingRequest {
@@ -125,110 +108,6 @@
         self.cluster.state_store.want_barrier();
     }
 
-    fn on_submission(&mut self, conn: ConnId, body: &[u8]) {
-        let Ok((job, spec)) = admission::parse_submission(body, self.net.wall()) else {
-            return self.respond(conn, BAD_REQUEST, Vec::new());
-        };
-        if self.answer_from_records_only(conn, &job) {
-            return;
-        }
-        // A job that is known stays what it is, whatever the repeat says.
-        if self.cluster.state_store.replica.jobs.contains_key(&job) {
-            let submitted = true;
-            return self.on_job_request(conn, ClientRequest::JobState { job, submitted });
-        }
-        if !self.is_admitted(conn) {
-            return;
-        }
-        let replica = &self.cluster.state_store.replica;
-        if let Err(refusal) = admission::check(&spec, replica, &self.cluster.settings) {
-            return self.refuse_submission(conn, job, &refusal);
-        }
-        let now = self.cluster.now;
-        let jobs = &self.cluster.state_store.replica.jobs;
-        if spec.dependencies.iter().all(|id| jobs.contains_key(id)) {
-            return self.commit_submission(conn, job, spec, now);
-        }
-        // A record once seen stays; that one is missing can only be said after a read.
-        let spec = Box::new(spec);
-        let request = ClientRequest::Submit { job, spec };
-        self.answer_after_read(conn, request, now + CHANGE_TIMEOUT);
-    }
-
-    fn refuse_submission(&mut self, conn: ConnId, job: String, refusal: &Refusal) {
-        match refusal {
-            Refusal::NotYet(reason) => {
-                log::info!("job={job}: submission refused for now: {reason}");
-                self.refuse_unavailable(conn);
-            }
-            Refusal::Needs(_) => {
-                log::info!("job={job}: submission refused: {refusal}");
-                self.respond(conn, BAD_REQUEST, refusal.to_string().into_bytes());
-            }
-            _ => {
-                // Another controller may have accepted it a moment ago: only the records can
-                // tell.
-                log::info!("job={job}: submission refused unless it is on record: {refusal}");
-                let submitted = true;
-                let request = ClientRequest::JobState { job, submitted };
-                self.answer_after_read(conn, request, self.cluster.now + CHANGE_TIMEOUT);
-            }
-        }
-    }
-
-    /// Commits the record of a new job; the answer is sent when it is committed.
-    fn commit_submission(&mut self, conn: ConnId, job: String, spec: JobSpec, received_at: Micros) {
-        let key = Key::Job(job.clone());
-        let record = JobRecord {
-            stage: JobStage::Open,
-            spec: Some(Rc::new(spec)),
-            task_ranges: Vec::new(),
-            multi_region: None,
-            ended_at: None,
-        };
-        let transaction = Transaction {
-            conditions: vec![(key.clone(), 0)],
-            changes: vec![(key, Some(value(&record)))],
-            lease: None,
-        };
-        let deadline = Some(received_at + CHANGE_TIMEOUT);
-        let pending = PendingCommit::JobSubmission {
-            conn,
-            job,
-            received_at,
-        };
-        self.client_requests.committing += 1;
-        self.commit(transaction, CommitPriority::Urgent, deadline, pending);
-    }
-
-    /// The commit of a new job ended.
-    pub(super) fn on_submission_committed(
-        &mut self,
-        conn: ConnId,
-        job: String,
-        received_at: Micros,
-        outcome: &CommitOutcome,
-    ) {
-        self.client_requests.committing -= 1;
-        match outcome {
-            CommitOutcome::Committed(_) => {
-                log::debug!("job={job}: accepted");
-                // Cancelled at once, if one of its dependencies is.
-                let stage = self.cluster.state_store.replica.stage(&job);
-                let stage = stage.unwrap_or(JobStage::Open);
-                let body = admission::state_body(&job, stage, None);
-                self.respond(conn, CREATED, body);
-            }
-            CommitOutcome::Conflict(_) => {
-                // Known already, or an unanswered sending of this commit was carried out.
-                let submitted = false;
-                let request = ClientRequest::JobState { job, submitted };
-                self.answer_after_read(conn, request, received_at + CHANGE_TIMEOUT);
-            }
-            CommitOutcome::Refused | CommitOutcome::Unknown => self.refuse_unavailable(conn),
-        }
-    }
-
     /// A request about a job that may be on record.
     fn on_job_request(&mut self, conn: ConnId, request: ClientRequest) {
         let job = request.job();
@@ -343,55 +222,6 @@
             }
         }
     }
-
-    /// Commits the cancellation of a job, unless it has come to an end.
-    fn commit_cancellation(&mut self, conn: ConnId, job: String, deadline: Micros) {
-        let replica = &self.cluster.state_store.replica;
-        let Some(recorded) = replica.jobs.get(&job) else {
-            return self.respond(conn, NOT_FOUND, Vec::new());
-        };
-        let stage = replica.stage(&job).unwrap_or(recorded.value.stage);
-        if stage != JobStage::Open {
-            let body = self.job_state_body(&job, stage);
-            return self.respond(conn, OK, body);
-        }
-        let key = Key::Job(job.clone());
-        let transaction = Transaction {
-            conditions: vec![(key.clone(), recorded.version)],
-            changes: vec![(key, Some(value(&recorded.value.cancelled())))],
-            lease: None,
-        };
-        let pending = PendingCommit::JobCancellation {
-            conn,
-            job,
-            deadline,
-        };
-        self.client_requests.committing += 1;
-        self.commit(transaction, CommitPriority::Urgent, Some(deadline), pending);
-    }
-
-    /// The commit of a cancellation ended.
-    pub(super) fn on_cancellation_committed(
-        &mut self,
-        conn: ConnId,
-        job: String,
-        deadline: Micros,
-        outcome: &CommitOutcome,
-    ) {
-        self.client_requests.committing -= 1;
-        match outcome {
-            CommitOutcome::Committed(_) => {
-                log::debug!("job={job}: cancelled");
-                let body = admission::state_body(&job, JobStage::Cancelled, None);
-                self.broadcasts.announce_cancellation(job);
-                self.respond(conn, OK, body);
-            }
-            CommitOutcome::Conflict(_) if self.cluster.now < deadline => {
-                self.answer_after_read(conn, ClientRequest::Cancel { job }, deadline);
-            }
-            _ => self.refuse_unavailable(conn),
-        }
-    }
 }
 
 /// How many tasks of a job run in another owner's region. Owners list their jobs by name.
--- /dev/null
+++ b/src/controller/client_requests/submissions.rs
@@ -0,0 +1,144 @@
+//! Submissions: admission, the commit of the job's record, and the answer when it is committed.
+
+use std::rc::Rc;
+
+use salttiller_records::key::Key;
+use salttiller_records::model::JobSpec;
+use salttiller_records::record::{value, JobRecord, JobStage};
+use salttiller_records::units::Micros;
+
+use super::CHANGE_TIMEOUT;
+use crate::admission::{self, Refusal};
+use crate::controller::commits::PendingCommit;
+use crate::controller::http_status::{BAD_REQUEST, CREATED, RETRY_AFTER_S, TOO_MANY_REQUESTS};
+use crate::controller::pending_requests::ClientRequest;
+use crate::controller::Controller;
+use crate::reactor::{ConnId, Net};
+use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
+
+impl<N: Net> Controller<N> {
+    /// A submission.
+    pub(super) fn on_submission(&mut self, conn: ConnId, body: &[u8]) {
+        let Ok((job, spec)) = admission::parse_submission(body, self.net.wall()) else {
+            return self.respond(conn, BAD_REQUEST, Vec::new());
+        };
+        if self.answer_from_records_only(conn, &job) {
+            return;
+        }
+        // A job that is known stays what it is, whatever the repeat says.
+        if self.cluster.state_store.replica.jobs.contains_key(&job) {
+            let submitted = true;
+            return self.on_job_request(conn, ClientRequest::JobState { job, submitted });
+        }
+        if !self.is_admitted(conn) {
+            return;
+        }
+        let replica = &self.cluster.state_store.replica;
+        if let Err(refusal) = admission::check(&spec, replica, &self.cluster.settings) {
+            return self.refuse_submission(conn, job, &refusal);
+        }
+        let now = self.cluster.now;
+        let jobs = &self.cluster.state_store.replica.jobs;
+        if spec.dependencies.iter().all(|id| jobs.contains_key(id)) {
+            return self.commit_submission(conn, job, spec, now);
+        }
+        // A record once seen stays; that one is missing can only be said after a read.
+        let spec = Box::new(spec);
+        let request = ClientRequest::Submit { job, spec };
+        self.answer_after_read(conn, request, now + CHANGE_TIMEOUT);
+    }
+
+    fn refuse_submission(&mut self, conn: ConnId, job: String, refusal: &Refusal) {
+        match refusal {
+            Refusal::NotYet(reason) => {
+                log::info!("job={job}: submission refused for now: {reason}");
+                self.refuse_unavailable(conn);
+            }
+            Refusal::Needs(_) => {
+                log::info!("job={job}: submission refused: {refusal}");
+                self.respond(conn, BAD_REQUEST, refusal.to_string().into_bytes());
+            }
+            _ => {
+                // Another controller may have accepted it a moment ago: only the records can
+                // tell.
+                log::info!("job={job}: submission refused unless it is on record: {refusal}");
+                let submitted = true;
+                let request = ClientRequest::JobState { job, submitted };
+                self.answer_after_read(conn, request, self.cluster.now + CHANGE_TIMEOUT);
+            }
+        }
+    }
+
+    /// Commits the record of a new job; the answer is sent when it is committed.
+    pub(super) fn commit_submission(
+        &mut self,
+        conn: ConnId,
+        job: String,
+        spec: JobSpec,
+        received_at: Micros,
+    ) {
+        let key = Key::Job(job.clone());
+        let record = JobRecord {
+            stage: JobStage::Open,
+            spec: Some(Rc::new(spec)),
+            task_ranges: Vec::new(),
+            multi_region: None,
+            ended_at: None,
+        };
+        let transaction = Transaction {
+            conditions: vec![(key.clone(), 0)],
+            changes: vec![(key, Some(value(&record)))],
+            lease: None,
+        };
+        let deadline = Some(received_at + CHANGE_TIMEOUT);
+        let pending = PendingCommit::JobSubmission {
+            conn,
+            job,
+            received_at,
+        };
+        self.client_requests.committing += 1;
+        self.commit(transaction, CommitPriority::Urgent, deadline, pending);
+    }
+
+    /// The commit of a new job ended.
+    pub(in crate::controller) fn on_submission_committed(
+        &mut self,
+        conn: ConnId,
+        job: String,
+        received_at: Micros,
+        outcome: &CommitOutcome,
+    ) {
+        self.client_requests.committing -= 1;
+        match outcome {
+            CommitOutcome::Committed(_) => {
+                log::debug!("job={job}: accepted");
+                // Cancelled at once, if one of its dependencies is.
+                let stage = self.cluster.state_store.replica.stage(&job);
+                let stage = stage.unwrap_or(JobStage::Open);
+                let body = admission::state_body(&job, stage, None);
+                self.respond(conn, CREATED, body);
+            }
+            CommitOutcome::Conflict(_) => {
+                // Known already, or an unanswered sending of this commit was carried out.
+                let submitted = false;
+                let request = ClientRequest::JobState { job, submitted };
+                self.answer_after_read(conn, request, received_at + CHANGE_TIMEOUT);
+            }
+            CommitOutcome::Refused | CommitOutcome::Unknown => self.refuse_unavailable(conn),
+        }
+    }
+
+    /// Whether a submission is admitted; if not it is refused at once.
+    fn is_admitted(&mut self, conn: ConnId) -> bool {
+        if !self.is_answerable(conn) {
+            return false;
+        }
+        let in_progress = self.client_requests.committing;
+        let is_admitted = self.client_requests.limiter.admits(in_progress);
+        if !is_admitted {
+            log::info!("submission refused, {in_progress} requests in progress");
+            self.refuse(conn, TOO_MANY_REQUESTS, RETRY_AFTER_S);
+        }
+        is_admitted
+    }
+}
--- a/src/controller/cluster_state.rs
+++ b/src/controller/cluster_state.rs
@@ -7,9 +7,9 @@
 
 use salttiller_records::units::Micros;
 
-use super::cancellations::ReportedCancellations;
 use super::peers::Peers;
 use super::region_reports::RegionReports;
+use super::reported_cancellations::ReportedCancellations;
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::region::SchedulingContext;
 use crate::settings::Settings;
@@ -23,6 +23,19 @@
     fastrand::u64(1..INCARNATION_LIMIT)
 }
 
+/// Whom an ownership record (a region's or the leader's) names.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum RecordedHolder {
+    /// There is no record.
+    Nobody,
+    /// This incarnation of this controller.
+    ThisIncarnation,
+    /// A former incarnation of this controller, which acts no more.
+    FormerIncarnation,
+    /// Another controller.
+    OtherController,
+}
+
 /// What the controller knows of the cluster.
 pub(super) struct ClusterState {
     /// Settings of this controller.
@@ -83,9 +96,15 @@
         self.incarnation = random_incarnation();
     }
 
-    /// Whether a record that names this controller was written by this incarnation.
-    pub fn is_this_incarnation(&self, incarnation: u64) -> bool {
-        incarnation == self.incarnation || is_disabled(Safeguard::RunNumber)
+    /// Whom a record with this controller name and incarnation number names.
+    pub fn holder(&self, name: &str, incarnation: u64) -> RecordedHolder {
+        if name != self.settings.name {
+            RecordedHolder::OtherController
+        } else if incarnation == self.incarnation || is_disabled(Safeguard::RunNumber) {
+            RecordedHolder::ThisIncarnation
+        } else {
+            RecordedHolder::FormerIncarnation
+        }
     }
 
     /// The controller that the replica shows as leader, this one included.
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -66,9 +66,13 @@
         if is_of_region {
             return;
         }
-        let Some(pending) = self.pending_commits.remove(&ticket) else {
-            return;
-        };
+        if let Some(pending) = self.pending_commits.remove(&ticket) {
+            self.on_own_commit_ended(pending, outcome);
+        }
+    }
+
+    /// A commit of the controller's own ended.
+    fn on_own_commit_ended(&mut self, pending: PendingCommit, outcome: &CommitOutcome) {
         match pending {
             PendingCommit::JobSubmission {
                 conn,
@@ -88,10 +92,8 @@
             }
             PendingCommit::LeaderRecord => self.leadership.on_acquisition_committed(outcome),
             PendingCommit::LeaderDecision { keys } => {
-                let is_committed = matches!(outcome, CommitOutcome::Committed(_));
-                if let Some(leader) = self.leadership.leader_mut() {
-                    leader.concluded(&keys, is_committed, self.cluster.now);
-                }
+                let now = self.cluster.now;
+                self.leadership.on_decision_committed(&keys, outcome, now);
             }
             PendingCommit::DataLossHoldRecord => self.on_hold_record_committed(outcome),
             PendingCommit::RegionAcquisitionInHold { region, token } => {
--- a/src/controller/data_loss_hold/evidence.rs
+++ b/src/controller/data_loss_hold/evidence.rs
@@ -4,7 +4,7 @@
 use salttiller_records::units::{Micros, SECOND};
 use salttiller_recovery::Reported;
 
-use super::super::Controller;
+use crate::controller::Controller;
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::reactor::Net;
 use crate::worker_protocol::Heartbeat;
@@ -16,7 +16,7 @@
 impl<N: Net> Controller<N> {
     /// Whether a heartbeat contradicts the records as they are known here. A read that begins
     /// now tells whether they are lost; until then the heartbeat is not acted on.
-    pub(in super::super) fn contradicts_records(&mut self, heartbeat: &Heartbeat) -> bool {
+    pub(in crate::controller) fn contradicts_records(&mut self, heartbeat: &Heartbeat) -> bool {
         if is_disabled(Safeguard::ReportEvidence) {
             return false;
         }
@@ -51,7 +51,7 @@
 
     /// A read that was sent at `sent` is complete: what contradicts the records now is a finding,
     /// and begins a hold.
-    pub(in super::super) fn check_evidence_of_loss(&mut self, sent: Micros) {
+    pub(in crate::controller) fn check_evidence_of_loss(&mut self, sent: Micros) {
         let recorded_token = self.cluster.recorded_token();
         let jobs = &self.cluster.state_store.replica.jobs;
         let Some(detection) = &mut self.data_loss.detection else {
--- a/src/controller/data_loss_hold/kept_regions.rs
+++ b/src/controller/data_loss_hold/kept_regions.rs
@@ -5,10 +5,10 @@
 
 use salttiller_records::units::{add_drift, Micros, MILLISECOND};
 
-use super::super::commits::PendingCommit;
-use super::super::region_ownership::Acquisition;
-use super::super::Controller;
 use super::AUTHORITY_MARGIN;
+use crate::controller::commits::PendingCommit;
+use crate::controller::region_ownership::Acquisition;
+use crate::controller::Controller;
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::reactor::Net;
 use crate::state_store::{CommitOutcome, CommitPriority, LeaseRole};
@@ -125,7 +125,7 @@
     }
 
     /// The commit of an acquisition within the hold ended.
-    pub(in super::super) fn on_acquired_in_hold(
+    pub(in crate::controller) fn on_acquired_in_hold(
         &mut self,
         region: String,
         token: u64,
--- a/src/controller/data_loss_hold/requests.rs
+++ b/src/controller/data_loss_hold/requests.rs
@@ -2,9 +2,9 @@
 
 use salttiller_records::record::JobStage;
 
-use super::super::http_status::{OK, UNAVAILABLE};
-use super::super::Controller;
 use crate::admission;
+use crate::controller::http_status::{OK, UNAVAILABLE};
+use crate::controller::Controller;
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::reactor::{ConnId, Net};
 use crate::worker_protocol::{self, Command, Heartbeat, ReportedState};
@@ -16,7 +16,11 @@
 
 impl<N: Net> Controller<N> {
     /// Renews a worker's lease, if this controller keeps its region.
-    pub(in super::super) fn on_heartbeat_in_hold(&mut self, conn: ConnId, heartbeat: &Heartbeat) {
+    pub(in crate::controller) fn on_heartbeat_in_hold(
+        &mut self,
+        conn: ConnId,
+        heartbeat: &Heartbeat,
+    ) {
         let Some(hold) = &mut self.data_loss.hold else {
             return;
         };
@@ -90,7 +94,11 @@
     ///
     /// Users aren't told what is only remembered: should operators go on without it, they would
     /// be told something else later.
-    pub(in super::super) fn answer_from_records_only(&mut self, conn: ConnId, job: &str) -> bool {
+    pub(in crate::controller) fn answer_from_records_only(
+        &mut self,
+        conn: ConnId,
+        job: &str,
+    ) -> bool {
         let Some(detection) = &self.data_loss.detection else {
             return false;
         };
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -16,6 +16,7 @@
 use salttiller_records::record::{value, LeaderRecord};
 use salttiller_records::units::{Micros, MILLISECOND};
 
+use super::cluster_state::RecordedHolder;
 use super::commits::PendingCommit;
 use super::region_ownership::Acquisition;
 use super::{Controller, MAX_STEP_INTERVAL};
@@ -57,6 +58,14 @@
         self.acquisition = Some(Acquisition::after(outcome));
     }
 
+    /// The commit of something that the leader decided ended; the keys name what it concerns.
+    pub fn on_decision_committed(&mut self, keys: &[Key], outcome: &CommitOutcome, now: Micros) {
+        let is_committed = matches!(outcome, CommitOutcome::Committed(_));
+        if let Some(leader) = &mut self.leader {
+            leader.concluded(keys, is_committed, now);
+        }
+    }
+
     /// Whether the time of the candidacy has come; draws it when first asked.
     fn is_candidacy_due(&mut self, now: Micros) -> bool {
         let at = self
@@ -66,16 +75,6 @@
     }
 }
 
-/// Whom the leader's record names.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RecordedLeader {
-    Nobody,
-    ThisIncarnation,
-    /// A former incarnation of this controller, which acts no more.
-    FormerIncarnation,
-    OtherController,
-}
-
 impl<N: Net> Controller<N> {
     /// Stops leading, if this controller does.
     pub(super) fn step_down(&mut self, reason: &str) {
@@ -92,7 +91,7 @@
         }
         let (version, recorded) = self.leader_record();
         let is_superseded = |leader: &Leader| {
-            recorded != RecordedLeader::ThisIncarnation || leader.version != version
+            recorded != RecordedHolder::ThisIncarnation || leader.version != version
         };
         if self.leadership.leader().is_some_and(is_superseded) {
             self.step_down("another leader is on record");
@@ -104,31 +103,28 @@
         }
         self.leadership.acquisition = None;
         match recorded {
-            RecordedLeader::ThisIncarnation => self.enter_leading(version),
-            RecordedLeader::OtherController => self.follow(true),
-            RecordedLeader::Nobody | RecordedLeader::FormerIncarnation => {
+            RecordedHolder::ThisIncarnation => self.enter_leading(version),
+            RecordedHolder::OtherController => self.follow(true),
+            RecordedHolder::Nobody | RecordedHolder::FormerIncarnation => {
                 if self.cluster.is_fresh() {
                     self.stand_as_candidate(version);
                 } else {
-                    self.follow(recorded != RecordedLeader::Nobody);
+                    self.follow(recorded != RecordedHolder::Nobody);
                 }
             }
         }
     }
 
     /// The version of the leader's record (0 if there is none) and whom it names.
-    fn leader_record(&self) -> (u64, RecordedLeader) {
+    fn leader_record(&self) -> (u64, RecordedHolder) {
         let Some(record) = &self.cluster.state_store.replica.leader else {
-            return (0, RecordedLeader::Nobody);
-        };
-        let leader = if record.value.holder != self.cluster.settings.name {
-            RecordedLeader::OtherController
-        } else if self.cluster.is_this_incarnation(record.value.run) {
-            RecordedLeader::ThisIncarnation
-        } else {
-            RecordedLeader::FormerIncarnation
+            return (0, RecordedHolder::Nobody);
         };
-        (record.version, leader)
+        let leader = &record.value;
+        (
+            record.version,
+            self.cluster.holder(&leader.holder, leader.run),
+        )
     }
 
     /// This controller is leader on record.
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -7,7 +7,7 @@
 
 use super::Controller;
 use crate::fault_injection::{is_disabled, Safeguard};
-use crate::peer_protocol::{self, Message, RegionReport};
+use crate::peer_protocol::{self, Message, ProvisioningHealth, RegionReport};
 use crate::reactor::{ConnId, Net};
 
 /// At most one line in this time is logged about messages that can't be decoded.
@@ -64,11 +64,7 @@
                 token,
                 machines,
             } => self.on_unreachable_report(region, token, machines),
-            Message::Boots { region, kinds } => {
-                if let Some(leader) = self.leadership.leader_mut() {
-                    leader.boots.note(region, kinds, self.cluster.now);
-                }
-            }
+            Message::Boots { region, kinds } => self.on_provisioning_health(region, kinds),
             Message::Cancelled { jobs } => self.on_cancellations_announced(&jobs),
             Message::Close {
                 region,
@@ -76,22 +72,12 @@
                 zone,
                 spot,
                 count,
-            } => {
-                let context = self.cluster.scheduling_context(self.net.wall());
-                if let Some(region) = self.ownership.get_mut(&region) {
-                    region.cordon_surplus((&machine_type, &zone, spot), count, &context);
-                }
-            }
+            } => self.on_cordon_request(&region, (&machine_type, &zone, spot), count),
             Message::Go {
                 job,
                 attempt,
                 region,
-            } => {
-                let context = self.cluster.scheduling_context(self.net.wall());
-                if let Some(region) = self.ownership.get_mut(&region) {
-                    region.start_gang_part(&job, attempt, &context);
-                }
-            }
+            } => self.on_gang_start(&job, attempt, &region),
             Message::AskStatus | Message::Status(_) => {}
         }
     }
@@ -143,4 +129,28 @@
             }
         }
     }
+
+    /// The owner of a region tells how machines come up.
+    fn on_provisioning_health(&mut self, region: String, pools: Vec<ProvisioningHealth>) {
+        if let Some(leader) = self.leadership.leader_mut() {
+            leader.boots.note(region, pools, self.cluster.now);
+        }
+    }
+
+    /// The leader has an owned region cordon machines of a pool (type, zone, spot) that are
+    /// not needed, at most `count`.
+    fn on_cordon_request(&mut self, region: &str, pool: (&str, &str, bool), count: u32) {
+        let context = self.cluster.scheduling_context(self.net.wall());
+        if let Some(region) = self.ownership.get_mut(region) {
+            region.cordon_surplus(pool, count, &context);
+        }
+    }
+
+    /// The leader finds that every part of a multi-region gang has its places reserved.
+    fn on_gang_start(&mut self, job: &str, attempt: u64, region: &str) {
+        let context = self.cluster.scheduling_context(self.net.wall());
+        if let Some(region) = self.ownership.get_mut(region) {
+            region.start_gang_part(job, attempt, &context);
+        }
+    }
 }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -118,3 +118,6 @@
                 .all(|p| p.has_sent_state_within(PEER_TIMEOUT, now) && !p.is_fresh)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/region_ownership.rs
+++ b/src/controller/region_ownership.rs
@@ -198,3 +198,6 @@
         self.acquisitions.clear();
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/region_reports.rs
+++ b/src/controller/region_reports.rs
@@ -89,3 +89,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/regions.rs
+++ b/src/controller/regions.rs
@@ -8,6 +8,7 @@
 use salttiller_records::record::{value, RegionRecord};
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
+use super::cluster_state::RecordedHolder;
 use super::commits::PendingCommit;
 use super::{Controller, MAX_STEP_INTERVAL};
 use crate::reactor::Net;
@@ -21,19 +22,6 @@
 /// How long a region's home must have been healthy before the region is released to it.
 const FAILBACK_DELAY: Micros = 10 * SECOND;
 
-/// Whom a region's record names as owner.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RecordedOwner {
-    /// There is no record.
-    Nobody,
-    /// This incarnation of this controller.
-    ThisIncarnation,
-    /// A former incarnation of this controller, which acts no more.
-    FormerIncarnation,
-    /// Another controller.
-    OtherController,
-}
-
 /// The record of a region's owner as the replica shows it.
 #[derive(Debug, Clone, Copy)]
 struct OwnerRecord {
@@ -41,7 +29,7 @@
     version: u64,
     /// 0 if there is none.
     token: u64,
-    owner: RecordedOwner,
+    owner: RecordedHolder,
 }
 
 impl<N: Net> Controller<N> {
@@ -61,7 +49,7 @@
     fn manage_region(&mut self, region: &str) {
         let record = self.owner_record(region);
         self.drop_if_lost(region, record);
-        if record.owner != RecordedOwner::Nobody {
+        if record.owner != RecordedHolder::Nobody {
             self.ownership.on_owner_recorded(region);
         }
         let revision = self.cluster.state_store.replica.revision;
@@ -70,8 +58,8 @@
         }
         let reacquire = self.ownership.is_to_be_reacquired(region);
         match record.owner {
-            RecordedOwner::ThisIncarnation if !reacquire => self.enter_owned(region, record),
-            RecordedOwner::FormerIncarnation if !reacquire && !self.is_home(region) => {
+            RecordedHolder::ThisIncarnation if !reacquire => self.enter_owned(region, record),
+            RecordedHolder::FormerIncarnation if !reacquire && !self.is_home(region) => {
                 // Guards against acquiring it only to fail it back, and reconciling all its
                 // machines twice. Its home acquires it at once if it is up, any other
                 // controller a moment later.
@@ -79,13 +67,13 @@
                 self.release_region(region, record.version);
             }
             // The former process is dead, or a higher token is needed.
-            RecordedOwner::ThisIncarnation | RecordedOwner::FormerIncarnation => {
+            RecordedHolder::ThisIncarnation | RecordedHolder::FormerIncarnation => {
                 self.acquire_region(region, record.owner);
             }
-            RecordedOwner::Nobody if self.may_acquire_unowned(region) => {
+            RecordedHolder::Nobody if self.may_acquire_unowned(region) => {
                 self.acquire_region(region, record.owner);
             }
-            RecordedOwner::Nobody | RecordedOwner::OtherController => {}
+            RecordedHolder::Nobody | RecordedHolder::OtherController => {}
         }
     }
 
@@ -98,20 +86,14 @@
             return OwnerRecord {
                 version: 0,
                 token: 0,
-                owner: RecordedOwner::Nobody,
+                owner: RecordedHolder::Nobody,
             };
         };
-        let owner = if record.value.owner != self.cluster.settings.name {
-            RecordedOwner::OtherController
-        } else if self.cluster.is_this_incarnation(record.value.run) {
-            RecordedOwner::ThisIncarnation
-        } else {
-            RecordedOwner::FormerIncarnation
-        };
+        let owner = &record.value;
         OwnerRecord {
             version: record.version,
-            token: record.value.token,
-            owner,
+            token: owner.token,
+            owner: self.cluster.holder(&owner.owner, owner.run),
         }
     }
 
@@ -120,7 +102,7 @@
         let Some(token) = self.ownership.get(region).map(|r| r.token) else {
             return;
         };
-        if record.owner != RecordedOwner::ThisIncarnation || record.token != token {
+        if record.owner != RecordedHolder::ThisIncarnation || record.token != token {
             log::info!("region={region} token={token}: lost, no longer owned on record");
             self.ownership.on_lost(region);
         }
@@ -157,7 +139,7 @@
     }
 
     /// Commits the acquisition of a region, if the owner lease is held.
-    fn acquire_region(&mut self, region: &str, recorded: RecordedOwner) {
+    fn acquire_region(&mut self, region: &str, recorded: RecordedHolder) {
         let Some(lease) = self.cluster.state_store.lease_id(LeaseRole::Owner) else {
             return;
         };
@@ -166,7 +148,7 @@
         let transaction = self.acquisition_transaction(region, token, None, lease);
         log::info!("region={region} token={token}: acquiring");
         let is_home_healthy = self.cluster.peers.is_healthy(region, now);
-        if !self.is_home(region) && recorded == RecordedOwner::Nobody && is_home_healthy {
+        if !self.is_home(region) && recorded == RecordedHolder::Nobody && is_home_healthy {
             self.reachability.keep_from_home(region, now);
         }
         self.ownership.on_acquisition_sent(region);
