--- a/src/controller/broadcasts.rs
+++ b/src/controller/broadcasts.rs
@@ -18,7 +18,7 @@
     next_state_at: Micros,
     /// State messages sent so far.
     state_rounds: u32,
-    /// Jobs cancelled here that the peers are to be told of.
+    /// Jobs cancelled here whose cancellation is to be announced to the peers.
     cancelled_jobs: Vec<String>,
 }
 
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Tells the leader how machines of the owned regions come up, if some are overdue.
+    /// Sends the leader the provisioning health of the owned regions, if machines are overdue.
     fn send_provisioning_health(&mut self) {
         if !self.cluster.has_authority() {
             return;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Tells all peers of the jobs that were cancelled here since the last step.
+    /// Announces to all peers the jobs that were cancelled here since the last step.
     pub(super) fn announce_cancellations(&mut self) {
         if self.broadcasts.cancelled_jobs.is_empty() {
             return;
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Tells the limiter how long the state service took for a request.
+    /// Feeds the limiter the latency of a request to the state service.
     pub fn record_latency(&mut self, latency: Micros, now: Micros) {
         self.limiter.measured(latency, now);
     }
@@ -160,7 +160,7 @@
         admission::state_body(job, stage, Some((done, running)))
     }
 
-    /// Refuses the requests whose time is up; returns when to look again.
+    /// Refuses the requests that have expired; returns when the next may.
     pub(super) fn expire_pending_requests(&mut self) -> Micros {
         let now = self.cluster.now;
         for conn in self.client_requests.pending.take_expired(now) {
--- a/src/controller/client_requests/submissions.rs
+++ b/src/controller/client_requests/submissions.rs
@@ -25,7 +25,7 @@
         if self.answer_from_records_only(conn, &job) {
             return;
         }
-        // A job that is known stays what it is, whatever the repeat says.
+        // A repeated submission doesn't change the job that is on record.
         if self.cluster.state_store.replica.jobs.contains_key(&job) {
             let submitted = true;
             return self.on_job_request(conn, ClientRequest::JobState { job, submitted });
@@ -42,7 +42,8 @@
         if spec.dependencies.iter().all(|id| jobs.contains_key(id)) {
             return self.commit_submission(conn, job, spec, now);
         }
-        // A record once seen stays; that one is missing can only be said after a read.
+        // Records of jobs stay once they were seen; that one is missing is certain only after a
+        // read.
         let spec = Box::new(spec);
         let request = ClientRequest::Submit { job, spec };
         self.answer_after_read(conn, request, now + CHANGE_TIMEOUT);
--- a/src/controller/cluster_state.rs
+++ b/src/controller/cluster_state.rs
@@ -145,7 +145,7 @@
     }
 
     /// Whether tasks may be started. Beyond the short deadline only while the state service is
-    /// out for everybody, so that nobody can confirm a cancellation: every peer is heard from
+    /// out for everybody, so that nobody can confirm a cancellation: every peer is reachable
     /// and lost the state service when this controller did. What peers report may be wrong, so
     /// no deadline that safety depends on is extended by it; those are the longer deadline's.
     pub fn may_start(&self) -> bool {
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -43,7 +43,7 @@
 pub(super) type PendingCommits = BTreeMap<u64, PendingCommit>;
 
 impl<N: Net> Controller<N> {
-    /// Sends a transaction of the controller's own. `deadline` is when it is given up, if it is.
+    /// Sends a transaction of the controller's own. After `deadline` it is abandoned.
     pub(super) fn commit(
         &mut self,
         transaction: Transaction,
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -54,13 +54,13 @@
 /// Detection of lost records, and the hold that follows it.
 #[derive(Debug, Default)]
 pub(super) struct DataLossProtection {
-    /// `None` if operators don't want it.
+    /// `None` if it is disabled in the settings.
     detection: Option<Detection>,
     hold: Option<Box<DataLossHold>>,
 }
 
 impl DataLossProtection {
-    /// Starts to look for lost records; `heartbeat_interval` is that of the workers.
+    /// Starts the detection of lost records; `heartbeat_interval` is that of the workers.
     pub fn start_detection(&mut self, now: Micros, heartbeat_interval: Micros) {
         self.detection = Some(Detection::starting(now, heartbeat_interval));
     }
@@ -79,7 +79,7 @@
 }
 
 impl<N: Net> Controller<N> {
-    /// Begins a hold, if lost records are to be detected.
+    /// Begins a hold, if detection is enabled.
     pub(super) fn begin_hold(&mut self, finding: Finding) {
         if self.data_loss.detection.is_none() {
             return;
--- a/src/controller/data_loss_hold/evidence.rs
+++ b/src/controller/data_loss_hold/evidence.rs
@@ -15,7 +15,7 @@
 
 impl<N: Net> Controller<N> {
     /// Whether a heartbeat contradicts the records as they are known here. A read that begins
-    /// now tells whether they are lost; until then the heartbeat is not acted on.
+    /// now shows whether they are lost; until then the heartbeat is not acted on.
     pub(in crate::controller) fn contradicts_records(&mut self, heartbeat: &Heartbeat) -> bool {
         if is_disabled(Safeguard::ReportEvidence) {
             return false;
--- a/src/controller/data_loss_hold/requests.rs
+++ b/src/controller/data_loss_hold/requests.rs
@@ -92,8 +92,8 @@
     /// record or a refusal: in a hold, and after a start until workers had the time to contradict
     /// the records. Until then a job may be missing, or be recorded as in an older copy.
     ///
-    /// Users aren't told what is only remembered: should operators go on without it, they would
-    /// be told something else later.
+    /// Users don't get answers from what is only remembered: should operators go on without it,
+    /// later answers would contradict them.
     pub(in crate::controller) fn answer_from_records_only(
         &mut self,
         conn: ConnId,
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -1,6 +1,6 @@
 //! Leadership: acquiring it, losing it, and carrying out what the leader decides.
 //!
-//! | state | kept as | left when |
+//! | state | represented by | left when |
 //! | --- | --- | --- |
 //! | follower | another holder on record | its record goes with its lease |
 //! | waiting to be candidate | `candidacy_at` | that time has come, or another holder is on record |
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Whether the time of the candidacy has come; draws it when first asked.
+    /// Whether the candidacy is due; its time is drawn at the first call.
     fn is_candidacy_due(&mut self, now: Micros) -> bool {
         let at = self
             .candidacy_at
--- a/src/controller/monitoring.rs
+++ b/src/controller/monitoring.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Evaluates the objectives against the open jobs; returns the signals to give.
+    /// Evaluates the objectives against the open jobs; returns the signals to log.
     fn evaluate_objectives(&mut self) -> Vec<Signal> {
         let cause = self.likely_cause().to_string();
         let replica = &self.cluster.state_store.replica;
@@ -184,7 +184,7 @@
         let failing = pending.filter(|pending| pending.needs_new_attempt);
         let conditions = failing.filter_map(|pending| {
             let record = &jobs.get(&pending.job)?.value;
-            // Of a multi-region gang it says only that an attempt failed.
+            // For a multi-region gang the flag means only that an attempt failed.
             if record.multi_region.is_some() {
                 return None;
             }
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -2,8 +2,8 @@
 //! keep the state service and its peers. Its lease is renewed, so nobody would acquire its
 //! regions, and each worker's own lease expires.
 //!
-//! The other controllers see it: workers that reach no owner turn to them. They tell the owner
-//! how many, and an owner that itself receives heartbeats from few releases the region. None of
+//! The other controllers see it: workers that reach no owner contact them. They notify the owner
+//! how many do, and an owner that itself receives heartbeats from few releases the region. None of
 //! this carries authority: a release is the deletion of the region's record by its owner, as in
 //! a failback, and whoever acquires the region reconciles every machine.
 
@@ -17,32 +17,33 @@
 use crate::reactor::Net;
 use crate::status::conditions::Condition;
 
-/// For how long a worker that turned to this controller counts.
+/// For how long a redirected worker counts.
 const REDIRECT_WINDOW: Micros = 12 * SECOND;
-/// A worker that turns to this controller for longer than this didn't reach its owner after it
+/// A worker that contacts this controller for longer than this didn't reach its owner after it
 /// was first redirected there.
 const REDIRECT_GRACE_PERIOD: Micros = 2 * SECOND;
 /// Interval at which owners are notified.
 const NOTIFICATION_INTERVAL: Micros = SECOND;
-/// How long an owner goes by a peer's notification.
+/// How long a peer's notification is valid.
 const NOTIFICATION_VALIDITY: Micros = 3 * SECOND;
 /// How long the controller that released a region leaves it to its peers.
 const RELEASE_PAUSE: Micros = 15 * SECOND;
-/// How long a region is kept from a home that its machines didn't reach; doubled each time.
+/// For how long failback to a home that its machines didn't reach is suspended; doubled each
+/// time.
 const FAILBACK_BACKOFF: Micros = 60 * SECOND;
 /// Most doublings of that.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// A region with fewer machines is not released: too few to judge by.
 const MIN_MACHINES: usize = 2;
 
-/// When a worker turned to this controller.
+/// When a worker of another owner's region contacted this controller and was redirected.
 #[derive(Debug, Clone, Copy)]
 struct Redirect {
     first: Micros,
     last: Micros,
 }
 
-/// Workers of other owners' regions that turned to this controller.
+/// Workers of other owners' regions that contacted this controller.
 #[derive(Debug, Default)]
 struct Redirects {
     /// By region and machine.
@@ -81,7 +82,7 @@
         self.by_region.get(region).map_or(0, BTreeMap::len)
     }
 
-    /// How many of these returned although they were told of their owner.
+    /// How many of these came back after they were redirected to their owner.
     fn count_returned(&self, region: &str) -> usize {
         let machines = self.by_region.get(region).into_iter().flatten();
         let has_returned = |r: &Redirect| r.last > r.first + REDIRECT_GRACE_PERIOD;
@@ -89,7 +90,7 @@
     }
 }
 
-/// A peer's notification that machines of an owned region turn to it.
+/// A peer's notification that machines of an owned region contact it.
 #[derive(Debug, Clone, Copy)]
 struct Notification {
     machines: usize,
@@ -110,7 +111,7 @@
     /// Regions that this controller released, and until when they are left to its peers.
     released: BTreeMap<String, Micros>,
     /// Regions that this controller acquired from a healthy home.
-    kept: BTreeMap<String, FailbackBackoff>,
+    failback_backoffs: BTreeMap<String, FailbackBackoff>,
 }
 
 impl Releases {
@@ -130,16 +131,19 @@
         self.released.get(region).is_some_and(|until| now < *until)
     }
 
-    /// Whether a region is kept from its home for now.
-    fn is_kept_from_home(&self, region: &str, now: Micros) -> bool {
-        self.kept.get(region).is_some_and(|kept| now < kept.until)
+    /// Whether a region is not released to its home for now.
+    fn is_failback_suspended(&self, region: &str, now: Micros) -> bool {
+        let backoff = self.failback_backoffs.get(region);
+        backoff.is_some_and(|backoff| now < backoff.until)
     }
 
     /// A region was acquired although its home was healthy.
-    fn keep_from_home(&mut self, region: &str, now: Micros) {
-        let kept = self.kept.entry(region.to_owned()).or_default();
-        kept.until = now + (FAILBACK_BACKOFF << kept.times.min(MAX_BACKOFF_DOUBLINGS));
-        kept.times += 1;
+    fn suspend_failback(&mut self, region: &str, now: Micros) {
+        let backoff = self.failback_backoffs.entry(region.to_owned());
+        let backoff = backoff.or_default();
+        let doublings = backoff.times.min(MAX_BACKOFF_DOUBLINGS);
+        backoff.until = now + (FAILBACK_BACKOFF << doublings);
+        backoff.times += 1;
     }
 }
 
@@ -166,31 +170,31 @@
         self.releases.is_left_to_peers(region, now)
     }
 
-    /// Whether a region is kept from its home for now, since its machines didn't reach that.
-    pub fn is_kept_from_home(&self, region: &str, now: Micros) -> bool {
-        self.releases.is_kept_from_home(region, now)
+    /// Whether a region is not released to its home for now, since its machines didn't reach that.
+    pub fn is_failback_suspended(&self, region: &str, now: Micros) -> bool {
+        self.releases.is_failback_suspended(region, now)
     }
 
-    /// A region was acquired although its home was healthy: it is kept for a while.
-    pub fn keep_from_home(&mut self, region: &str, now: Micros) {
-        self.releases.keep_from_home(region, now);
+    /// A region was acquired although its home was healthy: failback is suspended for a while.
+    pub fn suspend_failback(&mut self, region: &str, now: Micros) {
+        self.releases.suspend_failback(region, now);
     }
 }
 
 impl<N: Net> Controller<N> {
-    /// Whether half of a region's machines turn to this controller.
-    pub(super) fn is_asked_by_most(&self, region: &str) -> bool {
+    /// Whether at least half of a region's machines contact this controller.
+    pub(super) fn receives_most_redirects(&self, region: &str) -> bool {
         let machines = self.cluster.recorded_machines(region) as usize;
         let redirected = self.reachability.redirects.count(region);
         redirected >= MIN_MACHINES && redirected * 2 >= machines
     }
 
-    /// Conditions of other owners whose machines mostly turn to this controller.
+    /// Conditions of other owners whose machines mostly contact this controller.
     pub(super) fn unreachable_owners(&self) -> Vec<Condition> {
         let redirects = &self.reachability.redirects;
         let regions = redirects.regions().map(|(region, _)| region);
         regions
-            .filter(|region| !self.ownership.owns(region) && self.is_asked_by_most(region))
+            .filter(|region| !self.ownership.owns(region) && self.receives_most_redirects(region))
             .map(|region| (region, redirects.count_returned(region)))
             .filter(|(_, machines)| *machines >= MIN_MACHINES)
             .map(|(region, machines)| Condition::OwnerUnreached {
@@ -200,7 +204,7 @@
             .collect()
     }
 
-    /// Tells owners how many of their machines turn to this controller, if that is due.
+    /// Notifies owners how many of their machines contact this controller, if that is due.
     pub(super) fn notify_unreachable_owners(&mut self) {
         let now = self.cluster.now;
         if now < self.reachability.next_notification_at {
@@ -229,7 +233,7 @@
         }
     }
 
-    /// A peer tells that machines of a region turn to it.
+    /// A peer's notification that machines of a region contact it.
     pub(super) fn on_unreachable_report(&mut self, region: String, token: u64, machines: u32) {
         let owned = self.ownership.get(&region);
         if owned.is_some_and(|owned| owned.token == token) {
@@ -249,7 +253,7 @@
             self.reachability.able_to_answer_since = None;
             return;
         }
-        // Guards against machines that turned elsewhere while this controller answered nobody,
+        // Guards against machines that contacted others while this controller answered nobody,
         // in an outage perhaps: they come back by themselves.
         let able_since = *self.reachability.able_to_answer_since.get_or_insert(now);
         let notifications = &mut self.reachability.notifications;
@@ -266,7 +270,7 @@
     }
 
     /// Owned regions to release, with the versions of their records: at least half of their
-    /// machines turn to a peer, and few of them reach this controller, which has been able to
+    /// machines contact a peer, and few of them reach this controller, which has been able to
     /// answer them since `able_since`.
     fn unreachable_regions(&self, able_since: Micros) -> Vec<(String, u64)> {
         if self.reachability.notifications.is_empty() {
--- a/src/controller/owner_reachability/tests.rs
+++ b/src/controller/owner_reachability/tests.rs
@@ -16,10 +16,10 @@
     let mut releases = Releases::default();
     let mut now = 0;
     for span in [60, 120, 240, 480, 480] {
-        releases.keep_from_home("t-0", now);
-        assert!(releases.is_kept_from_home("t-0", now + (span - 1) * SECOND));
+        releases.suspend_failback("t-0", now);
+        assert!(releases.is_failback_suspended("t-0", now + (span - 1) * SECOND));
         now += span * SECOND;
-        assert!(!releases.is_kept_from_home("t-0", now), "{span} s");
+        assert!(!releases.is_failback_suspended("t-0", now), "{span} s");
     }
-    assert!(!releases.is_kept_from_home("t-1", now));
+    assert!(!releases.is_failback_suspended("t-1", now));
 }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// The leader has an owned region give tasks of a job to another region, or, if that is
-    /// empty, back to the leader.
+    /// The leader has an owned region rebind pending tasks of a job to another region, or, if
+    /// `to` is empty, unbind them.
     fn on_rebind(&mut self, job: &str, from: &str, to: &str, count: u32) {
         let is_known = to.is_empty() || self.cluster.settings.regions().iter().any(|r| r == to);
         if !self.cluster.has_authority() || !is_known {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The owner of a region tells how machines come up.
+    /// The provisioning health of a region's machine pools, from its owner.
     fn on_provisioning_health(&mut self, region: String, pools: Vec<ProvisioningHealth>) {
         if let Some(leader) = self.leadership.leader_mut() {
             leader.boots.note(region, pools, self.cluster.now);
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -61,7 +61,7 @@
 }
 
 impl Peers {
-    /// The peers of the settings, none of them heard from yet.
+    /// The peers of the settings, without a state message yet.
     pub fn new(settings: &[PeerSettings]) -> Self {
         let peers = settings.iter();
         Peers {
@@ -86,7 +86,7 @@
         self.peers.get(name).is_some_and(|p| p.supports_extensions)
     }
 
-    /// Whether a peer was just heard from and reaches the state service.
+    /// Whether a peer has just sent a state message and reaches the state service.
     pub fn is_healthy(&self, name: &str, now: Micros) -> bool {
         self.peers.get(name).is_some_and(|p| p.is_healthy(now))
     }
--- a/src/controller/region_ownership.rs
+++ b/src/controller/region_ownership.rs
@@ -1,6 +1,6 @@
 //! State of the ownership of regions: which are owned, which are being acquired.
 //!
-//! | state | kept as | left when |
+//! | state | represented by | left when |
 //! | --- | --- | --- |
 //! | unowned | no entry; `unowned_since` while no owner is on record | the home, or after the grace period any controller, acquires it |
 //! | acquiring | [`Acquisition::Committing`] | the commit ends |
--- a/src/controller/regions.rs
+++ b/src/controller/regions.rs
@@ -121,12 +121,12 @@
     }
 
     /// Whether a region without an owner may be acquired now: by its home at once, by the
-    /// controller to which most of its machines turn too, by others after the grace period.
+    /// controller that most of its machines contact too, by others after the grace period.
     fn may_acquire_unowned(&mut self, region: &str) -> bool {
         let now = self.cluster.now;
         let since = self.ownership.unowned_since(region, now);
         let is_due = self.is_home(region)
-            || self.is_asked_by_most(region)
+            || self.receives_most_redirects(region)
             || now >= since + HOME_GRACE_PERIOD + fastrand::u64(0..ACQUISITION_JITTER);
         is_due && !self.reachability.is_left_to_peers(region, now)
     }
@@ -149,7 +149,7 @@
         log::info!("region={region} token={token}: acquiring");
         let is_home_healthy = self.cluster.peers.is_healthy(region, now);
         if !self.is_home(region) && recorded == RecordedHolder::Nobody && is_home_healthy {
-            self.reachability.keep_from_home(region, now);
+            self.reachability.suspend_failback(region, now);
         }
         self.ownership.on_acquisition_sent(region);
         let region = region.to_owned();
@@ -198,7 +198,7 @@
         let candidate = self.ownership.regions().find(|r| {
             r.is_ready_to_hand_over(now)
                 && r.name != self.cluster.settings.name
-                && !self.reachability.is_kept_from_home(&r.name, now)
+                && !self.reachability.is_failback_suspended(&r.name, now)
                 && peers.is_healthy_for(&r.name, FAILBACK_DELAY, now)
         });
         let Some(region) = candidate else { return };
--- a/src/controller/state_store_events.rs
+++ b/src/controller/state_store_events.rs
@@ -111,7 +111,7 @@
     }
 }
 
-/// Tells an owned region of a changed record. Machines are told of one by one, see
+/// Applies a changed record to an owned region. Changed machines are applied one by one, see
 /// `on_machines_changed`; ownership records are read at each step.
 fn on_record_changed(region: &mut Region, key: &Key, context: &SchedulingContext<'_>) {
     match key {
