--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -8,8 +8,6 @@
 mod cancellations;
 mod submissions;
 
-use std::collections::VecDeque;
-
 use salttiller_protocol::http::Request;
 use salttiller_records::model::is_job_id;
 use salttiller_records::record::JobStage;
@@ -124,19 +122,8 @@
         if !self.is_answerable(conn) {
             return;
         }
-        let is_poll = matches!(
-            request,
-            ClientRequest::JobState {
-                submitted: false,
-                ..
-            }
-        );
-        let timeout = if is_poll {
-            POLL_TIMEOUT
-        } else {
-            CHANGE_TIMEOUT
-        };
-        self.answer_after_read(conn, request, self.cluster.now + timeout);
+        let deadline = self.cluster.now + request_timeout(&request);
+        self.answer_after_read(conn, request, deadline);
     }
 
     /// The final stage of a job on record, if it has come to an end.
@@ -181,7 +168,7 @@
     /// A read that was sent at `sent` is complete: the requests that were received before are
     /// answered, with nothing older than what was answered before.
     pub(super) fn answer_pending_requests(&mut self, sent: Micros) {
-        let ready: VecDeque<PendingRequest> = self.client_requests.pending.take_until(sent);
+        let ready = self.client_requests.pending.take_until(sent);
         if self.client_requests.pending.len() > 0 {
             self.cluster.state_store.want_barrier();
         }
@@ -224,6 +211,16 @@
     }
 }
 
+/// After which time a request about a job is refused.
+fn request_timeout(request: &ClientRequest) -> Micros {
+    match request {
+        ClientRequest::JobState {
+            submitted: false, ..
+        } => POLL_TIMEOUT,
+        _ => CHANGE_TIMEOUT,
+    }
+}
+
 /// How many tasks of a job run in another owner's region. Owners list their jobs by name.
 fn reported_running_tasks(report: &RegionReport, job: &str) -> u32 {
     let tasks = &report.running_tasks;
