--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -1,288 +1,230 @@
-//! Users' requests.
+//! Users' requests: submissions, cancellations and questions about the state of jobs.
+//!
+//! An answer is never older than what any controller has answered before. Final states are
+//! answered from the replica; all else waits for a read that begins after the request was
+//! received (see `pending_requests`), and is refused if that can't be had in time. Requests that
+//! change a job are in `submissions` and `cancellations`.
 
-use super::*;
+mod cancellations;
+mod submissions;
 
-impl<N: Net> Controller<N> {
-    pub(super) fn refuse(&mut self, conn: ConnId, status: u16, after: u32) {
-        self.reactor.respond(conn, Response::refusal(status, after));
+use salttiller_protocol::http::Request;
+use salttiller_records::model::is_job_id;
+use salttiller_records::record::JobStage;
+use salttiller_records::units::{Micros, MILLISECOND};
+
+use super::http_status::{METHOD_NOT_ALLOWED, NOT_FOUND, OK, UNPROCESSABLE};
+use super::pending_requests::{ClientRequest, PendingRequest, PendingRequests};
+use super::{Controller, MAX_STEP_INTERVAL};
+use crate::admission::{self, Limiter};
+use crate::peer_protocol::RegionReport;
+use crate::reactor::{ConnId, Net};
+
+/// A question about a job is refused after this; users wait 2 s for its answer.
+const POLL_TIMEOUT: Micros = 1500 * MILLISECOND;
+/// A submission or a cancellation is refused after this; users wait 5 s for its answer.
+const CHANGE_TIMEOUT: Micros = 3500 * MILLISECOND;
+
+/// Users' requests in progress.
+pub(super) struct ClientRequests {
+    limiter: Limiter,
+    pending: PendingRequests,
+    /// Submissions and cancellations that are being committed.
+    committing: usize,
+}
+
+impl ClientRequests {
+    /// No requests yet; at most `max_submissions` are to be in progress at once.
+    pub fn new(max_submissions: usize) -> Self {
+        ClientRequests {
+            limiter: Limiter::new(max_submissions),
+            pending: PendingRequests::default(),
+            committing: 0,
+        }
     }
 
-    pub(super) fn on_request(&mut self, conn: ConnId, req: Request) {
-        let path: Vec<&str> = req.path.split('/').skip(1).collect();
-        match (req.method.as_str(), path.as_slice()) {
-            ("GET", ["ready"]) => {
-                let r = if self.ready() {
-                    Response::new(200, Vec::new())
-                } else {
-                    Response::refusal(503, 1)
-                };
-                self.reactor.respond(conn, r);
-            }
-            ("POST", ["v1", "report"]) => self.on_heartbeat(conn, &req.body),
-            ("POST", ["work"]) => self.on_submit(conn, &req.body),
-            ("GET", ["work", id]) => {
-                self.question_rate.note();
-                let id = (*id).to_owned();
+    /// Feeds the limiter the latency of a request to the state service.
+    pub fn record_latency(&mut self, latency: Micros, now: Micros) {
+        self.limiter.measured(latency, now);
+    }
+}
+
+impl<N: Net> Controller<N> {
+    /// A request of a user or a worker.
+    pub(super) fn on_request(&mut self, conn: ConnId, request: &Request) {
+        let path: Vec<&str> = request.path.split('/').skip(1).collect();
+        match (request.method.as_str(), path.as_slice()) {
+            ("GET", ["ready"]) => self.on_readiness_request(conn),
+            ("POST", ["v1", "report"]) => self.on_heartbeat(conn, &request.body),
+            ("POST", ["work"]) => self.on_submission(conn, &request.body),
+            ("GET", ["work", job]) => {
+                self.monitoring.record_question();
+                let job = (*job).to_owned();
                 let submitted = false;
-                self.on_ask(conn, ClientRequest::JobState { id, submitted });
+                self.on_job_request(conn, ClientRequest::JobState { job, submitted });
+            }
+            ("POST", ["work", job, "abort"]) => {
+                let job = (*job).to_owned();
+                self.on_job_request(conn, ClientRequest::Cancel { job });
             }
-            ("POST", ["work", id, "abort"]) => self.on_ask(
-                conn,
-                ClientRequest::Cancel {
-                    id: (*id).to_owned(),
-                },
-            ),
             (_, ["ready"] | ["v1", "report"] | ["work"] | ["work", _] | ["work", _, "abort"]) => {
-                self.reactor.respond(conn, Response::new(405, Vec::new()))
+                self.respond(conn, METHOD_NOT_ALLOWED, Vec::new());
             }
-            _ => self.reactor.respond(conn, Response::new(404, Vec::new())),
+            _ => self.respond(conn, NOT_FOUND, Vec::new()),
         }
     }
 
-    pub(super) fn in_progress(&self) -> usize {
-        self.users_busy
+    fn on_readiness_request(&mut self, conn: ConnId) {
+        if self.cluster.is_ready() {
+            self.respond(conn, OK, Vec::new());
+        } else {
+            self.refuse_unavailable(conn);
+        }
     }
 
-    /// Whether a question can be answered just now; if not it is refused at once.
-    /// Questions and cancellations share one read of the state service, however
-    /// many there are, so the limit on requests in progress is not for them: a job
-    /// whose polls it refused again and again would be forgotten.
-    pub(super) fn answers(&mut self, conn: ConnId) -> bool {
-        let able = self.registry.is_loaded() && !self.registry.is_failing();
-        if !able {
-            self.refuse(conn, 503, 1);
-        }
-        able
+    /// Whether a request can be answered just now; if not it is refused at once. Questions and
+    /// cancellations share one read of the state service, however many there are, so the limit
+    /// on requests in progress is not for them: a job whose polls it refused again and again
+    /// would be forgotten.
+    fn is_answerable(&mut self, conn: ConnId) -> bool {
+        let state_store = &self.cluster.state_store;
+        let is_answerable = state_store.is_loaded() && !state_store.is_failing();
+        if !is_answerable {
+            self.refuse_unavailable(conn);
+        }
+        is_answerable
     }
 
-    /// Whether a submission may come in; if not it is refused at once.
-    pub(super) fn admit(&mut self, conn: ConnId) -> bool {
-        let n = self.in_progress();
-        if !self.answers(conn) {
-            return false;
-        }
-        if !self.limiter.admits(n) {
-            log::info!("intake: refused, {n} in progress");
-            self.refuse(conn, 429, 1);
-            return false;
-        }
-        true
+    /// Has a request answered after a read that begins now or later.
+    fn answer_after_read(&mut self, conn: ConnId, request: ClientRequest, deadline: Micros) {
+        self.client_requests.pending.push(PendingRequest {
+            conn,
+            request,
+            received_at: self.cluster.now,
+            deadline,
+        });
+        self.cluster.state_store.request_barrier();
     }
 
-    pub(super) fn on_submit(&mut self, conn: ConnId, body: &[u8]) {
-        let (id, spec) = match admission::parse_submission(body, self.reactor.wall()) {
-            Ok(x) => x,
-            Err(_) => return self.reactor.respond(conn, Response::new(400, Vec::new())),
-        };
-        if self.withholds(conn, &id) {
-            return;
-        }
-        // A job that is known stays what it is, whatever the repeat says.
-        if self.registry.replica.jobs.contains_key(&id) {
-            return self.on_ask(
-                conn,
-                ClientRequest::JobState {
-                    id,
-                    submitted: true,
-                },
-            );
+    /// A request about a job that may be on record.
+    fn on_job_request(&mut self, conn: ConnId, request: ClientRequest) {
+        let job = request.job();
+        if !is_job_id(job) {
+            return self.respond(conn, NOT_FOUND, Vec::new());
         }
-        if !self.admit(conn) {
+        if self.answer_from_records_only(conn, job) {
             return;
         }
-        match admission::check(&spec, &self.registry.replica, &self.settings) {
-            Ok(()) => {}
-            Err(Refusal::NotYet(why)) => {
-                log::info!("intake: {id}: {why}");
-                return self.refuse(conn, 503, 1);
-            }
-            Err(e @ Refusal::Needs(_)) => {
-                log::info!("intake: {id}: {e}");
-                let body = e.to_string().into_bytes();
-                return self.reactor.respond(conn, Response::new(400, body));
-            }
-            Err(e) => {
-                // It may have been accepted elsewhere a moment ago, before we
-                // heard: only the records can say.
-                log::info!("intake: {id}: {e}");
-                self.waiting.push(PendingRequest {
-                    conn,
-                    ask: ClientRequest::JobState {
-                        id,
-                        submitted: true,
-                    },
-                    came: self.now,
-                    give_up: self.now + ASK_PATIENCE,
-                });
-                self.registry.request_barrier();
-                return;
-            }
+        if let Some(stage) = self.recorded_final_stage(job) {
+            let body = self.job_state_body(job, stage);
+            return self.respond(conn, OK, body);
         }
-        // A record once seen stays; that one is missing can only be said after a read.
-        let jobs = &self.registry.replica.jobs;
-        if !spec.dependencies.iter().all(|n| jobs.contains_key(n)) {
-            self.waiting.push(PendingRequest {
-                conn,
-                ask: ClientRequest::Submit {
-                    id,
-                    spec: Box::new(spec),
-                },
-                came: self.now,
-                give_up: self.now + ASK_PATIENCE,
-            });
-            self.registry.request_barrier();
+        if !self.is_answerable(conn) {
             return;
         }
-        let came = self.now;
-        self.accept(conn, id, spec, came);
+        let deadline = self.cluster.now + request_timeout(&request);
+        self.answer_after_read(conn, request, deadline);
     }
 
-    /// Puts a new job on record; the answer goes out when it is.
-    pub(super) fn accept(&mut self, conn: ConnId, id: String, spec: JobSpec, came: Micros) {
-        let key = Key::Job(id.clone());
-        let rec = JobRecord {
-            stage: JobStage::Open,
-            spec: Some(std::rc::Rc::new(spec)),
-            task_ranges: Vec::new(),
-            multi_region: None,
-            ended_at: None,
-        };
-        let txn = Transaction {
-            conditions: vec![(key.clone(), 0)],
-            changes: vec![(key, Some(value(&rec)))],
-            lease: None,
-        };
-        let t = self
-            .registry
-            .commit(txn, CommitPriority::Urgent, Some(came + ASK_PATIENCE));
-        self.users_busy += 1;
-        self.tickets
-            .insert(t, PendingCommit::Submit { conn, id, came });
+    /// The final stage of a job on record, if it has come to an end.
+    pub(super) fn recorded_final_stage(&self, job: &str) -> Option<JobStage> {
+        let stage = self.cluster.state_store.replica.stage(job);
+        stage.filter(|stage| *stage != JobStage::Open)
     }
 
-    pub(super) fn on_ask(&mut self, conn: ConnId, ask: ClientRequest) {
-        let id = match &ask {
-            ClientRequest::JobState { id, .. }
-            | ClientRequest::Cancel { id }
-            | ClientRequest::Submit { id, .. } => id,
-        };
-        if !is_job_id(id) {
-            return self.reactor.respond(conn, Response::new(404, Vec::new()));
-        }
-        if self.withholds(conn, id) {
-            return;
-        }
-        // What is final needs no asking round.
-        if let Some(stage) = self.registry.replica.stage(id) {
-            if stage != JobStage::Open {
-                let body = self.state(id, stage);
-                return self.reactor.respond(conn, Response::new(200, body));
-            }
-        }
-        if !self.answers(conn) {
-            return;
+    /// The body of the answer about a job in this stage.
+    fn job_state_body(&self, job: &str, stage: JobStage) -> Vec<u8> {
+        if stage != JobStage::Open {
+            return admission::state_body(job, stage, None);
         }
-        let patience = match ask {
-            ClientRequest::JobState {
-                submitted: false, ..
-            } => POLL_PATIENCE,
-            _ => ASK_PATIENCE,
-        };
-        self.waiting.push(PendingRequest {
-            conn,
-            ask,
-            came: self.now,
-            give_up: self.now + patience,
+        let reports = self.cluster.region_reports.iter();
+        let running = reports.map(|(name, report)| match self.ownership.get(name) {
+            Some(region) => region.running_tasks(job),
+            None => reported_running_tasks(report, job),
         });
-        self.registry.request_barrier();
+        let running = running.sum();
+        let done = self.cluster.state_store.replica.done_count(job);
+        admission::state_body(job, stage, Some((done, running)))
     }
 
-    pub(super) fn state(&self, id: &str, stage: JobStage) -> Vec<u8> {
-        if stage != JobStage::Open {
-            return admission::state_body(id, stage, None);
-        }
-        let mut running = 0;
-        for (name, ReceivedReport { report: r, .. }) in &self.reports {
-            running += match self.regions.get(name) {
-                Some(own) => own.running_tasks(id),
-                // Owners list their jobs by name.
-                None => r
-                    .running_tasks
-                    .binary_search_by(|c| c.job.as_str().cmp(id))
-                    .map_or(0, |at| r.running_tasks[at].running),
-            };
-        }
-        let done = self.registry.replica.done_count(id);
-        admission::state_body(id, stage, Some((done, running)))
+    /// Refuses the requests that have expired; returns when the next may.
+    pub(super) fn expire_pending_requests(&mut self) -> Micros {
+        let now = self.cluster.now;
+        for conn in self.client_requests.pending.take_expired(now) {
+            self.refuse_unavailable(conn);
+        }
+        let next = self.client_requests.pending.next_expiry();
+        next.unwrap_or(now + MAX_STEP_INTERVAL)
     }
 
-    pub(super) fn expire_waiting(&mut self) {
-        for conn in self.waiting.take_expired(self.now) {
-            self.refuse(conn, 503, 1);
+    /// A read that was sent at `sent` failed: the requests that waited for it are refused.
+    pub(super) fn refuse_pending_requests(&mut self, sent: Micros) {
+        for pending in self.client_requests.pending.take_until(sent) {
+            self.refuse_unavailable(pending.conn);
         }
+        self.expire_pending_requests();
     }
 
-    /// A read sent at `sent` is complete: whoever came before it gets an answer
-    /// that is no older than anything said before.
-    pub(super) fn answer_waiting(&mut self, sent: Micros) {
-        let ready = self.waiting.take_until(sent);
-        if self.waiting.len() > 0 {
-            self.registry.request_barrier();
-        }
-        for w in ready {
-            if self.held.is_some() {
-                let (ClientRequest::JobState { id, .. }
-                | ClientRequest::Cancel { id }
-                | ClientRequest::Submit { id, .. }) = &w.ask;
-                self.withholds(w.conn, id);
-                continue;
+    /// A read that was sent at `sent` is complete: the requests that were received before are
+    /// answered, with nothing older than what was answered before.
+    pub(super) fn answer_pending_requests(&mut self, sent: Micros) {
+        let ready = self.client_requests.pending.take_until(sent);
+        if self.client_requests.pending.len() > 0 {
+            self.cluster.state_store.request_barrier();
+        }
+        for pending in ready {
+            if self.is_held() {
+                self.answer_from_records_only(pending.conn, pending.request.job());
+            } else {
+                self.answer_pending_request(pending);
             }
-            match w.ask {
-                ClientRequest::JobState { id, submitted } => {
-                    let r = match self.registry.replica.stage(&id) {
-                        Some(stage) => Response::new(200, self.state(&id, stage)),
-                        None if submitted => Response::new(422, Vec::new()),
-                        None => Response::new(404, Vec::new()),
-                    };
-                    self.reactor.respond(w.conn, r);
-                }
-                ClientRequest::Cancel { id } => self.cancel(w.conn, id, w.give_up),
-                ClientRequest::Submit { id, spec } => {
-                    // All that came before the read was sent is in the replica: what is
-                    // not there now was never accepted.
-                    let jobs = &self.registry.replica.jobs;
-                    if let Some(n) = spec.dependencies.iter().find(|n| !jobs.contains_key(*n)) {
-                        log::info!("intake: {id}: needs {n}, which was never accepted");
-                        self.reactor.respond(w.conn, Response::new(422, Vec::new()));
-                    } else {
-                        self.accept(w.conn, id, *spec, w.came);
+        }
+    }
+
+    fn answer_pending_request(&mut self, pending: PendingRequest) {
+        let conn = pending.conn;
+        match pending.request {
+            ClientRequest::JobState { job, submitted } => {
+                match self.cluster.state_store.replica.stage(&job) {
+                    Some(stage) => {
+                        let body = self.job_state_body(&job, stage);
+                        self.respond(conn, OK, body);
                     }
+                    None if submitted => self.respond(conn, UNPROCESSABLE, Vec::new()),
+                    None => self.respond(conn, NOT_FOUND, Vec::new()),
+                }
+            }
+            ClientRequest::Cancel { job } => self.commit_cancellation(conn, job, pending.deadline),
+            ClientRequest::Submit { job, spec } => {
+                // All that was accepted before the read was sent is in the replica: what is not
+                // there now was never accepted.
+                let jobs = &self.cluster.state_store.replica.jobs;
+                let mut dependencies = spec.dependencies.iter();
+                if let Some(missing) = dependencies.find(|id| !jobs.contains_key(*id)) {
+                    log::info!("job={job}: dependency {missing} was never accepted");
+                    self.respond(conn, UNPROCESSABLE, Vec::new());
+                } else {
+                    self.commit_submission(conn, job, *spec, pending.received_at);
                 }
             }
         }
     }
+}
 
-    pub(super) fn cancel(&mut self, conn: ConnId, id: String, give_up: Micros) {
-        let Some(r) = self.registry.replica.jobs.get(&id) else {
-            return self.reactor.respond(conn, Response::new(404, Vec::new()));
-        };
-        let stage = self.registry.replica.stage(&id).unwrap_or(r.value.stage);
-        if stage != JobStage::Open {
-            let body = self.state(&id, stage);
-            return self.reactor.respond(conn, Response::new(200, body));
-        }
-        let key = Key::Job(id.clone());
-        let rec = r.value.cancelled();
-        let txn = Transaction {
-            conditions: vec![(key.clone(), r.version)],
-            changes: vec![(key, Some(value(&rec)))],
-            lease: None,
-        };
-        let t = self
-            .registry
-            .commit(txn, CommitPriority::Urgent, Some(give_up));
-        self.users_busy += 1;
-        self.tickets
-            .insert(t, PendingCommit::Cancel { conn, id, give_up });
+/// After which time a request about a job is refused.
+fn request_timeout(request: &ClientRequest) -> Micros {
+    match request {
+        ClientRequest::JobState {
+            submitted: false, ..
+        } => POLL_TIMEOUT,
+        _ => CHANGE_TIMEOUT,
     }
 }
+
+/// How many tasks of a job run in another owner's region. Owners list their jobs by name.
+fn reported_running_tasks(report: &RegionReport, job: &str) -> u32 {
+    let tasks = &report.running_tasks;
+    let found = tasks.binary_search_by(|tasks| tasks.job.as_str().cmp(job));
+    let found = found.ok().and_then(|index| tasks.get(index));
+    found.map_or(0, |tasks| tasks.running)
+}
