--- a/src/region.rs
+++ b/src/region.rs
@@ -24,6 +24,7 @@
 mod heartbeats;
 mod job;
 mod job_lifecycle;
+mod job_tasks;
 mod machine;
 mod machine_activation;
 mod machine_index;
@@ -325,7 +326,7 @@
     pub fn running_tasks(&self, job: &str) -> u32 {
         self.jobs
             .get(job)
-            .map_or(0, |job| job.on_machines.len() as u32)
+            .map_or(0, |job| job.tasks.on_machines().len() as u32)
     }
 
     /// The report of the region to the other controllers.
@@ -388,7 +389,7 @@
             .map(|(id, job)| PendingJob {
                 job: id.to_string(),
                 pending_tasks: job.tasks_to_schedule(now),
-                since_us: now.saturating_sub(job.pending_since),
+                since_us: now.saturating_sub(job.tasks.pending_since()),
                 needs_new_attempt: job.needs_new_attempt() || job.failures.is_suspect(),
             })
             .collect()
@@ -397,11 +398,11 @@
     fn reported_running_tasks(&self) -> Vec<RunningTasks> {
         self.jobs
             .iter()
-            .filter(|(_, job)| !job.on_machines.is_empty())
+            .filter(|(_, job)| !job.tasks.on_machines().is_empty())
             .take(MAX_REPORTED_RUNNING_JOBS)
             .map(|(id, job)| RunningTasks {
                 job: id.to_string(),
-                running: job.on_machines.len() as u32,
+                running: job.tasks.on_machines().len() as u32,
             })
             .collect()
     }
--- a/src/region/commits.rs
+++ b/src/region/commits.rs
@@ -168,8 +168,8 @@
         };
         job.commit_in_flight = false;
         if committed {
-            job.unrecorded_done.remove_all(tasks);
-            if job.unrecorded_done.is_empty() {
+            job.tasks.results_recorded(tasks);
+            if job.tasks.unrecorded_done().is_empty() {
                 self.unrecorded_jobs.remove(id);
             }
         }
@@ -183,11 +183,8 @@
         context: &SchedulingContext<'_>,
     ) {
         if let Some(job) = self.jobs.get_mut(id) {
-            let tasks = std::mem::take(&mut job.rebinding);
             job.commit_in_flight = false;
-            if !committed {
-                job.pending.add_all(&tasks);
-            }
+            job.tasks.end_hand_over(committed);
         }
         self.triggers.job_changed(id);
         self.update_queue_position(id, context);
--- a/src/region/failure_attribution.rs
+++ b/src/region/failure_attribution.rs
@@ -130,7 +130,7 @@
         };
         // A service has no results, so nothing could ever clear it.
         let has_results = job.spec.kind == JobKind::Service
-            || !job.done.is_empty()
+            || !job.tasks.done().is_empty()
             || context.replica.progress.contains_key(&**id);
         let turned = job.failures.failed(machine, has_results);
         let suspect = job.failures.is_suspect();
@@ -174,7 +174,8 @@
             return;
         }
         let unsent: Vec<u32> = job
-            .on_machines
+            .tasks
+            .on_machines()
             .iter()
             .filter(|(n, name)| {
                 let held = self
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -19,7 +19,7 @@
             return;
         };
         let spec = job.spec.clone();
-        let tasks: Vec<u32> = job.pending.numbers().collect();
+        let tasks: Vec<u32> = job.tasks.pending().numbers().collect();
         let count = tasks.len() as u64;
         let multi_region_attempt = job.gang.attempt();
         for zone in self.candidate_zones(job) {
@@ -51,7 +51,7 @@
         limits: &mut ZoneLimits,
         context: &SchedulingContext<'_>,
     ) -> bool {
-        let Some(pending_since) = self.jobs.get(id).map(|job| job.pending_since) else {
+        let Some(pending_since) = self.jobs.get(id).map(|job| job.tasks.pending_since()) else {
             return false;
         };
         let mut assigned: Vec<u32> = Vec::new();
@@ -77,7 +77,7 @@
         }
         self.triggers.forget_job(id);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.pending_since = pending_since;
+            job.tasks.restore_pending_since(pending_since);
         }
         false
     }
@@ -186,7 +186,7 @@
 fn is_placeable(job: &Job) -> bool {
     job.is_bound_as_a_whole()
         && job.gang.may_be_placed()
-        && job.on_machines.is_empty()
-        && job.pending.len() == job.bound.len()
+        && job.tasks.on_machines().is_empty()
+        && job.tasks.are_all_pending()
         && !job.needs_new_attempt()
 }
--- a/src/region/hand_over.rs
+++ b/src/region/hand_over.rs
@@ -47,8 +47,7 @@
         );
         let former_version = record.version;
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.pending.remove_all(&tasks);
-            job.rebinding = tasks;
+            job.tasks.begin_hand_over(tasks);
             job.commit_in_flight = true;
         }
         self.update_queue_position(&id, context);
@@ -71,14 +70,13 @@
 /// The tasks that may move, `count` at most unless the job's tasks must keep together; `None`
 /// if none may.
 fn tasks_to_hand_over(job: &Job, count: u32) -> Option<RangeSet> {
-    if job.pending.is_empty() {
+    if job.tasks.pending().is_empty() {
         return None;
     }
     if !job.has_dependent_places() {
-        return Some(job.pending.last_n(count));
+        return Some(job.tasks.pending().last_n(count));
     }
-    let is_all_pending = job.pending.len() == job.bound.len();
-    (is_all_pending && job.is_bound_as_a_whole()).then(|| job.pending.clone())
+    (job.tasks.are_all_pending() && job.is_bound_as_a_whole()).then(|| job.tasks.pending().clone())
 }
 
 /// The job's record with these tasks bound to another region; `None` if it would get too large.
--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -97,10 +97,9 @@
                 self.on_ended(machine, t, end, ours, context);
             }
             let open = !context.is_job_over(&t.job);
-            let recorded = self
-                .jobs
-                .get(&t.job)
-                .is_none_or(|j| j.done.contains(t.task) && !j.unrecorded_done.contains(t.task));
+            let recorded = self.jobs.get(&t.job).is_none_or(|j| {
+                j.tasks.done().contains(t.task) && !j.tasks.unrecorded_done().contains(t.task)
+            });
             // A result is forgotten only once it is on record.
             if end != ExitReason::Done || !open || recorded {
                 commands.push(Command::reap(t.job.clone(), t.task, t.attempt));
@@ -155,7 +154,8 @@
             return false;
         };
         if job
-            .on_machines
+            .tasks
+            .on_machines()
             .get(&t.task)
             .is_some_and(|m| **m != *machine)
         {
@@ -163,13 +163,16 @@
                 "region: {}/{}: on {machine} and on {} at once",
                 t.job,
                 t.task,
-                job.on_machines[&t.task]
+                job.tasks.on_machines()[&t.task]
             );
             return false;
         }
-        if !over && !job.unreconciled.contains(t.task) && !job.on_machines.contains_key(&t.task) {
+        if !over
+            && !job.tasks.unreconciled().contains(t.task)
+            && !job.tasks.on_machines().contains_key(&t.task)
+        {
             log::info!("region: {}/{}: on {machine}, not expected", t.job, t.task);
-            if !job.pending.contains(t.task) {
+            if !job.tasks.pending().contains(t.task) {
                 return false;
             }
         }
@@ -200,7 +203,7 @@
         };
         let service = job.spec.kind == JobKind::Service;
         if end == ExitReason::Done && !service {
-            if job.is_over || job.done.contains(t.task) || !job.bound.contains(t.task) {
+            if job.is_over || !job.tasks.is_open(t.task) {
                 if ours {
                     self.transition(&t.job, t.task, TaskState::Done, None, context.now);
                     self.after_tasks_left(&t.job);
@@ -210,7 +213,7 @@
             // Only what is on no other machine can be settled here; a result
             // is final wherever it was found.
             let tasks: Vec<u32> = if job.spec.kind == JobKind::Gang {
-                job.bound.numbers().collect()
+                job.tasks.bound().numbers().collect()
             } else {
                 vec![t.task]
             };
@@ -220,10 +223,13 @@
                 // Done, yet held on another machine: it counts there until that
                 // machine is rid of it. Guards against a gang of which one
                 // member hangs at the end: its place is not free yet.
-                let at = self
-                    .jobs
-                    .get(&t.job)
-                    .and_then(|j| j.on_machines.get(&n).filter(|m| ***m != *machine).cloned());
+                let at = self.jobs.get(&t.job).and_then(|j| {
+                    j.tasks
+                        .on_machines()
+                        .get(&n)
+                        .filter(|m| ***m != *machine)
+                        .cloned()
+                });
                 let held = at
                     .as_ref()
                     .and_then(|at| self.inventory.machines.get_mut(at))
@@ -238,8 +244,7 @@
                         h.stop_grace = Some(0);
                     }
                     if let Some(j) = self.jobs.get_mut(&t.job) {
-                        j.done.insert(n);
-                        j.unrecorded_done.insert(n);
+                        j.tasks.add_result(n);
                         self.unrecorded_jobs.insert(t.job.clone());
                     }
                     continue;
--- a/src/region/job.rs
+++ b/src/region/job.rs
@@ -1,17 +1,17 @@
-//! A job with tasks bound to the region: its specification, the sets of its tasks by state,
-//! and what delays or drives its placement.
+//! A job with tasks bound to the region: its specification, its tasks by state, and what
+//! delays or drives its placement.
 //!
-//! The sets change with the tasks' states (`task_transition`), and as a whole with the job's
-//! record (`job_lifecycle`), hand-overs and the end of reconciliation.
+//! The methods of `Region` read and set the flags; the tasks and the coordination of a gang
+//! own their state.
 
-use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use salttiller_records::model::{JobKind, JobSpec, RangeSet};
+use salttiller_records::model::{JobKind, JobSpec};
 use salttiller_records::units::Micros;
 
 use super::failure_attribution::{JobFailures, TRY_AGAIN_AFTER};
 use super::gang_state::GangState;
+use super::job_tasks::JobTasks;
 use super::queue::QueueKey;
 use crate::fault_injection::{is_disabled, Safeguard};
 
@@ -19,19 +19,8 @@
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) spec: Rc<JobSpec>,
-    /// Tasks bound here.
-    pub(super) bound: RangeSet,
-    pub(super) pending: RangeSet,
-    pub(super) unreconciled: RangeSet,
-    pub(super) rebinding: RangeSet,
-    pub(super) done: RangeSet,
-    /// Done, but not yet recorded.
-    pub(super) unrecorded_done: RangeSet,
-    /// Assigned tasks, with their machines.
-    pub(super) on_machines: BTreeMap<u32, Rc<str>>,
+    pub(super) tasks: JobTasks,
     pub(super) is_over: bool,
-    /// Since when tasks of it are pending without a break.
-    pub(super) pending_since: Micros,
     /// When a task of it was last assigned to a machine, or when it was bound here.
     pub(super) last_assigned: Micros,
     /// The end of its back-off.
@@ -54,15 +43,8 @@
     pub(super) fn new(spec: &Rc<JobSpec>, only_type: Option<String>, now: Micros) -> Self {
         Job {
             spec: spec.clone(),
-            bound: RangeSet::default(),
-            pending: RangeSet::default(),
-            unreconciled: RangeSet::default(),
-            rebinding: RangeSet::default(),
-            done: RangeSet::default(),
-            unrecorded_done: RangeSet::default(),
-            on_machines: BTreeMap::new(),
+            tasks: JobTasks::new(now),
             is_over: false,
-            pending_since: now,
             last_assigned: now,
             not_before: 0,
             failures: JobFailures::default(),
@@ -88,35 +70,19 @@
     /// Whether all of its tasks are bound here, or all of the part that is this region's of a
     /// gang over several regions.
     pub(super) fn is_bound_as_a_whole(&self) -> bool {
-        self.bound.len() == self.spec.task_count || self.gang.is_multi_region()
-    }
-
-    /// Tasks of it are pending.
-    pub(super) fn add_pending(&mut self, tasks: &RangeSet, now: Micros) {
-        if self.pending.is_empty() {
-            self.pending_since = now;
-        }
-        self.pending.add_all(tasks);
-    }
-
-    /// A task of it has a result, which is not yet recorded.
-    pub(super) fn add_result(&mut self, task: u32) {
-        self.done.insert(task);
-        self.unrecorded_done.insert(task);
+        self.tasks.bound().len() == self.spec.task_count || self.gang.is_multi_region()
     }
 
     /// Nothing of it is to run or to be recorded any more.
     pub(super) fn end(&mut self) {
         self.is_over = true;
-        self.pending = RangeSet::default();
-        self.unreconciled = RangeSet::default();
-        self.rebinding = RangeSet::default();
-        self.unrecorded_done = RangeSet::default();
+        self.tasks.end();
     }
 
     /// Its assigned tasks, with their machines.
     pub(super) fn tasks_on_machines(&self) -> Vec<(u32, Rc<str>)> {
-        self.on_machines
+        self.tasks
+            .on_machines()
             .iter()
             .map(|(task, machine)| (*task, machine.clone()))
             .collect()
@@ -135,10 +101,11 @@
     /// time, so that it takes neither machines nor shares from others; one more after a
     /// while, since a try may take long.
     pub(super) fn tasks_to_schedule(&self, now: Micros) -> u32 {
-        let pending = self.pending.len();
+        let pending = self.tasks.pending().len();
         if !self.failures.is_suspect() || self.spec.kind == JobKind::Gang {
             pending
-        } else if self.on_machines.is_empty() || now > self.last_assigned + TRY_AGAIN_AFTER {
+        } else if self.tasks.on_machines().is_empty() || now > self.last_assigned + TRY_AGAIN_AFTER
+        {
             pending.min(1)
         } else {
             0
@@ -149,7 +116,7 @@
     /// that was started before: only another attempt lets it start.
     pub(super) fn needs_new_attempt(&self) -> bool {
         self.gang.is_attempt_used_up()
-            && self.on_machines.is_empty()
-            && self.pending.len() == self.bound.len()
+            && self.tasks.on_machines().is_empty()
+            && self.tasks.are_all_pending()
     }
 }
--- a/src/region/job_lifecycle.rs
+++ b/src/region/job_lifecycle.rs
@@ -11,31 +11,23 @@
 use super::constrained_types::only_fitting_type;
 use super::gang_state::AttemptChange;
 use super::job::Job;
+use super::job_tasks::BindingOrigin;
 use super::machine::MachineState;
 use super::task::TaskState;
 use super::{Region, SchedulingContext};
 
-/// Who may have started tasks that are bound to the region but not known to it.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum BoundTasks {
-    /// Bound before we acquired the region: a former owner may have started them.
-    Inherited,
-    /// Bound since: nobody else can have started them under this region's name.
-    New,
-}
-
 impl Region {
     /// A job's record was added, changed or removed.
     pub fn on_job(&mut self, id: &str, context: &SchedulingContext<'_>) {
-        self.add_job(id, BoundTasks::New, context);
+        self.add_job(id, BindingOrigin::New, context);
     }
 
     /// Adds a job's record as found when the region was acquired.
     pub(super) fn inherit_job(&mut self, id: &str, context: &SchedulingContext<'_>) {
-        self.add_job(id, BoundTasks::Inherited, context);
+        self.add_job(id, BindingOrigin::Inherited, context);
     }
 
-    fn add_job(&mut self, id: &str, tasks: BoundTasks, context: &SchedulingContext<'_>) {
+    fn add_job(&mut self, id: &str, origin: BindingOrigin, context: &SchedulingContext<'_>) {
         let Some(record) = context.replica.jobs.get(id).map(|record| &record.value) else {
             return;
         };
@@ -72,7 +64,7 @@
         let id = known_id.unwrap_or_else(|| Rc::from(id));
         self.update_spec(&id, spec, context);
         self.update_multi_region_attempt(&id, record, context);
-        self.update_bound_tasks(&id, bound, tasks, context);
+        self.update_bound_tasks(&id, bound, origin, context);
         self.after_tasks_left(&id);
     }
 
@@ -120,29 +112,18 @@
         &mut self,
         id: &JobId,
         bound: RangeSet,
-        tasks: BoundTasks,
+        origin: BindingOrigin,
         context: &SchedulingContext<'_>,
     ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let mut added = bound.clone();
-        added.remove_all(&job.bound);
-        let mut removed = job.bound.clone();
-        removed.remove_all(&bound);
-        if added.is_empty() && removed.is_empty() {
+        let Some(change) = job.tasks.binding_change(&bound) else {
             return;
-        }
-        job.bound = bound;
-        job.done.add_all(&context.replica.done_tasks(id));
-        added.remove_all(&job.done);
-        match tasks {
-            BoundTasks::Inherited => job.unreconciled.add_all(&added),
-            BoundTasks::New => job.add_pending(&added, context.now),
-        }
-        job.pending.remove_all(&removed);
-        job.rebinding.remove_all(&removed);
-        job.unreconciled.remove_all(&removed);
+        };
+        let recorded = context.replica.done_tasks(id);
+        job.tasks
+            .bind(bound, change, &recorded, origin, context.now);
         self.triggers.job_changed(id);
         self.update_queue_position(id, context);
     }
@@ -194,7 +175,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        if job.spec.kind == JobKind::Gang && !job.is_over && !job.on_machines.is_empty() {
+        if job.spec.kind == JobKind::Gang && !job.is_over && !job.tasks.on_machines().is_empty() {
             self.break_gang(id, context);
         }
         self.after_tasks_left(id);
@@ -206,11 +187,11 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if !job.on_machines.is_empty() {
+        if !job.tasks.on_machines().is_empty() {
             return;
         }
         job.gang.all_tasks_left();
-        if !job.is_over && !job.bound.is_empty() {
+        if !job.is_over && !job.tasks.bound().is_empty() {
             return;
         }
         if let Some(key) = job.queue_key.take() {
--- a/src/region/machine_inventory.rs
+++ b/src/region/machine_inventory.rs
@@ -286,7 +286,7 @@
         } else {
             0
         };
-        for (n, name) in &job.on_machines {
+        for (n, name) in job.tasks.on_machines() {
             let Some(m) = self.inventory.machines.get_mut(name) else {
                 continue;
             };
--- a/src/region/placement.rs
+++ b/src/region/placement.rs
@@ -155,7 +155,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return false;
         };
-        if job.not_before > context.now || job.pending.is_empty() {
+        if job.not_before > context.now || job.tasks.pending().is_empty() {
             return false;
         }
         job.quota_blocked = false;
@@ -202,7 +202,8 @@
             self.triggers.job_changed(id);
             return PlacementStep::Stop;
         }
-        let (Some(task), Some(limits)) = (job.pending.first(), self.zone_limits(job)) else {
+        let (Some(task), Some(limits)) = (job.tasks.pending().first(), self.zone_limits(job))
+        else {
             return PlacementStep::Stop;
         };
         let spec = job.spec.clone();
@@ -236,10 +237,10 @@
         if !spec.single_zone && !spec.spread_zones {
             return Some(limits);
         }
-        if !job.unreconciled.is_empty() {
+        if !job.tasks.unreconciled().is_empty() {
             return None;
         }
-        for machine in job.on_machines.values() {
+        for machine in job.tasks.on_machines().values() {
             if let Some(machine) = self.inventory.machines.get(machine) {
                 limits.add_task(&machine.record.zone);
             }
--- a/src/region/preemption.rs
+++ b/src/region/preemption.rs
@@ -116,7 +116,7 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let pending_for = context.now.saturating_sub(job.pending_since);
+        let pending_for = context.now.saturating_sub(job.tasks.pending_since());
         if job.quota_blocked
             || job.not_before > context.now
             || pending_for < PREEMPT_AFTER
@@ -128,7 +128,7 @@
         // Guards against capacity that is cleared for a job that its team's share here does not
         // let start: what was stopped takes the place again, and is stopped again.
         let least_tasks = match job.spec.kind {
-            JobKind::Gang => u64::from(job.bound.len()),
+            JobKind::Gang => u64::from(job.tasks.bound().len()),
             JobKind::Array | JobKind::Service => 1,
         };
         let needed = job.spec.quota_per_task().times(least_tasks);
@@ -157,9 +157,9 @@
                 .as_ref()
                 .is_some_and(|key| key.is_guaranteed()),
             tasks: match job.spec.kind {
-                JobKind::Gang => u64::from(job.bound.len()),
+                JobKind::Gang => u64::from(job.tasks.bound().len()),
                 JobKind::Array | JobKind::Service => {
-                    u64::from(job.pending.len()).min(MAX_TASKS_AT_ONCE)
+                    u64::from(job.tasks.pending().len()).min(MAX_TASKS_AT_ONCE)
                 }
             },
         };
--- a/src/region/progress.rs
+++ b/src/region/progress.rs
@@ -39,7 +39,7 @@
             return;
         }
         let mut done = context.replica.done_tasks(id);
-        done.add_all(&job.unrecorded_done);
+        done.add_all(job.tasks.unrecorded_done());
         if job.is_complete_with(done.len()) {
             self.commit_job_end(id, context);
         } else if self.is_progress_due(job, context) {
@@ -55,7 +55,7 @@
         let Some((id, job)) = self.jobs.get_key_value(id) else {
             return;
         };
-        let results = context.replica.done_tasks(id).len() + job.unrecorded_done.len();
+        let results = context.replica.done_tasks(id).len() + job.tasks.unrecorded_done().len();
         if job.is_complete_with(results) {
             let id = id.clone();
             self.record_progress(&id, context);
@@ -67,15 +67,15 @@
     /// service's rate asks for; but at once where another region depends on
     /// them, since it can't see our share of the job otherwise.
     fn is_progress_due(&self, job: &Job, context: &SchedulingContext<'_>) -> bool {
-        let is_part_finished =
-            job.bound.len() < job.spec.task_count && job.done.len() >= job.bound.len();
+        let is_part_finished = job.tasks.bound().len() < job.spec.task_count
+            && job.tasks.done().len() >= job.tasks.bound().len();
         let since_last = context.now.saturating_sub(job.last_progress_commit_at);
         let interval = if is_part_finished {
             MIN_INTERVAL
         } else {
             self.progress_interval(context)
         };
-        !job.unrecorded_done.is_empty() && since_last >= interval
+        !job.tasks.unrecorded_done().is_empty() && since_last >= interval
     }
 
     /// The time between two commits of a job's progress with which the commits of all jobs and
@@ -131,10 +131,13 @@
         let mut changes = Vec::new();
         let mut written = RangeSet::default();
         let max_chunks = (context.settings.txn_ops - 1).min(MAX_CHUNKS_PER_COMMIT);
-        for chunk in chunks_of(&job.unrecorded_done).into_iter().take(max_chunks) {
-            written.add_all(&tasks_in_chunk(&job.unrecorded_done, chunk));
+        for chunk in chunks_of(job.tasks.unrecorded_done())
+            .into_iter()
+            .take(max_chunks)
+        {
+            written.add_all(&tasks_in_chunk(job.tasks.unrecorded_done(), chunk));
             let mut done = recorded_in_chunk(id, &self.name, chunk, context);
-            done.add_all(&job.unrecorded_done);
+            done.add_all(job.tasks.unrecorded_done());
             let key = Key::Progress(id.to_string(), self.name.clone(), chunk);
             conditions.push((key.clone(), context.replica.version(&key)));
             changes.push((key, Some(value(&bitmap(&done, chunk)))));
--- a/src/region/queue.rs
+++ b/src/region/queue.rs
@@ -288,7 +288,7 @@
         job: &Job,
         context: &SchedulingContext<'_>,
     ) -> QueuePosition {
-        if job.pending.is_empty() || job.is_over {
+        if job.tasks.pending().is_empty() || job.is_over {
             return QueuePosition::default();
         }
         let spec = &job.spec;
@@ -341,7 +341,7 @@
     /// `None` if never. Guards against work of low priority that never begins while higher priority
     /// keeps coming: once it is old enough a task starts now and then.
     fn aged_start_in(&self, job: &Job, context: &SchedulingContext<'_>) -> Option<Micros> {
-        let never_served = job.on_machines.is_empty()
+        let never_served = job.tasks.on_machines().is_empty()
             && job.spec.kind == JobKind::Array
             && !job.failures.is_suspect();
         if !never_served {
--- a/src/region/reassignment.rs
+++ b/src/region/reassignment.rs
@@ -81,7 +81,8 @@
         let job = self.jobs.get(&task.job)?;
         let to = self.inventory.machines.get(name)?;
         let from_name = job
-            .on_machines
+            .tasks
+            .on_machines()
             .get(&task.task)
             .filter(|from| *from != name)?;
         let from = self.inventory.machines.get(from_name)?;
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -65,15 +65,11 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            let rest = std::mem::take(&mut job.unreconciled);
-            if job.pending.is_empty() {
-                job.pending_since = context.now;
-            }
-            job.pending.add_all(&rest);
+            job.tasks.reconcile(context.now);
             // A gang of which only a part is left can't go on.
             if job.spec.kind == JobKind::Gang
-                && !job.on_machines.is_empty()
-                && !job.pending.is_empty()
+                && !job.tasks.on_machines().is_empty()
+                && !job.tasks.pending().is_empty()
             {
                 self.break_gang(&id, context);
             }
--- a/src/region/reservation.rs
+++ b/src/region/reservation.rs
@@ -190,7 +190,7 @@
             "region={} job={id}: capacity reserved, {} of {} places free",
             self.name,
             best.placeable_now,
-            job.bound.len()
+            job.tasks.bound().len()
         );
         self.reservation = Some(GangReservation::new(id.clone(), &job.spec, best.zone));
         self.update_reservation(context);
@@ -203,7 +203,7 @@
         zone: Option<Rc<str>>,
         context: &SchedulingContext<'_>,
     ) -> ZoneOption {
-        let tasks = u64::from(job.bound.len());
+        let tasks = u64::from(job.tasks.bound().len());
         let fitting_when_empty =
             self.inventory
                 .index
@@ -278,7 +278,7 @@
         let mut places = 0;
         vacancies.iter().find_map(|vacancy| {
             places += vacancy.tasks;
-            (places >= u64::from(job.bound.len())).then_some(vacancy.at)
+            (places >= u64::from(job.tasks.bound().len())).then_some(vacancy.at)
         })
     }
 
--- a/src/region/task_transition.rs
+++ b/src/region/task_transition.rs
@@ -31,7 +31,7 @@
 
 use std::rc::Rc;
 
-use salttiller_records::model::{JobId, RangeSet};
+use salttiller_records::model::JobId;
 use salttiller_records::units::{to_secs, Micros};
 
 use super::job::Job;
@@ -55,12 +55,12 @@
             TaskState::Done => self.enter_done(id, task),
             TaskState::Unreconciled => {
                 if let Some(job) = self.jobs.get_mut(id) {
-                    job.unreconciled.insert(task);
+                    job.tasks.enter_unreconciled(task);
                 }
             }
             TaskState::Rebinding => {
                 if let Some(job) = self.jobs.get_mut(id) {
-                    job.rebinding.insert(task);
+                    job.tasks.enter_rebinding(task);
                 }
             }
             TaskState::Assigned | TaskState::Dispatched | TaskState::Reported(_) => {
@@ -75,11 +75,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let machine = job.on_machines.remove(&task);
-        job.pending.take(task);
-        job.unreconciled.take(task);
-        job.rebinding.take(task);
-        if let Some(machine) = machine {
+        if let Some(machine) = job.tasks.leave(task) {
             self.leave_machine(id, task, &machine, to, now);
         }
     }
@@ -168,19 +164,17 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if job.is_over || job.done.contains(task) || !job.bound.contains(task) {
-            return;
+        if !job.is_over && job.tasks.enter_pending(task, now) {
+            self.triggers.job_changed(id);
         }
-        job.add_pending(&RangeSet::from_range(task, task + 1), now);
-        self.triggers.job_changed(id);
     }
 
     fn enter_done(&mut self, id: &JobId, task: u32) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if !job.is_over && job.bound.contains(task) && !job.done.contains(task) {
-            job.add_result(task);
+        if !job.is_over && job.tasks.is_open(task) {
+            job.tasks.add_result(task);
             self.unrecorded_jobs.insert(id.clone());
         }
     }
@@ -213,7 +207,7 @@
         }
         self.quotas.charge(&assignment);
         machine.tasks.insert((id.clone(), task), assignment);
-        job.on_machines.insert(task, Rc::from(target.machine));
+        job.tasks.enter_machine(task, Rc::from(target.machine));
         self.reindex(target.machine);
     }
 }
