--- a/src/region/gang_state.rs
+++ b/src/region/gang_state.rs
@@ -112,3 +112,6 @@
         self.barrier_since = None;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/region/hand_over.rs
+++ b/src/region/hand_over.rs
@@ -142,3 +142,6 @@
     }
     merged
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/region/job_tasks.rs
+++ b/src/region/job_tasks.rs
@@ -221,3 +221,6 @@
         self.pending.add_all(tasks);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/region/progress.rs
+++ b/src/region/progress.rs
@@ -186,3 +186,6 @@
     }
     done
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/region/progress/tests.rs
@@ -0,0 +1,17 @@
+//! Tests of the chunks of progress records.
+
+use super::*;
+
+/// Tasks are divided among the chunks that they fall into, each task once.
+#[test]
+fn tasks_by_chunk() {
+    let mut tasks = RangeSet::from_range(CHUNK - 2, 2 * CHUNK + 3);
+    tasks.insert(4 * CHUNK);
+    let chunks = chunks_of(&tasks);
+    assert_eq!(chunks.iter().copied().collect::<Vec<_>>(), [0, 1, 2, 4]);
+    let sizes: Vec<u32> = chunks
+        .iter()
+        .map(|chunk| tasks_in_chunk(&tasks, *chunk).len())
+        .collect();
+    assert_eq!(sizes, [2, CHUNK, 3, 1]);
+}
