--- a/src/region.rs
+++ b/src/region.rs
@@ -101,13 +101,13 @@
 
 /// How often upkeep runs.
 const UPKEEP_INTERVAL: Micros = 250 * MILLISECOND;
-/// For so long after its acquisition a region is handed over only without machines whose
-/// records are to be removed.
+/// How long after its acquisition a region isn't handed over while records of machines that
+/// are gone are yet to be removed.
 const MAX_REMOVAL_WAIT: Micros = 60 * SECOND;
 /// Most pending jobs, and most jobs with running tasks, in a report.
 const MAX_REPORTED_PENDING_JOBS: usize = 200;
 const MAX_REPORTED_RUNNING_JOBS: usize = 500;
-/// A region receives few heartbeats if fewer than one of so many machines reported of late.
+/// A region receives few heartbeats if fewer than one in four of its machines reported of late.
 const FEW_HEARTBEATS_DIVISOR: usize = 4;
 
 /// The time in which each machine reports at least once: the interval, a quarter of it for
--- a/src/region/placement.rs
+++ b/src/region/placement.rs
@@ -18,11 +18,11 @@
 use super::triggers::PlacementTriggers;
 use super::{Region, SchedulingContext};
 
-/// So many jobs at the head of the queue count as the next: shares are acquired for them before
-/// there is free capacity, and what becomes free is theirs.
+/// How many jobs at the head of the queue count as the next ones: shares are acquired for them
+/// ahead of free capacity, and what becomes free is theirs.
 pub(super) const NEXT_JOBS: usize = 3;
 
-/// An attempt's number holds the fencing token above so many bits of a counter.
+/// Bits of the counter in an attempt's number; the fencing token is above them.
 const ATTEMPT_COUNTER_BITS: u32 = 24;
 
 /// The zones to which a placement is limited, by the job's constraints and by where its other
--- a/src/region/preemption.rs
+++ b/src/region/preemption.rs
@@ -13,13 +13,13 @@
 use super::task::Assignment;
 use super::{Region, SchedulingContext};
 
-/// For so long a job is pending before others are preempted for it.
+/// How long a job must be pending before others are preempted for it.
 const PREEMPT_AFTER: Micros = 6 * SECOND;
 /// The least time between two preemptions.
 const PREEMPTION_INTERVAL: Micros = SECOND;
-/// Only so many jobs from the head of the queue may preempt others.
+/// How many jobs at the head of the queue may preempt others.
 const MAX_CANDIDATE_JOBS: usize = 8;
-/// For so many tasks of a job, gangs aside, others are preempted at once.
+/// Most tasks of a job for which others are preempted at once; a gang needs all of its tasks.
 const MAX_TASKS_AT_ONCE: u64 = 16;
 
 /// The job that others are preempted for.
--- a/src/region/quota_demand.rs
+++ b/src/region/quota_demand.rs
@@ -10,11 +10,11 @@
 use super::quota_share::JobDemand;
 use super::{Region, SchedulingContext};
 
-/// Only so many jobs at the head of the queue count.
+/// How many jobs at the head of the queue are considered.
 const MAX_JOBS: usize = 60;
-/// For so many tasks of an array a share is acquired before there is free capacity.
+/// Most tasks of an array for which a share is acquired ahead of free capacity.
 const MAX_TASKS_AHEAD: u64 = 16;
-/// A scheduling rank holds the priority above so many bits of the time of submission.
+/// Bits of the time of submission in a scheduling rank; the priority is above them.
 const RANK_TIME_BITS: u32 = 56;
 
 /// The scheduling rank of a job among its team's jobs of all regions when the team's limit is
--- a/src/region/quota_share.rs
+++ b/src/region/quota_share.rs
@@ -23,10 +23,10 @@
 /// How long the most that a team needed is remembered.
 const PEAK_TTL: Micros = 15 * SECOND;
 
-/// Parts of a region's even part of the limit: a share that grows is given a quarter of it in
-/// advance, and shrinks once it exceeds the peak by a half. So most changes of need take no
-/// commit.
+/// A region's even part of the limit, divided by this, is what a growing share gets beyond what
+/// is needed, so that most changes of need take no commit.
 const GROWTH_DIVISOR: u64 = 4;
+/// The same, divided by this, is what a share may exceed the peak by before it shrinks.
 const EXCESS_DIVISOR: u64 = 2;
 
 /// The region's shares of all teams' quotas.
--- a/src/region/reassignment.rs
+++ b/src/region/reassignment.rs
@@ -18,9 +18,9 @@
 use super::undispatched::UndispatchedTask;
 use super::{Region, SchedulingContext};
 
-/// Only so many of the oldest undispatched tasks are considered.
+/// How many of the oldest undispatched tasks are considered.
 const MAX_CANDIDATES: usize = 64;
-/// A task is reassigned only if that lets it start at least so much sooner.
+/// The least time by which a task must start sooner to be reassigned.
 const MIN_GAIN: Micros = 300 * MILLISECOND;
 
 /// An assignment that is to move to another machine.
@@ -29,7 +29,8 @@
     attempt: u64,
 }
 
-/// For how long a task is left to its machine if another holds as many tasks or more.
+/// How long a task is left to its machine although another, with as many tasks or more, could
+/// start it sooner.
 fn patience(context: &SchedulingContext<'_>) -> Micros {
     context.settings.report / 8
 }
--- a/src/region/triggers.rs
+++ b/src/region/triggers.rs
@@ -1,16 +1,15 @@
 //! What has changed since the last placement, so that only jobs that it may concern are
 //! considered.
 //!
-//! Whoever changes something that may let a pending task start says so here; placement takes
-//! all of it.
+//! Whatever may let a pending task start is noted here; placement consumes all of it.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 use salttiller_records::model::JobId;
 
-/// From so many changed machines on, all pending jobs are considered: to compare each with each
-/// of these machines would cost more.
+/// With more changed machines than this all pending jobs are considered: to compare each job
+/// with each of these machines would cost more.
 const MAX_CHANGED_MACHINES: usize = 16;
 
 /// Changes since the last placement.
