--- a/src/region.rs
+++ b/src/region.rs
@@ -26,6 +26,7 @@
 mod interruption;
 mod job;
 mod job_lifecycle;
+mod job_tasks;
 mod machine;
 mod machine_checks;
 mod machine_index;
@@ -89,13 +90,13 @@
 
 /// How often upkeep runs.
 const UPKEEP_INTERVAL: Micros = 250 * MILLISECOND;
-/// For so long after its acquisition a region is handed over only without machines whose
-/// records are to be removed.
+/// How long after its acquisition a region isn't handed over while records of machines that
+/// are gone are yet to be removed.
 const MAX_REMOVAL_WAIT: Micros = 60 * SECOND;
 /// Most pending jobs, and most jobs with running tasks, in a report.
 const MAX_REPORTED_PENDING_JOBS: usize = 200;
 const MAX_REPORTED_RUNNING_JOBS: usize = 500;
-/// A region receives few heartbeats if fewer than one of so many machines reported of late.
+/// A region receives few heartbeats if fewer than one in four of its machines reported of late.
 const FEW_HEARTBEATS_DIVISOR: usize = 4;
 
 /// The time in which each machine reports at least once: the interval, a quarter of it for
@@ -312,7 +313,7 @@
     pub fn running_tasks(&self, job: &str) -> u32 {
         self.jobs
             .get(job)
-            .map_or(0, |job| job.on_machines.len() as u32)
+            .map_or(0, |job| job.tasks.on_machines().len() as u32)
     }
 
     /// The report of the region to the other controllers.
@@ -375,7 +376,7 @@
             .map(|(id, job)| PendingJob {
                 job: id.to_string(),
                 pending_tasks: job.tasks_to_schedule(now),
-                since_us: now.saturating_sub(job.pending_since),
+                since_us: now.saturating_sub(job.tasks.pending_since()),
                 needs_new_attempt: job.needs_new_attempt() || job.failures.is_suspect(),
             })
             .collect()
@@ -384,11 +385,11 @@
     fn reported_running_tasks(&self) -> Vec<RunningTasks> {
         self.jobs
             .iter()
-            .filter(|(_, job)| !job.on_machines.is_empty())
+            .filter(|(_, job)| !job.tasks.on_machines().is_empty())
             .take(MAX_REPORTED_RUNNING_JOBS)
             .map(|(id, job)| RunningTasks {
                 job: id.to_string(),
-                running: job.on_machines.len() as u32,
+                running: job.tasks.on_machines().len() as u32,
             })
             .collect()
     }
--- a/src/region/commits.rs
+++ b/src/region/commits.rs
@@ -151,8 +151,8 @@
         };
         job.commit_in_flight = false;
         if committed {
-            job.unrecorded_done.subtract(tasks);
-            if job.unrecorded_done.is_empty() {
+            job.tasks.results_recorded(tasks);
+            if job.tasks.unrecorded_done().is_empty() {
                 self.unrecorded_jobs.remove(id);
             }
         }
@@ -166,11 +166,8 @@
         context: &SchedulingContext<'_>,
     ) {
         if let Some(job) = self.jobs.get_mut(id) {
-            let tasks = std::mem::take(&mut job.rebinding);
             job.commit_in_flight = false;
-            if !committed {
-                job.pending.union_with(&tasks);
-            }
+            job.tasks.end_hand_over(committed);
         }
         self.triggers.job_changed(id);
         self.update_queue_position(id, context);
--- a/src/region/failure_attribution.rs
+++ b/src/region/failure_attribution.rs
@@ -142,7 +142,7 @@
         };
         // A service has no results, so nothing could ever clear it.
         let has_results = job.spec.kind == JobKind::Service
-            || !job.done.is_empty()
+            || !job.tasks.done().is_empty()
             || context.replica.progress.contains_key(&**id);
         let became_suspect = job.failures.failed(machine, has_results);
         let is_suspect = job.failures.is_suspect();
@@ -192,7 +192,8 @@
             assignment.is_some_and(|assignment| assignment.state == TaskState::Assigned)
         };
         let undispatched: Vec<u32> = job
-            .on_machines
+            .tasks
+            .on_machines()
             .iter()
             .filter(|(task, name)| is_undispatched(**task, name))
             .map(|(task, _)| *task)
--- a/src/region/interruption.rs
+++ b/src/region/interruption.rs
@@ -69,7 +69,7 @@
         } else {
             0
         };
-        for (task, name) in &job.on_machines {
+        for (task, name) in job.tasks.on_machines() {
             let machine = self.inventory.machine(name);
             if !machine.is_some_and(|machine| is_gang || on(name, machine)) {
                 continue;
--- a/src/region/placement.rs
+++ b/src/region/placement.rs
@@ -18,11 +18,11 @@
 use super::triggers::PlacementTriggers;
 use super::{Region, SchedulingContext};
 
-/// So many jobs at the head of the queue count as the next: shares are acquired for them before
-/// there is free capacity, and what becomes free is theirs.
+/// How many jobs at the head of the queue count as the next ones: shares are acquired for them
+/// ahead of free capacity, and what becomes free is theirs.
 pub(super) const NEXT_JOBS: usize = 3;
 
-/// An attempt's number holds the fencing token above so many bits of a counter.
+/// Bits of the counter in an attempt's number; the fencing token is above them.
 const ATTEMPT_COUNTER_BITS: u32 = 24;
 
 /// The zones to which a placement is limited, by the job's constraints and by where its other
@@ -155,7 +155,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return false;
         };
-        if job.not_before > context.now || job.pending.is_empty() {
+        if job.not_before > context.now || job.tasks.pending().is_empty() {
             return false;
         }
         job.quota_blocked = false;
@@ -202,7 +202,8 @@
             self.triggers.job_changed(id);
             return PlacementStep::Stop;
         }
-        let (Some(task), Some(limits)) = (job.pending.first(), self.zone_limits(job)) else {
+        let (Some(task), Some(limits)) = (job.tasks.pending().first(), self.zone_limits(job))
+        else {
             return PlacementStep::Stop;
         };
         let spec = job.spec.clone();
@@ -236,10 +237,10 @@
         if !spec.single_zone && !spec.spread_zones {
             return Some(limits);
         }
-        if !job.unreconciled.is_empty() {
+        if !job.tasks.unreconciled().is_empty() {
             return None;
         }
-        for machine in job.on_machines.values() {
+        for machine in job.tasks.on_machines().values() {
             if let Some(machine) = self.inventory.machine(machine) {
                 limits.add_task(&machine.record.zone);
             }
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -104,13 +104,11 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let tasks = std::mem::take(&mut job.unreconciled);
-        if job.pending.is_empty() {
-            job.pending_since = context.now;
-        }
-        job.pending.union_with(&tasks);
+        job.tasks.reconcile(context.now);
         // A gang of which only a part still runs can't go on.
-        if job.spec.kind == JobKind::Gang && !job.on_machines.is_empty() && !job.pending.is_empty()
+        if job.spec.kind == JobKind::Gang
+            && !job.tasks.on_machines().is_empty()
+            && !job.tasks.pending().is_empty()
         {
             self.break_gang(id, context);
         }
--- a/src/region/task_reports.rs
+++ b/src/region/task_reports.rs
@@ -72,7 +72,7 @@
             self.on_ended(machine, task, reason, attempt, context);
         }
         let is_recorded = self.jobs.get(&task.job).is_none_or(|job| {
-            job.done.contains(task.task) && !job.unrecorded_done.contains(task.task)
+            job.tasks.done().contains(task.task) && !job.tasks.unrecorded_done().contains(task.task)
         });
         if reason != ExitReason::Done || context.is_job_over(&task.job) || is_recorded {
             TaskOutcome::Reply(Command::reap(task.job.clone(), task.task, task.attempt))
@@ -168,7 +168,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return Some("its job is not bound here");
         };
-        let assigned_to = job.on_machines.get(&task.task);
+        let assigned_to = job.tasks.on_machines().get(&task.task);
         if let Some(other) = assigned_to.filter(|other| ***other != *machine) {
             log::error!(
                 "region={} machine={machine} job={} task={}: also on machine {other}",
@@ -179,12 +179,12 @@
             return Some("on two machines at once, stopped here");
         }
         let is_expected = context.is_job_over(&task.job)
-            || job.unreconciled.contains(task.task)
+            || job.tasks.unreconciled().contains(task.task)
             || assigned_to.is_some();
         if is_expected {
             return None;
         }
-        if job.pending.contains(task.task) {
+        if job.tasks.pending().contains(task.task) {
             log::info!(
                 "region={} machine={machine} job={} task={}: unexpected, but pending: kept",
                 self.name,
@@ -227,7 +227,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if job.is_over || job.done.contains(task.task) || !job.bound.contains(task.task) {
+        if job.is_over || !job.tasks.is_open(task.task) {
             if attempt == Attempt::Current {
                 self.transition(&task.job, task.task, TaskState::Done, None, context.now);
                 self.after_tasks_left(&task.job);
@@ -237,7 +237,7 @@
         job.failures.succeeded();
         // A gang's tasks complete together.
         let done: Vec<u32> = if job.spec.kind == JobKind::Gang {
-            job.bound.iter().collect()
+            job.tasks.bound().iter().collect()
         } else {
             vec![task.task]
         };
@@ -260,7 +260,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return false;
         };
-        let other = job.on_machines.get(&task);
+        let other = job.tasks.on_machines().get(&task);
         let Some(other) = other.filter(|other| ***other != *machine) else {
             return false;
         };
@@ -277,8 +277,7 @@
             );
             assignment.stop_grace = Some(0);
         }
-        job.done.insert(task);
-        job.unrecorded_done.insert(task);
+        job.tasks.add_result(task);
         self.unrecorded_jobs.insert(id.clone());
         true
     }
