--- a/src/leader/machine_assignment.rs
+++ b/src/leader/machine_assignment.rs
@@ -1,8 +1,8 @@
 //! Which region machines are assigned to, and their records.
 //!
 //! A machine belongs to one region for life. Inputs are the machines on record by region, the
-//! batches being provisioned and the types that some jobs depend on. The paper divides its
-//! processors into spheres of fixed size; how machines are assigned is this project's own.
+//! batches being provisioned and the types that some jobs depend on. The paper's spheres are
+//! given; here their sizes are left open, and how machines are assigned is the project's own.
 
 use std::collections::BTreeMap;
 
--- a/src/leader/multi_region_binding.rs
+++ b/src/leader/multi_region_binding.rs
@@ -2,8 +2,8 @@
 //!
 //! Decided here: the ranges of tasks that each region gets, as few regions as will do. Inputs are
 //! the planned capacity, the regions with an owner and the cloud's refusals: as long as machines
-//! can be rented for one region, the gang waits for them. The paper's computations always fit
-//! into one sphere; this is the project's own.
+//! can be rented for one region, the gang waits for them. The paper gives each computation to
+//! one sphere; this is the project's own.
 
 use std::collections::BTreeMap;
 
--- a/src/leader/multi_region_gangs.rs
+++ b/src/leader/multi_region_gangs.rs
@@ -3,7 +3,7 @@
 //! Each owner reserves capacity for its part and reports it; the leader has all parts start once
 //! every one has some, and decides on another attempt or another binding if they can't. Inputs
 //! are the records and the regions' reports alone, so that a new leader goes on where the last
-//! one ended. The paper's computations always fit into one sphere; this is the project's own.
+//! one ended. The paper gives each computation to one sphere; this is the project's own.
 
 use crate::peer_protocol::{Message, RegionReport};
 use crate::region::SchedulingContext;
--- a/src/leader/rebinding.rs
+++ b/src/leader/rebinding.rs
@@ -10,22 +10,21 @@
 use crate::peer_protocol::Message;
 use crate::region::SchedulingContext;
 use salttiller_records::model::JobSpec;
-use salttiller_records::units::{Micros, MILLISECOND, SECOND};
+use salttiller_records::units::{to_secs, Micros, MILLISECOND, SECOND};
 
 use super::planned_capacity::{claim_from, PlannedCapacity};
 use super::unplaced_job::UnplacedJob;
-use super::Leader;
+use super::{Leader, PLAN_INTERVAL};
 
 /// Tasks that have waited for less are left where they are: most find a machine at home.
-const MIN_WAIT: Micros = 700 * MILLISECOND;
+const MIN_WAIT_TO_REBIND: Micros = 700 * MILLISECOND;
 /// A job that keeps together and for which there is capacity in its region starts within this
 /// time; if it still waits, that capacity is not counted on.
 const MAX_WAIT_WITH_CAPACITY: Micros = 25 * SECOND;
 /// A rebound job is left alone for this time, until the reports show what the move did.
 const REBINDING_PAUSE: Micros = 2 * SECOND;
-/// The leader's share of the state service's writes, and what part of that rebinding may take in
-/// one plan: each rebinding changes a record.
-const LEADER_WRITE_SHARE: f64 = 0.4;
+/// Share of the state service's writes that rebinding may take: each changes a record, and jobs'
+/// submissions, bindings and ends go first.
 const REBINDING_WRITE_SHARE: f64 = 0.2;
 
 /// Jobs that were rebound lately, and until when they are not rebound again.
@@ -90,8 +89,8 @@
         waiting.sort_by_key(|job| job.is_quota_blocked);
         let unblocked = waiting.partition_point(|job| !job.is_quota_blocked);
         let (startable, quota_blocked) = waiting.split_at_mut(unblocked);
-        let writes = context.settings.store_writes_least;
-        let mut budget = (writes * LEADER_WRITE_SHARE * REBINDING_WRITE_SHARE).ceil() as u32;
+        let writes_per_plan = context.settings.store_writes_least * to_secs(PLAN_INTERVAL);
+        let mut budget = (writes_per_plan * REBINDING_WRITE_SHARE).ceil() as u32;
         for jobs in [startable, quota_blocked] {
             self.claim_in_own_region(jobs);
             for job in jobs {
@@ -165,7 +164,7 @@
         let is_divided = job.keeps_together() && job.unplaced_tasks != job.task_count();
         job.unplaced_tasks > 0
             && !is_divided
-            && job.waiting_for >= MIN_WAIT
+            && job.waiting_for >= MIN_WAIT_TO_REBIND
             && !self.recent_rebindings.contains(&job.id)
             && !(job.is_suspect && could_run_at_home())
     }
--- a/src/leader/scale_in.rs
+++ b/src/leader/scale_in.rs
@@ -44,7 +44,7 @@
 }
 
 impl Leader {
-    /// Has the machines drained that flexible work can do without.
+    /// Asks the regions' owners to drain machines that flexible work can do without.
     pub(super) fn scale_in(&mut self, context: &SchedulingContext<'_>) {
         // Guards against a new leader that knows of no demand yet, in the middle of a burst
         // perhaps: what it drained would be rented anew a little later.
--- a/src/leader/unit_scale_out.rs
+++ b/src/leader/unit_scale_out.rs
@@ -18,7 +18,7 @@
 use super::Leader;
 
 /// A job that has waited for less is not moved to another region.
-const MIN_WAIT: Micros = 2 * SECOND;
+const MIN_WAIT_TO_REBIND: Micros = 2 * SECOND;
 /// A job that was moved for want of machines is left alone for this time: they have to be rented
 /// where it is now.
 const REBINDING_PAUSE: Micros = 12 * SECOND;
@@ -135,7 +135,7 @@
 
     /// Has a job rebound for which no machines can be had in its region.
     fn rebind_unit(&mut self, job: &UnplacedJob, context: &SchedulingContext<'_>) {
-        if job.waiting_for < MIN_WAIT
+        if job.waiting_for < MIN_WAIT_TO_REBIND
             || self.recent_rebindings.contains(&job.id)
             || job.unplaced_tasks != job.task_count()
         {
