--- a/src/leader.rs
+++ b/src/leader.rs
@@ -8,9 +8,9 @@
 //! - `multi_region_binding`, `multi_region_gangs`: which gangs are bound to several regions at
 //!   once, and when their parts start.
 //! - `demand`: how many processors flexible jobs need, a forecast.
-//! - `scale_out`, `unit_scale_out`: which machines are rented, for jobs that may be divided and
-//!   for those that keep together; `offer_selection` finds the cheapest offer, `provisioning`
-//!   limits pools whose machines don't come up.
+//! - `scale_out`, `indivisible_scale_out`: which machines are rented, for jobs that may be divided
+//!   and for those that keep together; `offer_selection` finds the cheapest offer,
+//!   `provisioning` limits pools whose machines don't come up.
 //! - `scale_in`: which machines are drained.
 //! - `machine_assignment`: which region a machine belongs to; `cloud_events` and
 //!   `unknown_machines` find the machines.
@@ -29,6 +29,7 @@
 mod cloud_polling;
 mod demand;
 mod horizon;
+mod indivisible_scale_out;
 mod machine_assignment;
 mod multi_region_binding;
 mod multi_region_gangs;
@@ -44,7 +45,6 @@
 mod scale_in;
 mod scale_out;
 mod term;
-mod unit_scale_out;
 mod unknown_machines;
 mod unplaced_job;
 mod upstream_cancellations;
--- a/src/leader/unit_scale_out.rs
+++ b/src/leader/indivisible_scale_out.rs
@@ -45,7 +45,7 @@
 impl Leader {
     /// Rents what a job that keeps together lacks in its region, or has it rebound to where that
     /// can be had. Free capacity is claimed for it.
-    pub(super) fn scale_out_for_unit(
+    pub(super) fn scale_out_for_indivisible(
         &mut self,
         job: &UnplacedJob,
         requests: &mut RentalRequests<'_>,
@@ -68,7 +68,7 @@
         }
         match self.offer_for_own_region(job, site.zone.as_deref(), context) {
             Some(choice) => self.rent_lacking(job, &site, choice, requests, context),
-            None => self.rebind_unit(job, context),
+            None => self.rebind_indivisible(job, context),
         }
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Has a job rebound for which no machines can be had in its region.
-    fn rebind_unit(&mut self, job: &UnplacedJob, context: &SchedulingContext<'_>) {
+    fn rebind_indivisible(&mut self, job: &UnplacedJob, context: &SchedulingContext<'_>) {
         if job.waiting_for < MIN_WAIT_TO_REBIND
             || self.recent_rebindings.contains(&job.id)
             || job.unplaced_tasks != job.task_count()
--- a/src/leader/scale_out.rs
+++ b/src/leader/scale_out.rs
@@ -142,7 +142,7 @@
             if requests.is_exhausted() {
                 return;
             }
-            self.scale_out_for_unit(job, &mut requests, context);
+            self.scale_out_for_indivisible(job, &mut requests, context);
         }
         let groups = self.group_by_type(divisible);
         for (only_type, group) in groups {
