--- a/crates/salttillerctl/src/archive.rs
+++ b/crates/salttillerctl/src/archive.rs
@@ -159,13 +159,13 @@
         None => platform.regions().join(","),
     };
     let archive = Archive::open_or_create(&source.archive, &deployment)?;
-    let mut pace = pace(&settings, platform.store_rps);
+    let mut pace = pace(&settings, platform.store_request_rate);
     if goal.images.is_some() {
         // An image was asked for: it is due now, however young the last one is.
         pace.image_every = 0;
     }
     let session = Session {
-        state_service: platform.store,
+        state_service: platform.state_store_addr,
         archive: &archive,
         pace,
         retention: retention(&settings),
--- a/crates/salttillerctl/src/recover.rs
+++ b/crates/salttillerctl/src/recover.rs
@@ -71,7 +71,7 @@
     match &args.command {
         Command::Status { config, json } => {
             let platform = Settings::load(config, None)?;
-            show(&read_hold(platform.store)?, *json)
+            show(&read_hold(platform.state_store_addr)?, *json)
         }
         Command::AcceptLoss {
             config,
@@ -85,7 +85,7 @@
                 at: wall_clock(),
                 why: why.clone(),
             };
-            accept(platform.store, decision, *yes)
+            accept(platform.state_store_addr, decision, *yes)
         }
     }
 }
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -197,13 +197,13 @@
         }
     }
     let length = |s: &JobSpec| serde_json::to_string(s).map_or(usize::MAX, |t| t.len()) + 1024;
-    if length(spec) > settings.value_bytes {
+    if length(spec) > settings.max_value_bytes {
         if !spec.dependencies.is_empty() {
             let bare = length(&JobSpec {
                 dependencies: Vec::new(),
                 ..spec.clone()
             });
-            if let Some(room) = settings.value_bytes.checked_sub(bare) {
+            if let Some(room) = settings.max_value_bytes.checked_sub(bare) {
                 return Err(Refusal::Needs(room / NEED_BYTES));
             }
         }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -166,8 +166,8 @@
             queue: VecDeque::new(),
             flight: None,
             next_op: 1,
-            gaps: [0.3 / (s.size() as f64 - 0.99).max(1.0), 0.6]
-                .map(|share| (1e6 / (s.cloud_rps * share)) as Micros),
+            gaps: [0.3 / (s.region_count() as f64 - 0.99).max(1.0), 0.6]
+                .map(|share| (1e6 / (s.cloud_request_rate * share)) as Micros),
             leading: false,
             next_at: 0,
             releasing: BTreeSet::new(),
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -220,13 +220,19 @@
         let peers: Vec<_> = settings.peers.iter().map(|p| p.addr).collect();
         let limits = Limits {
             served: settings
-                .sockets
-                .saturating_sub(16 + 12 + 4 * settings.size())
+                .max_sockets
+                .saturating_sub(16 + 12 + 4 * settings.region_count())
                 .max(16),
             backlog: 512 * 1024,
         };
-        let dests = [(settings.store, 10), (settings.cloud, 2)];
-        let reactor = Reactor::new(settings.front, settings.mesh, &dests, &peers, limits)?;
+        let dests = [(settings.state_store_addr, 10), (settings.cloud_addr, 2)];
+        let reactor = Reactor::new(
+            settings.http_addr,
+            settings.peer_addr,
+            &dests,
+            &peers,
+            limits,
+        )?;
         Ok(Controller::new(settings, reactor))
     }
 
@@ -259,7 +265,7 @@
             leader: None,
             lead_claim: None,
             lead_at: None,
-            limiter: Limiter::new(settings.sockets / 4),
+            limiter: Limiter::new(settings.max_sockets / 4),
             waiting: PendingRequests::default(),
             tickets: BTreeMap::new(),
             users_busy: 0,
@@ -307,7 +313,7 @@
         self.now = self.reactor.clock();
         self.registry.want_lease(LeaseRole::Owner);
         if self.settings.operator.detect_lost_records {
-            let detection = Detection::starting(self.now, self.settings.report);
+            let detection = Detection::starting(self.now, self.settings.heartbeat_interval);
             self.detection = Some(detection);
         }
     }
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -175,7 +175,7 @@
             return;
         }
         let authority = add_drift(self.settings.owner_lease_life());
-        let lease = add_drift(self.settings.lease);
+        let lease = add_drift(self.settings.worker_lease);
         self.starts_after = Some(self.now + authority + lease + AUTHORITY_MARGIN);
     }
 
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -11,7 +11,8 @@
             "state service lost records"
         } else if self.registry.failing() {
             "state service down"
-        } else if self.reports.len() < self.settings.size() || self.reports.values().any(unsettled)
+        } else if self.reports.len() < self.settings.region_count()
+            || self.reports.values().any(unsettled)
         {
             "takeover under way"
         } else if self.cloud_client.down() {
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -270,7 +270,7 @@
             .into_iter()
             .filter(|(k, ..)| !self.writing.contains(k))
             .collect();
-        for chunk in fresh.chunks(context.settings.txn_ops.min(8)) {
+        for chunk in fresh.chunks(context.settings.max_txn_ops.min(8)) {
             let mut when = vec![(Key::Leader, self.version)];
             when.extend(chunk.iter().map(|(k, m, _)| (k.clone(), *m)));
             let keys: Vec<Key> = chunk.iter().map(|(k, ..)| k.clone()).collect();
@@ -481,7 +481,7 @@
 /// How soon a job's waiting tasks should be under way: half of the time that
 /// its aims leave for waiting.
 fn horizon(s: &JobSpec, context: &SchedulingContext<'_>) -> Micros {
-    if let Some(h) = context.settings.operator.horizon {
+    if let Some(h) = context.settings.operator.scale_out_horizon {
         return h;
     }
     let mut left = 120 * SECOND;
--- a/src/leader/machine_assignment.rs
+++ b/src/leader/machine_assignment.rs
@@ -204,7 +204,7 @@
         if !context.replica.unreadable.is_empty() {
             return;
         }
-        let keep = (4 * context.settings.list_lag).max(120 * SECOND);
+        let keep = (4 * context.settings.cloud_list_lag).max(120 * SECOND);
         self.gone.retain(|_, at| context.now < *at + keep);
         let cold = context.replica.machines.is_empty() && context.replica.opened.is_empty();
         let pending: BTreeSet<&String> = self.coming.values().flat_map(|c| &c.names).collect();
@@ -222,8 +222,8 @@
             odd.insert(m.name.clone(), since);
             // The list is late: only what stays odd is odd. When there never was a
             // record of any machine, there is none that could be gone.
-            let sure = context.now > since + 2 * context.settings.list_lag
-                && m.age > 2 * context.settings.list_lag;
+            let sure = context.now > since + 2 * context.settings.cloud_list_lag
+                && m.age > 2 * context.settings.cloud_list_lag;
             if sure || cold {
                 todo.entry(m.offer.clone())
                     .or_default()
@@ -240,7 +240,9 @@
             }
         }
         if !self.odd.is_empty() {
-            self.next_list = self.next_list.min(context.now + context.settings.list_lag);
+            self.next_list = self
+                .next_list
+                .min(context.now + context.settings.cloud_list_lag);
         }
     }
 }
--- a/src/leader/rebinding.rs
+++ b/src/leader/rebinding.rs
@@ -16,7 +16,7 @@
         waits.sort_by_key(|w| w.short);
         let split = waits.partition_point(|w| !w.short);
         // Each is a change of a record.
-        let mut most = (context.settings.store_writes_least * 0.4 * 0.2).ceil() as u32;
+        let mut most = (context.settings.min_store_write_rate * 0.4 * 0.2).ceil() as u32;
         let (free, short) = waits.split_at_mut(split);
         for part in [free, short] {
             self.move_part(context, part, rooms, &mut most);
--- a/src/main.rs
+++ b/src/main.rs
@@ -105,13 +105,13 @@
     };
     let unknown: Vec<&String> = s
         .operator
-        .precedence
+        .class_precedence
         .iter()
         .filter(|c| !s.objectives.iter().any(|o| o.class.as_ref() == Some(c)))
         .collect();
     if json {
         let v = serde_json::json!({"ok": true, "name": s.name, "regions": s.regions(), "teams": s.teams.len(),
-            "grant_life_ms": s.owner_lease_life() / 1000, "precedence": s.operator.precedence,
+            "grant_life_ms": s.owner_lease_life() / 1000, "precedence": s.operator.class_precedence,
             "precedence_without_aim": unknown});
         println!("{v}");
     } else {
@@ -121,10 +121,10 @@
             s.regions().len(),
             s.teams.len(),
             s.owner_lease_life() as f64 / 1e6,
-            if s.operator.precedence.is_empty() {
+            if s.operator.class_precedence.is_empty() {
                 "none".to_owned()
             } else {
-                s.operator.precedence.join(", ")
+                s.operator.class_precedence.join(", ")
             }
         );
         for c in unknown {
--- a/src/region.rs
+++ b/src/region.rs
@@ -258,7 +258,7 @@
     /// Whether few of these have been heard of late, though they could have been answered
     /// since `able_since` and there was time for all.
     pub fn hears_from_few(&self, able_since: Micros, context: &SchedulingContext<'_>) -> bool {
-        let patience = context.settings.report * 5 / 4 + 4 * SECOND;
+        let patience = context.settings.heartbeat_interval * 5 / 4 + 4 * SECOND;
         if context.now < self.reconciliation.acquired_at.max(able_since) + 2 * patience {
             return false;
         }
@@ -448,7 +448,7 @@
             }
             self.queue.wakeups.remove(&(at, id.clone()));
             let late = self.jobs.get(&id).and_then(|j| j.barrier_since);
-            if late.is_some_and(|s| context.now >= s + context.settings.gang_wait) {
+            if late.is_some_and(|s| context.now >= s + context.settings.gang_start_timeout) {
                 // Guards against a gang over several regions of which another
                 // part never gets room: nobody holds places for it for ever.
                 log::info!("region: {id}: room let go, not all parts have it");
--- a/src/region/commits.rs
+++ b/src/region/commits.rs
@@ -174,7 +174,7 @@
                 })),
             )];
             if let Some(chunks) = context.replica.progress.get(&**id) {
-                for (r, c) in chunks.keys().take(context.settings.txn_ops - 1) {
+                for (r, c) in chunks.keys().take(context.settings.max_txn_ops - 1) {
                     apply.push((Key::Progress(id.to_string(), r.clone(), *c), None));
                 }
             }
@@ -194,8 +194,8 @@
         // service's rate asks for; but at once where another region waits for
         // them, since it can't see our share of the job otherwise.
         let here = job.bound.len() < job.spec.task_count && job.done.len() >= job.bound.len();
-        let gap = (self.unrecorded_jobs.len() * context.settings.size()) as f64
-            / (context.settings.store_writes_least * 0.15)
+        let gap = (self.unrecorded_jobs.len() * context.settings.region_count()) as f64
+            / (context.settings.min_store_write_rate * 0.15)
             * 1e6;
         let gap = (gap as Micros).max(3 * SECOND);
         let job_age = context.now.saturating_sub(job.last_progress_commit_at);
@@ -209,7 +209,7 @@
         let mut apply = Vec::new();
         let mut written = RangeSet::default();
         let mut chunk_done: Option<u32> = None;
-        let most = (context.settings.txn_ops - 1).min(8);
+        let most = (context.settings.max_txn_ops - 1).min(8);
         for (s, e) in job.unrecorded_done.iter() {
             for chunk in s / CHUNK..=(e - 1) / CHUNK {
                 let (a, b) = (s.max(chunk * CHUNK), e.min((chunk + 1) * CHUNK));
@@ -297,7 +297,7 @@
     pub(super) fn update_quota_shares(&mut self, context: &SchedulingContext<'_>) {
         self.update_quota_demand(context);
         let (regions, settled) = (
-            context.settings.size() as u64,
+            context.settings.region_count() as u64,
             self.reconciliation.is_complete,
         );
         let teams: Vec<Rc<str>> = self.quotas.by_team.keys().cloned().collect();
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -86,9 +86,10 @@
                 if let Some(j) = self.jobs.get_mut(id) {
                     j.barrier_since = Some(context.now);
                 }
-                self.queue
-                    .wakeups
-                    .insert((context.now + context.settings.gang_wait, id.clone()));
+                self.queue.wakeups.insert((
+                    context.now + context.settings.gang_start_timeout,
+                    id.clone(),
+                ));
             }
             return;
         }
--- a/src/region/machine_activation.rs
+++ b/src/region/machine_activation.rs
@@ -20,14 +20,14 @@
     /// Puts machines on the roll before their first starts, and takes machines
     /// that are proved gone off the records; the changes of a moment go together.
     pub(super) fn commit_machine_records(&mut self, context: &SchedulingContext<'_>) {
-        let n = context.settings.size() as f64;
+        let n = context.settings.region_count() as f64;
         self.activate_ahead(context);
         if !self.machine_records.activation_in_flight
             && !self.machine_records.to_activate.is_empty()
             && context.now >= self.machine_records.next_activation_at
         {
             self.machine_records.next_activation_at =
-                context.now + (n / (context.settings.store_writes * 0.4) * 1e6) as Micros;
+                context.now + (n / (context.settings.store_write_rate * 0.4) * 1e6) as Micros;
             self.commit_activations(context);
         }
         if !self.machine_records.removal_in_flight
@@ -35,7 +35,7 @@
             && context.now >= self.machine_records.next_removal_at
         {
             self.machine_records.next_removal_at =
-                context.now + (n / (context.settings.store_writes * 0.1) * 1e6) as Micros;
+                context.now + (n / (context.settings.store_write_rate * 0.1) * 1e6) as Micros;
             self.commit_removals(context);
         }
     }
@@ -79,7 +79,7 @@
         let mut names = Vec::new();
         let mut apply = Vec::new();
         let mut when = self.ownership_condition();
-        let most = context.settings.txn_ops.saturating_sub(1).max(1);
+        let most = context.settings.max_txn_ops.saturating_sub(1).max(1);
         for name in &self.machine_records.to_activate {
             let Some(m) = self.inventory.machines.get(name) else {
                 continue;
@@ -146,7 +146,7 @@
         let mut when = self.ownership_condition();
         let mut apply = Vec::new();
         let mut names = Vec::new();
-        let most = context.settings.txn_ops.saturating_sub(1).max(1);
+        let most = context.settings.max_txn_ops.saturating_sub(1).max(1);
         for name in &self.machine_records.to_remove {
             let Some(m) = self.inventory.machines.get(name) else {
                 continue;
--- a/src/region/machine_inventory.rs
+++ b/src/region/machine_inventory.rs
@@ -256,7 +256,8 @@
                     continue;
                 };
                 // Told at its next report, and all of a gang at theirs.
-                let needs = job.spec.checkpoint_time + 2 * context.settings.report + SECOND;
+                let needs =
+                    job.spec.checkpoint_time + 2 * context.settings.heartbeat_interval + SECOND;
                 if job.spec.checkpoint_interval > 0 && !job.is_over && at < context.now + needs {
                     stop.insert(id.clone());
                 }
--- a/src/region/machine_lifecycle.rs
+++ b/src/region/machine_lifecycle.rs
@@ -12,13 +12,13 @@
 const MAX_IDLE: Micros = 300 * SECOND;
 /// How long a machine that is heard no more is given while others report.
 fn unheard(context: &SchedulingContext<'_>) -> Micros {
-    context.settings.report * 18 / 5
+    context.settings.heartbeat_interval * 18 / 5
 }
 /// The same after a taking, for machines not accounted for: the longest interval, one
 /// report to a controller that is gone, a second to the next, and some more. Work
 /// that was bound before waits for them all.
 fn unaccounted(context: &SchedulingContext<'_>) -> Micros {
-    (context.settings.report * 5 / 4 + 8 * SECOND).min(unheard(context))
+    (context.settings.heartbeat_interval * 5 / 4 + 8 * SECOND).min(unheard(context))
 }
 
 impl Region {
@@ -49,7 +49,9 @@
     /// off: the cloud's answer to their return proves them empty long before their
     /// lease would. Were most silent, the fault would be ours.
     pub(super) fn most_machines_report(&self, context: &SchedulingContext<'_>) -> bool {
-        let since = context.now.saturating_sub(3 * context.settings.report);
+        let since = context
+            .now
+            .saturating_sub(3 * context.settings.heartbeat_interval);
         let recent = self
             .inventory
             .by_last_heartbeat
@@ -68,9 +70,9 @@
         release: &mut Vec<String>,
     ) -> Option<Micros> {
         let lease = if is_disabled(Safeguard::LeaseWait) {
-            context.settings.report
+            context.settings.heartbeat_interval
         } else {
-            add_drift(context.settings.lease)
+            add_drift(context.settings.worker_lease)
         };
         let awaited = self.reconciliation.unreconciled.contains(name);
         let patience = if awaited {
@@ -97,7 +99,7 @@
                 self.machine_is_empty(name, context);
                 self.try_finish_recovery(context);
             } else if m.interruption_at.is_some_and(|n| context.now > n + SECOND)
-                && context.now > m.last_heartbeat_at + context.settings.report * 3 / 2
+                && context.now > m.last_heartbeat_at + context.settings.heartbeat_interval * 3 / 2
             {
                 // Its time was up and it fell silent: taken. The cloud's answer
                 // proves it at once.
@@ -151,8 +153,8 @@
             }
             MachineState::Ready => m.is_overdue = false,
         }
-        let mut next =
-            (m.last_heartbeat_at + unheard(context)).max(context.now + context.settings.report);
+        let mut next = (m.last_heartbeat_at + unheard(context))
+            .max(context.now + context.settings.heartbeat_interval);
         if let Some(n) = m.interruption_at {
             next = next.min(n + 2 * SECOND);
         }
@@ -166,7 +168,7 @@
         // But of a type that is kept for some jobs no more wait than its largest gang
         // would take: those beyond are needed later than a new one would be up.
         let m = self.inventory.machines.get(name)?;
-        let mut patience = context.settings.operator.idle.unwrap_or_else(|| {
+        let mut patience = context.settings.operator.idle_timeout.unwrap_or_else(|| {
             // A cheap machine's idle time costs less than the dear ones that work
             // would go to instead: those are to leave first.
             (m.boot_time as f64 * self.price_advantage(&m.pool, context)) as Micros
--- a/src/region/placement.rs
+++ b/src/region/placement.rs
@@ -141,7 +141,7 @@
         if self.undispatched.is_empty() {
             return;
         }
-        let patience = context.settings.report / 8;
+        let patience = context.settings.heartbeat_interval / 8;
         let todo: Vec<(Micros, JobId, u32)> =
             self.undispatched.iter().take(LOOK).cloned().collect();
         for (since, id, n) in todo {
@@ -190,8 +190,8 @@
             } else {
                 fetch(&m.pool)
             };
-            let report =
-                (o.last_heartbeat_at + context.settings.report * 9 / 8).saturating_sub(context.now);
+            let report = (o.last_heartbeat_at + context.settings.heartbeat_interval * 9 / 8)
+                .saturating_sub(context.now);
             let there = report + if h.image_missing { fetch(&o.pool) } else { 0 };
             if here + 300 * MILLISECOND >= there {
                 continue;
--- a/src/region/queue.rs
+++ b/src/region/queue.rs
@@ -75,7 +75,7 @@
         .objectives
         .iter()
         .filter(|o| o.class.as_deref() == Some(s.class.as_str()))
-        .filter_map(|o| match (o.kind.as_str(), o.within?) {
+        .filter_map(|o| match (o.kind.as_str(), o.threshold?) {
             ("wait", w) => Some(w),
             ("finished", w) => Some(w.saturating_sub(s.estimated_run_time)),
             _ => None,
@@ -121,7 +121,7 @@
         let precedence = context
             .settings
             .operator
-            .precedence
+            .class_precedence
             .iter()
             .position(|c| *c == s.class)
             .unwrap_or(usize::MAX);
--- a/src/region/reachability.rs
+++ b/src/region/reachability.rs
@@ -73,10 +73,11 @@
             m.last_heartbeat.incarnation != 0 && r.id.incarnation > m.last_heartbeat.incarnation;
         // Answered without a break for the better part of a lease: one answer alone
         // may have been to a report that came late.
-        if context.now > m.last_answered_at + 2 * context.settings.report + SECOND {
+        if context.now > m.last_answered_at + 2 * context.settings.heartbeat_interval + SECOND {
             m.answered_without_gap_since = context.now;
         }
-        let answered = context.now > m.answered_without_gap_since + context.settings.lease * 3 / 4;
+        let answered =
+            context.now > m.answered_without_gap_since + context.settings.worker_lease * 3 / 4;
         if m.record.activated {
             self.inventory
                 .by_last_heartbeat
@@ -111,7 +112,7 @@
             return;
         };
         let bad = rose || heeded == Some(false);
-        let lease = add_drift(context.settings.lease) + context.settings.report;
+        let lease = add_drift(context.settings.worker_lease) + context.settings.heartbeat_interval;
         let deaf = |times: u32| Reachability::Unreachable {
             since: context.now,
             times,
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -43,7 +43,9 @@
         // those is over only when every lease that a former owner gave is.
         if !context.replica.unreadable.is_empty()
             && context.now
-                < self.reconciliation.acquired_at + add_drift(context.settings.lease) + SECOND
+                < self.reconciliation.acquired_at
+                    + add_drift(context.settings.worker_lease)
+                    + SECOND
         {
             return;
         }
--- a/src/region/tests.rs
+++ b/src/region/tests.rs
@@ -364,7 +364,7 @@
 #[test]
 fn order_of_waiting_jobs() {
     let mut f = Fixture::new();
-    f.settings.operator.precedence = vec!["first".into(), "second".into()];
+    f.settings.operator.class_precedence = vec!["first".into(), "second".into()];
     // Red is guaranteed 4 processors: its first job fits, the others don't.
     for (i, (id, class, priority, tasks)) in [
         ("req-1", "other", "1", 2),
@@ -583,8 +583,8 @@
     let past = crate::settings::Objective {
         kind: "wait".into(),
         class: Some("late".into()),
-        within: Some(SECOND),
-        share: 0.9,
+        threshold: Some(SECOND),
+        target: 0.9,
     };
     for (what, class, team, tasks) in [
         ("largest", "x", "red", 24),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -76,9 +76,9 @@
     /// Class of jobs, if it is about one.
     pub class: Option<String>,
     /// Time bound.
-    pub within: Option<Micros>,
+    pub threshold: Option<Micros>,
     /// Share that should make it.
-    pub share: f64,
+    pub target: f64,
 }
 
 /// Everything the daemon is told.
@@ -89,15 +89,15 @@
     /// This controller's zone.
     pub zone: String,
     /// Where users, workers and health checks come in.
-    pub front: SocketAddr,
+    pub http_addr: SocketAddr,
     /// Where the other controllers come in.
-    pub mesh: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// The other controllers.
     pub peers: Vec<Peer>,
     /// The cloud.
-    pub cloud: SocketAddr,
+    pub cloud_addr: SocketAddr,
     /// The state service.
-    pub store: SocketAddr,
+    pub state_store_addr: SocketAddr,
     /// Zones of the platform.
     pub zones: Vec<String>,
     /// Teams in the order given.
@@ -105,35 +105,35 @@
     /// Aims.
     pub objectives: Vec<Objective>,
     /// Workers' report interval.
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     /// Workers' lease.
-    pub lease: Micros,
+    pub worker_lease: Micros,
     /// How long a gang's tasks wait for each other.
-    pub gang_wait: Micros,
+    pub gang_start_timeout: Micros,
     /// How soon a gang's tasks notice a lost one.
-    pub gang_peer: Micros,
+    pub gang_peer_timeout: Micros,
     /// How soon a cancelled job's tasks must be gone.
-    pub cancel: Micros,
+    pub cancellation_deadline: Micros,
     /// State service: requests a second, over all controllers.
-    pub store_rps: f64,
+    pub store_request_rate: f64,
     /// State service: changes a second, over all controllers.
-    pub store_writes: f64,
+    pub store_write_rate: f64,
     /// The least that its rate of changes may become.
-    pub store_writes_least: f64,
+    pub min_store_write_rate: f64,
     /// State service: most bytes of a value.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// State service: most changes of a transaction.
-    pub txn_ops: usize,
+    pub max_txn_ops: usize,
     /// Cloud: calls a second.
-    pub cloud_rps: f64,
+    pub cloud_request_rate: f64,
     /// Cloud: how late the list of machines may usually be.
-    pub list_lag: Micros,
+    pub cloud_list_lag: Micros,
     /// Most sockets.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// Memory in MB; 0: not said.
     pub memory_mb: f64,
     /// Bound on the error of the time of day.
-    pub clock_off: Micros,
+    pub max_clock_error: Micros,
     /// Operators' own settings.
     pub operator: Operator,
 }
@@ -257,11 +257,11 @@
         Ok(Settings {
             name: f.host_name,
             zone: f.area,
-            front: addr("front", &f.front)?,
-            mesh: addr("mesh_addr", &f.mesh_addr)?,
+            http_addr: addr("front", &f.front)?,
+            peer_addr: addr("mesh_addr", &f.mesh_addr)?,
             peers,
-            cloud: addr("outside.cloud", &f.outside.cloud)?,
-            store: addr("outside.state", &f.outside.state)?,
+            cloud_addr: addr("outside.cloud", &f.outside.cloud)?,
+            state_store_addr: addr("outside.state", &f.outside.state)?,
             zones: f.facts.zones,
             teams,
             objectives: f
@@ -271,39 +271,39 @@
                 .map(|o| Objective {
                     kind: o.kind,
                     class: o.class,
-                    within: o.within_s.map(units::secs),
-                    share: o.share.unwrap_or(0.0),
+                    threshold: o.within_s.map(units::secs),
+                    target: o.share.unwrap_or(0.0),
                 })
                 .collect(),
-            report: span("facts.workers.report_s", w.report_s)?,
-            lease,
-            gang_wait: span("facts.workers.gang_wait_s", w.gang_wait_s)?,
-            gang_peer: span("facts.workers.gang_peer_s", w.gang_peer_s)?,
-            cancel,
-            store_rps: rate("facts.state.rps", s.rps)?,
-            store_writes: rate("facts.state.write_rps", s.write_rps)?,
+            heartbeat_interval: span("facts.workers.report_s", w.report_s)?,
+            worker_lease: lease,
+            gang_start_timeout: span("facts.workers.gang_wait_s", w.gang_wait_s)?,
+            gang_peer_timeout: span("facts.workers.gang_peer_s", w.gang_peer_s)?,
+            cancellation_deadline: cancel,
+            store_request_rate: rate("facts.state.rps", s.rps)?,
+            store_write_rate: rate("facts.state.write_rps", s.write_rps)?,
             // What is written from the start fits the limits to come, too: they come
             // without notice, and what is on record then must be rewritten under them.
-            value_bytes: (rate("facts.state.value_kb", s.value_kb)?.min(match next.value_kb {
+            max_value_bytes: (rate("facts.state.value_kb", s.value_kb)?.min(match next.value_kb {
                 Some(kb) => rate("facts.state.next.value_kb", kb)?,
                 None => f64::MAX,
             }) * 1024.0) as usize,
-            txn_ops: s.txn_ops.min(next.txn_ops.unwrap_or(usize::MAX)),
-            store_writes_least: match next.write_rps {
+            max_txn_ops: s.txn_ops.min(next.txn_ops.unwrap_or(usize::MAX)),
+            min_store_write_rate: match next.write_rps {
                 Some(w) => rate("facts.state.next.write_rps", w)?.min(s.write_rps),
                 None => s.write_rps,
             },
-            cloud_rps: rate("facts.cloud.rps", f.facts.cloud.rps)?,
-            list_lag: units::secs(f.facts.cloud.list_lag_s),
-            sockets: f.facts.quota.fd_limit,
+            cloud_request_rate: rate("facts.cloud.rps", f.facts.cloud.rps)?,
+            cloud_list_lag: units::secs(f.facts.cloud.list_lag_s),
+            max_sockets: f.facts.quota.fd_limit,
             memory_mb: f.facts.quota.ram_mb,
-            clock_off: units::secs(f.facts.clock_off_ms / 1000.0),
+            max_clock_error: units::secs(f.facts.clock_off_ms / 1000.0),
             operator: Operator::default(),
         })
     }
 
     /// How many controllers, and so regions, there are.
-    pub fn size(&self) -> usize {
+    pub fn region_count(&self) -> usize {
         self.peers.len() + 1
     }
 
@@ -319,7 +319,7 @@
     /// must still be carried out in time by its workers' leases running out:
     /// life + `lease_s` + margin stays below `cancel_s`.
     pub fn owner_lease_life(&self) -> Micros {
-        ((self.cancel - self.lease) * 6 / 10).min(20 * units::SECOND)
+        ((self.cancellation_deadline - self.worker_lease) * 6 / 10).min(20 * units::SECOND)
     }
 
     /// A team by name.
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -6,21 +6,21 @@
 #[derive(Debug, Clone)]
 pub struct Operator {
     /// Classes in the order in which they go first, after guarantee and priority.
-    pub precedence: Vec<String>,
+    pub class_precedence: Vec<String>,
     /// How long a machine may stand idle before it is returned; unless given, as
     /// long as one of its type takes to boot.
-    pub idle: Option<Micros>,
+    pub idle_timeout: Option<Micros>,
     /// How soon waiting work should be under way: beyond it machines are rented.
     /// Unless given, it follows from the aims of the work's class.
-    pub horizon: Option<Micros>,
+    pub scale_out_horizon: Option<Micros>,
     /// Processors kept beyond those in use, as a share of these.
     pub headroom: f64,
     /// The time over which aims are measured for signals.
     pub alert_window: Micros,
     /// The fewest jobs in it before a signal is given.
-    pub alert_least: u32,
+    pub alert_min_jobs: u32,
     /// How far above an aim it must be to count as met again, as a share.
-    pub alert_margin: f64,
+    pub alert_recovery_margin: f64,
     /// Whether to look for records that the state service lost, and to hold if it did.
     pub detect_lost_records: bool,
 }
@@ -28,13 +28,13 @@
 impl Default for Operator {
     fn default() -> Self {
         Operator {
-            precedence: Vec::new(),
-            idle: None,
-            horizon: None,
+            class_precedence: Vec::new(),
+            idle_timeout: None,
+            scale_out_horizon: None,
             headroom: 0.3,
             alert_window: 300 * units::SECOND,
-            alert_least: 5,
-            alert_margin: 0.05,
+            alert_min_jobs: 5,
+            alert_recovery_margin: 0.05,
             detect_lost_records: false,
         }
     }
@@ -68,7 +68,7 @@
             let seconds = |low: f64, high: f64| number(low, high).map(units::secs);
             match (section, key) {
                 (Some("classes"), "precedence") => {
-                    op.precedence = value
+                    op.class_precedence = value
                         .split(',')
                         .map(|c| c.trim().to_owned())
                         .filter(|c| !c.is_empty())
@@ -83,12 +83,14 @@
                         }
                     };
                 }
-                (Some("renting"), "idle_s") => op.idle = Some(seconds(1.0, 3600.0)?),
-                (Some("renting"), "horizon_s") => op.horizon = Some(seconds(1.0, 3600.0)?),
+                (Some("renting"), "idle_s") => op.idle_timeout = Some(seconds(1.0, 3600.0)?),
+                (Some("renting"), "horizon_s") => {
+                    op.scale_out_horizon = Some(seconds(1.0, 3600.0)?)
+                }
                 (Some("renting"), "headroom") => op.headroom = number(0.0, 10.0)?,
                 (Some("alerts"), "window_s") => op.alert_window = seconds(10.0, 86_400.0)?,
-                (Some("alerts"), "least_jobs") => op.alert_least = number(1.0, 1e6)? as u32,
-                (Some("alerts"), "margin") => op.alert_margin = number(0.0, 1.0)?,
+                (Some("alerts"), "least_jobs") => op.alert_min_jobs = number(1.0, 1e6)? as u32,
+                (Some("alerts"), "margin") => op.alert_recovery_margin = number(0.0, 1.0)?,
                 _ => return Err(bad(field.clone(), "unknown key".into())),
             }
         }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -27,7 +27,7 @@
 fn platform_file() {
     let s = Settings::parse("f", &sample()).unwrap();
     assert_eq!(s.regions(), ["t-0", "t-1", "t-2"]);
-    assert!(s.owner_lease_life() + s.lease + 2 * units::SECOND < s.cancel);
+    assert!(s.owner_lease_life() + s.worker_lease + 2 * units::SECOND < s.cancellation_deadline);
     let limit = |team: &str| s.team(team).unwrap().limit;
     assert_eq!(limit("guest"), None);
     assert_eq!(limit("red").map(|l| (l.cpus, l.gpus)), Some((8_000_000, 0)));
@@ -51,7 +51,7 @@
     ] {
         let text = sample().replacen(r#""txn_ops":12"#, &format!(r#""txn_ops":12{next}"#), 1);
         let s = Settings::parse("f", &text).unwrap();
-        let got = (s.value_bytes, s.txn_ops, s.store_writes_least);
+        let got = (s.max_value_bytes, s.max_txn_ops, s.min_store_write_rate);
         assert_eq!(got, (bytes, ops, least), "{next}");
     }
     for (from, to, names) in [
@@ -98,8 +98,8 @@
         Operator::default(),
     )
     .unwrap();
-    assert_eq!(ok.precedence, ["a", "b"]);
-    assert_eq!(ok.idle, Some(30 * units::SECOND));
+    assert_eq!(ok.class_precedence, ["a", "b"]);
+    assert_eq!(ok.idle_timeout, Some(30 * units::SECOND));
     assert!(!ok.detect_lost_records);
     let deployed = include_str!("../../deploy/recovery.ini");
     let on = parse_ini("i", deployed, Operator::default()).unwrap();
--- a/src/simulation/scale.rs
+++ b/src/simulation/scale.rs
@@ -29,8 +29,8 @@
     let mut world = World::new(&p);
     world.capacity = machines;
     for s in &mut world.settings {
-        s.sockets = 3_500;
-        s.cloud_rps = 10.0;
+        s.max_sockets = 3_500;
+        s.cloud_request_rate = 10.0;
         for team in &mut s.teams {
             team.limit = None;
         }
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -298,8 +298,8 @@
 impl StateStore {
     /// A registry that knows nothing yet.
     pub fn new(s: &Settings) -> Self {
-        let n = s.size() as f64;
-        let share = s.store_rps / n;
+        let n = s.region_count() as f64;
+        let share = s.store_request_rate / n;
         // More than an even share each, since not all have much to write at once;
         // when that is too much together, each comes down to its even share.
         let most = (0.95 / n).max(0.4);
@@ -329,10 +329,10 @@
             next_ticket: 1,
             in_flight: 0,
             requests: TokenBucket::new(share * 0.95),
-            writes: TokenBucket::new(s.store_writes * most),
-            writes_least: s.store_writes_least,
+            writes: TokenBucket::new(s.store_write_rate * most),
+            writes_least: s.min_store_write_rate,
             controllers: n,
-            write_most: s.store_writes * most,
+            write_most: s.store_write_rate * most,
             out: Vec::new(),
             commit_times: Vec::new(),
             commit_sent: BTreeMap::new(),
--- a/src/status.rs
+++ b/src/status.rs
@@ -100,7 +100,7 @@
 impl Aim {
     fn name(&self) -> String {
         let class = self.objective.class.as_deref().unwrap_or("all classes");
-        match self.objective.within {
+        match self.objective.threshold {
             Some(w) => format!(
                 "{class}, {} within {:.0} s",
                 self.objective.kind,
@@ -169,10 +169,10 @@
                 .collect(),
             jobs: BTreeMap::new(),
             slice: (op.alert_window / SLICES).max(SECOND),
-            least: op.alert_least,
-            margin: op.alert_margin,
+            least: op.alert_min_jobs,
+            margin: op.alert_recovery_margin,
             signals: VecDeque::new(),
-            pipelines: PipelineWatch::new(op.alert_margin),
+            pipelines: PipelineWatch::new(op.alert_recovery_margin),
             conditions: ConditionWatch::default(),
         }
     }
@@ -240,7 +240,7 @@
         let mut out = Vec::new();
         for a in &mut self.aims {
             let (met, all) = a.window.counts(oldest);
-            let aim = a.objective.share;
+            let aim = a.objective.target;
             let share = if all == 0 {
                 1.0
             } else {
@@ -300,7 +300,7 @@
                     aim: a.name(),
                     met,
                     all,
-                    share: a.objective.share,
+                    share: a.objective.target,
                     behind: a.standing == Standing::Behind,
                 }
             })
@@ -321,8 +321,8 @@
         return None;
     }
     let (event, by) = match o.kind.as_str() {
-        "wait" | "guarantee" => (t.started.or(finished), t.submitted + o.within?),
-        "finished" => (finished, t.submitted + o.within?),
+        "wait" | "guarantee" => (t.started.or(finished), t.submitted + o.threshold?),
+        "finished" => (finished, t.submitted + o.threshold?),
         _ => (finished, t.submitted + t.deadline?),
     };
     match event {
--- a/src/status/tests.rs
+++ b/src/status/tests.rs
@@ -7,13 +7,13 @@
     let o = |kind: &str, class: Option<&str>, share: f64| Objective {
         kind: kind.into(),
         class: class.map(Into::into),
-        within: Some(10 * SECOND),
-        share,
+        threshold: Some(10 * SECOND),
+        target: share,
     };
     let op = Operator {
         alert_window: 100 * SECOND,
-        alert_least: 3,
-        alert_margin: margin,
+        alert_min_jobs: 3,
+        alert_recovery_margin: margin,
         ..Operator::default()
     };
     Aims::new(
@@ -86,8 +86,8 @@
     let o = |kind: &str, class: Option<&str>| Objective {
         kind: kind.into(),
         class: class.map(Into::into),
-        within: Some(10 * SECOND),
-        share: 0.5,
+        threshold: Some(10 * SECOND),
+        target: 0.5,
     };
     let s = SECOND;
     for (kind, class, track, finished, wall, want) in [
