--- a/src/admission.rs
+++ b/src/admission.rs
@@ -64,19 +64,19 @@
 
 /// Why a submission is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum AdmissionError {
     /// 400.
     #[error("malformed")]
     Malformed,
     /// 422.
     #[error("can never run: {0}")]
-    Never(&'static str),
+    Unsatisfiable(&'static str),
     /// 503.
     #[error("can't be decided yet: {0}")]
-    NotYet(&'static str),
+    Undecided(&'static str),
     /// 400.
     #[error("needs too many jobs: a record keeps about {0} of them")]
-    Needs(usize),
+    TooManyDependencies(usize),
 }
 
 /// What a needed job takes up in a record: its id in quotes and a comma, ids of up to
@@ -89,14 +89,14 @@
 }
 
 /// Reads a submission. `wall` is the time of day.
-pub fn parse_submission(body: &[u8], wall: Micros) -> Result<(String, JobSpec), Refusal> {
+pub fn parse_submission(body: &[u8], wall: Micros) -> Result<(String, JobSpec), AdmissionError> {
     if !is_map(body) {
-        return Err(Refusal::Malformed);
+        return Err(AdmissionError::Malformed);
     }
     let mut de = rmp_serde::Deserializer::from_read_ref(body);
     let w = wire::Submission::deserialize(&mut de).map_err(|e| {
         log::debug!("intake: submission: {e}");
-        Refusal::Malformed
+        AdmissionError::Malformed
     })?;
     let span = |s: f64| (s.is_finite() && (0.0..=1e9).contains(&s)).then(|| units::secs(s));
     let amount = |a: f64| (a.is_finite() && (0.0..=1e6).contains(&a)).then(|| units::need(a));
@@ -150,15 +150,21 @@
     };
     // Keys may not hold more than 200 bytes, nor the record more than a value.
     if !is_job_id(&w.id) || w.cores <= 0.0 {
-        return Err(Refusal::Malformed);
+        return Err(AdmissionError::Malformed);
     }
-    spec().map(|s| (w.id.clone(), s)).ok_or(Refusal::Malformed)
+    spec()
+        .map(|s| (w.id.clone(), s))
+        .ok_or(AdmissionError::Malformed)
 }
 
 /// Whether a job can ever run here.
-pub fn check(spec: &JobSpec, replica: &Replica, settings: &Settings) -> Result<(), Refusal> {
+pub fn check_satisfiable(
+    spec: &JobSpec,
+    replica: &Replica,
+    settings: &Settings,
+) -> Result<(), AdmissionError> {
     let Some(team) = settings.team(&spec.team) else {
-        return Err(Refusal::Never("unknown team"));
+        return Err(AdmissionError::Unsatisfiable("unknown team"));
     };
     if !quota::can_ever(
         spec.kind,
@@ -166,14 +172,16 @@
         spec.quota_per_task(),
         team.limit,
     ) {
-        return Err(Refusal::Never("more than the team's limit"));
+        return Err(AdmissionError::Unsatisfiable("more than the team's limit"));
     }
     if replica.machine_types.is_empty() {
-        return Err(Refusal::NotYet("machine types unknown"));
+        return Err(AdmissionError::Undecided("machine types unknown"));
     }
     let types = || replica.machine_types.values().map(|f| &f.value);
     if !types().any(|f| spec.fits_machine_type(f)) {
-        return Err(Refusal::Never("a task fits no allowed machine type"));
+        return Err(AdmissionError::Unsatisfiable(
+            "a task fits no allowed machine type",
+        ));
     }
     // Types are sold by zone: one that fits but is not to be had in the only allowed
     // zone is as good as none.
@@ -181,19 +189,25 @@
     if let Some(z) = &spec.zone {
         let known = settings.zones.contains(z) || types().any(|f| f.zones.contains(z));
         if !known {
-            return Err(Refusal::Never("unknown zone"));
+            return Err(AdmissionError::Unsatisfiable("unknown zone"));
         }
         if !here(z) {
-            return Err(Refusal::Never("a task fits no machine type of its zone"));
+            return Err(AdmissionError::Unsatisfiable(
+                "a task fits no machine type of its zone",
+            ));
         }
     }
     if spec.spread_zones && spec.task_count > 1 {
         if spec.single_zone || spec.zone.is_some() {
-            return Err(Refusal::Never("it must be spread and in one zone at once"));
+            return Err(AdmissionError::Unsatisfiable(
+                "it must be spread and in one zone at once",
+            ));
         }
         let zones: std::collections::BTreeSet<_> = types().flat_map(|f| &f.zones).collect();
         if zones.into_iter().filter(|z| here(z)).count() < 2 {
-            return Err(Refusal::Never("it must be spread over more zones than fit"));
+            return Err(AdmissionError::Unsatisfiable(
+                "it must be spread over more zones than fit",
+            ));
         }
     }
     let length = |s: &JobSpec| serde_json::to_string(s).map_or(usize::MAX, |t| t.len()) + 1024;
@@ -204,16 +218,18 @@
                 ..spec.clone()
             });
             if let Some(room) = settings.max_value_bytes.checked_sub(bare) {
-                return Err(Refusal::Needs(room / NEED_BYTES));
+                return Err(AdmissionError::TooManyDependencies(room / NEED_BYTES));
             }
         }
-        return Err(Refusal::Never("its description is too long to keep"));
+        return Err(AdmissionError::Unsatisfiable(
+            "its description is too long to keep",
+        ));
     }
     Ok(())
 }
 
 /// The body that says where a job stands.
-pub fn state_body(id: &str, stage: JobStage, counts: Option<(u32, u32)>) -> Vec<u8> {
+pub fn encode_job_state(id: &str, stage: JobStage, counts: Option<(u32, u32)>) -> Vec<u8> {
     let running = counts.is_some_and(|(_, r)| r > 0);
     let stage = match stage {
         JobStage::Open if running => "running",
@@ -233,7 +249,7 @@
 /// A limit on requests in progress that adjusts itself to measured times: while
 /// the state service answers as fast as it has shown it can, the limit grows by
 /// steps when it is being reached; when answers get slow, it shrinks by a share.
-pub struct Limiter {
+pub struct ConcurrencyLimiter {
     limit: f64,
     most: f64,
     window: Histogram<u64>,
@@ -246,11 +262,11 @@
 const LEAST: f64 = 4.0;
 const WINDOW: Micros = SECOND;
 
-impl Limiter {
+impl ConcurrencyLimiter {
     /// A limiter that never lets more than `most` in.
     pub fn new(most: usize) -> Self {
         let most = (most as f64).max(LEAST);
-        Limiter {
+        ConcurrencyLimiter {
             limit: 32f64.min(most),
             most,
             // The bounds are constant and valid; auto-resize is not needed.
@@ -274,7 +290,7 @@
     }
 
     /// Takes a measured time.
-    pub fn measured(&mut self, took: Micros, now: Micros) {
+    pub fn record_latency(&mut self, took: Micros, now: Micros) {
         self.window.saturating_record(took.max(1));
         if now < self.window_ends || self.window.len() < 4 {
             return;
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -50,7 +50,7 @@
         v[field] = value.clone();
         assert_eq!(
             parse_submission(&bytes(&v), 0),
-            Err(Refusal::Malformed),
+            Err(AdmissionError::Malformed),
             "{field} {value}"
         );
     }
@@ -80,12 +80,12 @@
     // A list in the fields' order, plain nonsense, and NaN.
     let list = json!(["req-1", "a", "b"]);
     for body in [bytes(&list), vec![], vec![0xc1], b"{}".to_vec()] {
-        assert_eq!(parse_submission(&body, 0), Err(Refusal::Malformed));
+        assert_eq!(parse_submission(&body, 0), Err(AdmissionError::Malformed));
     }
     let mut nan = bytes(&good());
     let at = nan.windows(5).position(|w| w == b"cores").unwrap() + 5;
     nan[at + 1..at + 9].copy_from_slice(&f64::NAN.to_be_bytes());
-    assert_eq!(parse_submission(&nan, 0), Err(Refusal::Malformed));
+    assert_eq!(parse_submission(&nan, 0), Err(AdmissionError::Malformed));
 }
 
 #[test]
@@ -96,8 +96,8 @@
         .unwrap()
         .1;
     assert!(matches!(
-        check(&base, &r, &settings),
-        Err(Refusal::NotYet(_))
+        check_satisfiable(&base, &r, &settings),
+        Err(AdmissionError::Undecided(_))
     ));
     let f = json!({"name":"g8","cpus":8_000_000u64,"gpus":1_000_000u64,"mem":64_000_000u64,"fetch":1,
         "price":1,"spot_price":1,"boot":1,"zones":["a","b"]});
@@ -105,7 +105,7 @@
     let with = |change: &dyn Fn(&mut JobSpec)| {
         let mut s = base.clone();
         change(&mut s);
-        check(&s, &r, &settings)
+        check_satisfiable(&s, &r, &settings)
     };
     assert_eq!(with(&|_| {}), Ok(()));
     assert_eq!(with(&|s| s.zone = Some("b".into())), Ok(()));
@@ -122,7 +122,7 @@
     let many =
         |n: usize| with(&|s| s.dependencies = (0..n).map(|i| format!("req-{i:06}")).collect());
     assert_eq!(many(100), Ok(()));
-    let Err(Refusal::Needs(bound)) = many(400) else {
+    let Err(AdmissionError::TooManyDependencies(bound)) = many(400) else {
         panic!("taken");
     };
     assert!(many(bound).is_ok() && bound > 100, "{bound}");
@@ -143,20 +143,23 @@
             }),
         ),
     ] {
-        assert!(matches!(res, Err(Refusal::Never(_))), "{what}: {res:?}");
+        assert!(
+            matches!(res, Err(AdmissionError::Unsatisfiable(_))),
+            "{what}: {res:?}"
+        );
     }
 }
 
 #[test]
 fn the_limit_follows_measured_times() {
-    let mut l = Limiter::new(200);
+    let mut l = ConcurrencyLimiter::new(200);
     let start = l.limit();
     let mut now = 0;
-    let mut feed = |l: &mut Limiter, ms: u64, secs: u64, busy: usize| {
+    let mut feed = |l: &mut ConcurrencyLimiter, ms: u64, secs: u64, busy: usize| {
         for _ in 0..secs * 10 {
             now += SECOND / 10;
             l.admits(busy);
-            l.measured(ms * MILLISECOND, now);
+            l.record_latency(ms * MILLISECOND, now);
         }
     };
     feed(&mut l, 8, 10, 40);
@@ -236,14 +239,18 @@
         assert_eq!(read, Ok(("req-000412".to_owned(), spec)), "{name}");
         for length in 0..bytes.len() {
             let read = parse_submission(&bytes[..length], 7);
-            assert_eq!(read, Err(Refusal::Malformed), "{name} cut to {length}");
+            assert_eq!(
+                read,
+                Err(AdmissionError::Malformed),
+                "{name} cut to {length}"
+            );
         }
     }
     let refused = files.iter().filter(|(n, _)| n.starts_with("refused "));
     assert_eq!(refused.clone().count(), 18);
     for (name, bytes) in refused {
         let read = parse_submission(bytes, 7);
-        assert_eq!(read, Err(Refusal::Malformed), "{name}");
+        assert_eq!(read, Err(AdmissionError::Malformed), "{name}");
     }
 }
 
@@ -267,6 +274,6 @@
     ];
     assert_eq!(files.len(), cases.len());
     for (name, id, stage, counts) in cases {
-        assert_eq!(state_body(id, stage, counts), files[name], "{name}");
+        assert_eq!(encode_job_state(id, stage, counts), files[name], "{name}");
     }
 }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -45,13 +45,13 @@
 
     #[derive(Deserialize)]
     pub struct List {
-        pub tillers: Vec<Listed>,
+        pub tillers: Vec<ListedMachine>,
         #[serde(default)]
         pub more: bool,
     }
 
     #[derive(Deserialize)]
-    pub struct Listed {
+    pub struct ListedMachine {
         #[serde(rename = "nameId")]
         pub name: String,
         pub plot: String,
@@ -78,7 +78,7 @@
 
 /// A machine in the cloud's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Name.
     pub name: String,
     /// What it is.
@@ -93,7 +93,7 @@
 #[derive(Debug, PartialEq)]
 pub enum CloudEvent {
     /// The machine types.
-    Flavors(Vec<MachineType>),
+    MachineTypes(Vec<MachineType>),
     /// These were rented for this offer, of so many asked.
     Rented(Offer, String, Vec<String>, u32),
     /// None to be had.
@@ -101,16 +101,16 @@
     /// These are gone for sure.
     Released(Vec<String>),
     /// The whole list.
-    Listed(Vec<Listed>),
+    Inventory(Vec<ListedMachine>),
     /// The interface is down or silent.
-    Down,
+    Unavailable,
 }
 
 /// A call to the cloud.
 #[derive(Debug)]
 pub struct CloudCall {
     /// Handed back with the response.
-    pub op: u64,
+    pub call_id: u64,
     /// Request method.
     pub method: &'static str,
     /// Path and query.
@@ -122,7 +122,7 @@
 }
 
 #[derive(Debug, Clone)]
-enum Ask {
+enum Request {
     Flavors,
     Rent {
         offer: Offer,
@@ -133,7 +133,7 @@
     Release(Vec<String>),
     List {
         from: Option<String>,
-        got: Vec<Listed>,
+        got: Vec<ListedMachine>,
     },
 }
 
@@ -147,8 +147,8 @@
 /// returning are repeated unchanged until the answer is definite: a repeated
 /// request name rents nothing more, and a machine once asked back never serves again.
 pub struct CloudClient {
-    queue: VecDeque<Ask>,
-    flight: Option<(u64, Ask)>,
+    queue: VecDeque<Request>,
+    flight: Option<(u64, Request)>,
     next_op: u64,
     /// Between calls: while not leading, and while leading.
     gaps: [Micros; 2],
@@ -176,41 +176,41 @@
     }
 
     /// Whether this controller leads: then the better part of the rate is its own.
-    pub fn lead(&mut self, leading: bool) {
+    pub fn set_leading(&mut self, leading: bool) {
         self.leading = leading;
     }
 
     /// Whether the interface failed last time.
-    pub fn down(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         self.failures > 0
     }
 
     /// Asks for the machine types.
-    pub fn ask_flavors(&mut self) {
-        if !self.has(|a| matches!(a, Ask::Flavors)) {
-            self.queue.push_back(Ask::Flavors);
+    pub fn request_machine_types(&mut self) {
+        if !self.has(|a| matches!(a, Request::Flavors)) {
+            self.queue.push_back(Request::Flavors);
         }
     }
 
     /// Asks for the list of machines.
-    pub fn ask_list(&mut self) {
-        if !self.has(|a| matches!(a, Ask::List { .. })) {
-            self.queue.push_back(Ask::List {
+    pub fn request_inventory(&mut self) {
+        if !self.has(|a| matches!(a, Request::List { .. })) {
+            self.queue.push_back(Request::List {
                 from: None,
                 got: Vec::new(),
             });
         }
     }
 
-    fn has(&self, f: impl Fn(&Ask) -> bool) -> bool {
+    fn has(&self, f: impl Fn(&Request) -> bool) -> bool {
         self.queue.iter().any(&f) || self.flight.as_ref().is_some_and(|(_, a)| f(a))
     }
 
     /// Rents; `tenancy` must never have been used by anyone.
     pub fn rent(&mut self, offer: Offer, region: String, count: u32, tenancy: String) {
-        let rents = |a: &&Ask| matches!(a, Ask::Rent { .. });
+        let rents = |a: &&Request| matches!(a, Request::Rent { .. });
         let at = self.queue.iter().take_while(rents).count();
-        let ask = Ask::Rent {
+        let ask = Request::Rent {
             offer,
             region,
             count: count.clamp(1, 50),
@@ -220,12 +220,12 @@
     }
 
     /// The rentals under way: offer, region, how many.
-    pub fn renting(&self) -> Vec<(Offer, String, u32)> {
+    pub fn pending_rentals(&self) -> Vec<(Offer, String, u32)> {
         self.queue
             .iter()
             .chain(self.flight.as_ref().map(|(_, a)| a))
             .filter_map(|a| match a {
-                Ask::Rent {
+                Request::Rent {
                     offer,
                     count,
                     region,
@@ -237,8 +237,8 @@
     }
 
     /// Drops rentals that have not been sent: their leader is one no more.
-    pub fn drop_rentals(&mut self) {
-        self.queue.retain(|a| !matches!(a, Ask::Rent { .. }));
+    pub fn cancel_unsent_rentals(&mut self) {
+        self.queue.retain(|a| !matches!(a, Request::Rent { .. }));
     }
 
     /// Returns machines.
@@ -251,14 +251,14 @@
         // machines, would then say how fast they go back.
         for name in fresh {
             match self.queue.back_mut() {
-                Some(Ask::Release(names)) if names.len() < 100 => names.push(name),
-                _ => self.queue.push_back(Ask::Release(vec![name])),
+                Some(Request::Release(names)) if names.len() < 100 => names.push(name),
+                _ => self.queue.push_back(Request::Release(vec![name])),
             }
         }
     }
 
     /// The next call, if one is due, and when to look again.
-    pub fn pump(&mut self, now: Micros) -> (Option<CloudCall>, Micros) {
+    pub fn next_call(&mut self, now: Micros) -> (Option<CloudCall>, Micros) {
         if self.flight.is_some() || self.queue.is_empty() {
             return (None, now + SECOND);
         }
@@ -273,8 +273,8 @@
         self.next_at = now + self.gaps[usize::from(self.leading)];
         let body = |v: serde_json::Value| rmp_serde::to_vec(&v).unwrap_or_default();
         let (method, target, body) = match &ask {
-            Ask::Flavors => ("GET", "/flavors".to_owned(), Vec::new()),
-            Ask::Rent {
+            Request::Flavors => ("GET", "/flavors".to_owned(), Vec::new()),
+            Request::Rent {
                 offer,
                 count,
                 tenancy,
@@ -287,12 +287,12 @@
                     "fallow": offer.spot, "count": count}),
                 ),
             ),
-            Ask::Release(names) => (
+            Request::Release(names) => (
                 "POST",
                 "/machines/release".to_owned(),
                 body(json!({ "tillers": names })),
             ),
-            Ask::List { from, .. } => (
+            Request::List { from, .. } => (
                 "GET",
                 match from {
                     Some(f) => format!("/machines?from={f}&page={LIST_PAGE}"),
@@ -303,7 +303,7 @@
         };
         self.flight = Some((op, ask));
         let call = CloudCall {
-            op,
+            call_id: op,
             method,
             target,
             body,
@@ -325,10 +325,10 @@
         let ok = match &result {
             Ok(r) if r.status == 200 => self.take(&ask, &r.body),
             Ok(r) if r.status == 503 && no_capacity(&r.body) => {
-                if let Ask::Rent { offer, .. } = ask {
+                if let Request::Rent { offer, .. } = ask {
                     self.failures = 0;
                     self.queue
-                        .retain(|a| !matches!(a, Ask::Rent { offer: o, .. } if *o == offer));
+                        .retain(|a| !matches!(a, Request::Rent { offer: o, .. } if *o == offer));
                     return vec![CloudEvent::NoCapacity(offer)];
                 }
                 None
@@ -336,7 +336,7 @@
             Ok(r) if r.status == 400 => {
                 log::error!("fleet: {ask:?}: refused as malformed");
                 match ask {
-                    Ask::Rent { offer, .. } => return vec![CloudEvent::NoCapacity(offer)],
+                    Request::Rent { offer, .. } => return vec![CloudEvent::NoCapacity(offer)],
                     _ => return Vec::new(),
                 }
             }
@@ -355,26 +355,26 @@
         self.next_at = now + ((300 * MILLISECOND) << self.failures).min(5 * SECOND);
         // Refused for its rate or an outage, or unanswered: asked again as it was.
         match ask {
-            Ask::List { .. } | Ask::Flavors => {}
+            Request::List { .. } | Request::Flavors => {}
             a => self.queue.push_front(a),
         }
-        vec![CloudEvent::Down]
+        vec![CloudEvent::Unavailable]
     }
 
-    fn take(&mut self, ask: &Ask, body: &[u8]) -> Option<Vec<CloudEvent>> {
+    fn take(&mut self, ask: &Request, body: &[u8]) -> Option<Vec<CloudEvent>> {
         fn read<T: for<'a> Deserialize<'a>>(body: &[u8]) -> Option<T> {
             rmp_serde::from_slice(body)
                 .map_err(|e| log::error!("fleet: answer can't be read: {e}"))
                 .ok()
         }
         Some(match ask {
-            Ask::Flavors => {
+            Request::Flavors => {
                 let f: wire::Flavors = read(body)?;
-                vec![CloudEvent::Flavors(
+                vec![CloudEvent::MachineTypes(
                     f.plots.into_iter().map(machine_type).collect(),
                 )]
             }
-            Ask::Rent {
+            Request::Rent {
                 offer,
                 region,
                 count,
@@ -388,16 +388,16 @@
                     *count,
                 )]
             }
-            Ask::Release(names) => {
+            Request::Release(names) => {
                 for n in names {
                     self.releasing.remove(n);
                 }
                 vec![CloudEvent::Released(names.clone())]
             }
-            Ask::List { got, .. } => {
+            Request::List { got, .. } => {
                 let l: wire::List = read(body)?;
                 let mut got = got.clone();
-                got.extend(l.tillers.into_iter().map(|m| Listed {
+                got.extend(l.tillers.into_iter().map(|m| ListedMachine {
                     name: m.name,
                     offer: Offer {
                         machine_type: m.plot,
@@ -412,10 +412,10 @@
                 }
                 if l.more && got.len() < MAX_LISTED {
                     let from = got.last().map(|m| m.name.clone());
-                    self.queue.push_front(Ask::List { from, got });
+                    self.queue.push_front(Request::List { from, got });
                     return Some(Vec::new());
                 }
-                vec![CloudEvent::Listed(got)]
+                vec![CloudEvent::Inventory(got)]
             }
         })
     }
@@ -445,30 +445,30 @@
 
 /// Offers that were refused lately, and until when they are not asked for.
 #[derive(Debug, Default)]
-pub struct Refusals {
+pub struct CapacityBackoff {
     until: BTreeMap<Offer, (Micros, u32)>,
 }
 
-impl Refusals {
+impl CapacityBackoff {
     /// An offer was refused (or only partly filled).
-    pub fn refused(&mut self, o: &Offer, now: Micros) {
+    pub fn record_refusal(&mut self, o: &Offer, now: Micros) {
         let e = self.until.entry(o.clone()).or_insert((0, 0));
         e.1 = (e.1 + 1).min(4);
         e.0 = now + ((4 * SECOND) << e.1).min(30 * SECOND);
     }
 
     /// Whether any offer is left alone for now.
-    pub fn any(&self, now: Micros) -> bool {
+    pub fn any_backing_off(&self, now: Micros) -> bool {
         self.until.values().any(|(t, _)| now < *t)
     }
 
     /// An offer was filled.
-    pub fn filled(&mut self, o: &Offer) {
+    pub fn record_success(&mut self, o: &Offer) {
         self.until.remove(o);
     }
 
     /// Whether to leave it alone for now.
-    pub fn closed(&self, o: &Offer, now: Micros) -> bool {
+    pub fn is_backing_off(&self, o: &Offer, now: Micros) -> bool {
         self.until.get(o).is_some_and(|(t, _)| now < *t)
     }
 }
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -31,23 +31,27 @@
         reply(200, json!({"tillers": ["m-1"]})),
     ] {
         now += 10 * SECOND;
-        let call = f.pump(now).0.unwrap();
+        let call = f.next_call(now).0.unwrap();
         bodies.push(call.body);
-        let got = f.on_response(call.op, result.clone(), now);
+        let got = f.on_response(call.call_id, result.clone(), now);
         if result.is_ok_and(|r| r.status == 200) {
             let want = CloudEvent::Rented(offer.clone(), "t-0".into(), vec!["m-1".into()], 2);
             assert_eq!(got, [want]);
         } else {
-            assert_eq!(got, [CloudEvent::Down]);
+            assert_eq!(got, [CloudEvent::Unavailable]);
         }
     }
     assert!(bodies.windows(2).all(|w| w[0] == w[1]));
     f.rent(offer.clone(), "t-0".into(), 1, "x-2".into());
     now += 10 * SECOND;
-    let call = f.pump(now).0.unwrap();
-    let got = f.on_response(call.op, reply(503, json!({"error": "no capacity"})), now);
+    let call = f.next_call(now).0.unwrap();
+    let got = f.on_response(
+        call.call_id,
+        reply(503, json!({"error": "no capacity"})),
+        now,
+    );
     assert_eq!(got, [CloudEvent::NoCapacity(offer)]);
-    assert!(f.pump(now + 10 * SECOND).0.is_none());
+    assert!(f.next_call(now + 10 * SECOND).0.is_none());
 }
 
 #[test]
@@ -55,15 +59,15 @@
     let mut f = cloud_client();
     f.release(vec!["m-1".into()]);
     f.release(vec!["m-1".into()]);
-    let call = f.pump(SECOND).0.unwrap();
+    let call = f.next_call(SECOND).0.unwrap();
     assert_eq!(
-        f.on_response(call.op, Err(CallError::NotSent), SECOND),
-        [CloudEvent::Down]
+        f.on_response(call.call_id, Err(CallError::NotSent), SECOND),
+        [CloudEvent::Unavailable]
     );
-    let call = f.pump(9 * SECOND).0.unwrap();
-    let got = f.on_response(call.op, reply(200, json!({})), 9 * SECOND);
+    let call = f.next_call(9 * SECOND).0.unwrap();
+    let got = f.on_response(call.call_id, reply(200, json!({})), 9 * SECOND);
     assert_eq!(got, [CloudEvent::Released(vec!["m-1".into()])]);
-    assert!(f.pump(20 * SECOND).0.is_none());
+    assert!(f.next_call(20 * SECOND).0.is_none());
 }
 
 /// Calls to the cloud as they are sent, and its answers, as bytes.
@@ -97,7 +101,7 @@
         },
         machine_type("c4", 4_000_000, 16_000_000, 1_000_000),
     ];
-    let listed = |name: &str, offer, failed, age| Listed {
+    let listed = |name: &str, offer, failed, age| ListedMachine {
         name: name.into(),
         offer,
         failed,
@@ -111,7 +115,7 @@
     let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
     let rent = |f: &mut CloudClient| f.rent(g8(), "t-0".into(), 50, "x-1".into());
     let rented = CloudEvent::Rented(g8(), "t-0".into(), names(&["m-1", "m-2"]), 50);
-    type Ask<'a> = &'a dyn Fn(&mut CloudClient);
+    type Request<'a> = &'a dyn Fn(&mut CloudClient);
     type Call = (&'static str, &'static str, Option<&'static str>);
     const RENT: Call = ("POST", "/machines", Some("rent"));
     const LIST: Call = ("GET", "/machines?page=500", None);
@@ -120,17 +124,17 @@
     const NEXT: Call = ("GET", "/machines?from=m-1&page=500", None);
     // What is asked for; the calls with the name of the body, each with the status and the
     // name of the answer's body; what comes of the last.
-    type Case<'a> = (Ask<'a>, &'a [(Call, u16, &'a str)], CloudEvent);
+    type Case<'a> = (Request<'a>, &'a [(Call, u16, &'a str)], CloudEvent);
     let cases: [Case<'_>; 8] = [
         (
-            &CloudClient::ask_flavors,
+            &CloudClient::request_machine_types,
             &[(FLAVORS, 200, "flavors")],
-            CloudEvent::Flavors(machine_types),
+            CloudEvent::MachineTypes(machine_types),
         ),
         (
-            &CloudClient::ask_flavors,
+            &CloudClient::request_machine_types,
             &[(FLAVORS, 200, "unreadable flavors")],
-            CloudEvent::Down,
+            CloudEvent::Unavailable,
         ),
         (&rent, &[(RENT, 200, "rented")], rented),
         (
@@ -141,7 +145,7 @@
         (
             &rent,
             &[(RENT, 503, "trouble"), (RENT, 200, "unreadable rented")],
-            CloudEvent::Down,
+            CloudEvent::Unavailable,
         ),
         (
             &|f| f.release(names(&["m-1", "m-22"])),
@@ -149,17 +153,17 @@
             CloudEvent::Released(names(&["m-1", "m-22"])),
         ),
         (
-            &CloudClient::ask_list,
+            &CloudClient::request_inventory,
             &[
                 (LIST, 200, "list, first page"),
                 (NEXT, 200, "list, last page"),
             ],
-            CloudEvent::Listed(list),
+            CloudEvent::Inventory(list),
         ),
         (
-            &CloudClient::ask_list,
+            &CloudClient::request_inventory,
             &[(LIST, 200, "unreadable list")],
-            CloudEvent::Down,
+            CloudEvent::Unavailable,
         ),
     ];
     for (ask, calls, want) in cases {
@@ -169,12 +173,12 @@
         let mut got = Vec::new();
         for ((method, target, body), status, answer) in calls {
             now += 10 * SECOND;
-            let call = f.pump(now).0.unwrap();
+            let call = f.next_call(now).0.unwrap();
             assert_eq!((call.method, &*call.target), (*method, *target));
             let body = body.map_or(&[][..], |name| &files[name]);
             assert_eq!(call.body, body, "{target}");
             let answer = Response::new(*status, files[answer].clone());
-            got = f.on_response(call.op, Ok(answer), now);
+            got = f.on_response(call.call_id, Ok(answer), now);
         }
         assert_eq!(got, [want]);
     }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -4,21 +4,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
-use crate::admission::{self, Limiter, Refusal};
+use crate::admission::{self, AdmissionError, ConcurrencyLimiter};
 use crate::cloud::{CloudClient, CloudEvent};
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::leader::{self, Leader, Reports};
 use crate::peer_protocol::{self, Message};
 use crate::quota;
-use crate::reactor::{Call, CallError, CallId, ConnId, Limits, Net, NetEvent, Reactor};
+use crate::reactor::{Call, CallError, CallId, ConnectionId, Limits, Net, NetEvent, Reactor};
 use crate::region::{self, HeartbeatOutcome, Region, SchedulingContext};
 use crate::settings::Settings;
 use crate::state_store::{
     Authority, CommitOutcome, CommitPriority, LeaseRole, StateStore, StateStoreEvent, Transaction,
     FRESH_FOR,
 };
-use crate::status::conditions::QuestionRate;
-use crate::status::{self as signals, Aims};
+use crate::status::conditions::PollRate;
+use crate::status::{self as signals, AlertMonitor};
 use crate::worker_protocol;
 use data_loss_hold::DataLossHold;
 use owner_reachability::{Redirects, Releases, UnreachedNews};
@@ -47,7 +47,7 @@
 /// A request that waits for a read that begins after it came.
 #[derive(Debug)]
 struct PendingRequest {
-    conn: ConnId,
+    conn: ConnectionId,
     ask: ClientRequest,
     came: Micros,
     give_up: Micros,
@@ -57,12 +57,12 @@
 #[derive(Debug)]
 enum PendingCommit {
     Submit {
-        conn: ConnId,
+        conn: ConnectionId,
         id: String,
         came: Micros,
     },
     Cancel {
-        conn: ConnId,
+        conn: ConnectionId,
         id: String,
         give_up: Micros,
     },
@@ -132,7 +132,7 @@
     leader: Option<Leader>,
     lead_claim: Option<Acquisition>,
     lead_at: Option<Micros>,
-    limiter: Limiter,
+    limiter: ConcurrencyLimiter,
     waiting: PendingRequests,
     tickets: BTreeMap<u64, PendingCommit>,
     users_busy: usize,
@@ -156,8 +156,8 @@
     mesh_count: u32,
     /// When to say next that messages can't be read.
     unread_next: Micros,
-    aims: Aims,
-    question_rate: QuestionRate,
+    aims: AlertMonitor,
+    question_rate: PollRate,
     aims_next: Micros,
     /// Jobs that waited for others without a record when last looked at.
     missing_needs: usize,
@@ -219,11 +219,11 @@
     pub fn open(settings: Settings) -> io::Result<Self> {
         let peers: Vec<_> = settings.peers.iter().map(|p| p.addr).collect();
         let limits = Limits {
-            served: settings
+            max_served_connections: settings
                 .max_sockets
                 .saturating_sub(16 + 12 + 4 * settings.region_count())
                 .max(16),
-            backlog: 512 * 1024,
+            max_peer_backlog_bytes: 512 * 1024,
         };
         let dests = [(settings.state_store_addr, 10), (settings.cloud_addr, 2)];
         let reactor = Reactor::new(
@@ -265,7 +265,7 @@
             leader: None,
             lead_claim: None,
             lead_at: None,
-            limiter: Limiter::new(settings.max_sockets / 4),
+            limiter: ConcurrencyLimiter::new(settings.max_sockets / 4),
             waiting: PendingRequests::default(),
             tickets: BTreeMap::new(),
             users_busy: 0,
@@ -287,8 +287,8 @@
             mesh_next: 0,
             mesh_count: 0,
             unread_next: 0,
-            aims: Aims::new(&settings.objectives, &settings.operator),
-            question_rate: QuestionRate::default(),
+            aims: AlertMonitor::new(&settings.objectives, &settings.operator),
+            question_rate: PollRate::default(),
             aims_next: 0,
             missing_needs: 0,
             detection: None,
@@ -325,8 +325,8 @@
             NetEvent::Request(conn, req) => self.on_request(conn, req),
             NetEvent::Response(id, result) => self.on_response(id, result),
             NetEvent::Frame(conn, bytes) => match peer_protocol::decode(&bytes) {
-                Some(Message::AskStatus) => {
-                    let page = peer_protocol::encode(&Message::Status(self.status()));
+                Some(Message::StatusRequest) => {
+                    let page = peer_protocol::encode(&Message::StatusResponse(self.status()));
                     self.reactor.reply(conn, &page);
                 }
                 Some(m) => self.on_message(m),
@@ -434,7 +434,7 @@
         until = until.min(self.mesh_next);
         if !self.to_tell.is_empty() {
             let jobs = std::mem::take(&mut self.to_tell);
-            let m = peer_protocol::encode(&Message::Cancelled { jobs });
+            let m = peer_protocol::encode(&Message::JobsCancelled { jobs });
             for i in 0..self.settings.peers.len() {
                 self.reactor.send(i, &m);
             }
@@ -453,7 +453,7 @@
         until = until.min(next);
         for c in calls {
             let id = self.reactor.call(Call {
-                dest: STORE,
+                destination: STORE,
                 method: c.method,
                 target: c.target,
                 body: c.body,
@@ -465,18 +465,18 @@
             self.on_registry(events);
             until = self.now;
         }
-        self.cloud_client.lead(self.leader.is_some());
-        let (call, next) = self.cloud_client.pump(self.now);
+        self.cloud_client.set_leading(self.leader.is_some());
+        let (call, next) = self.cloud_client.next_call(self.now);
         until = until.min(next);
         if let Some(c) = call {
             let id = self.reactor.call(Call {
-                dest: CLOUD,
+                destination: CLOUD,
                 method: c.method,
                 target: c.target,
                 body: c.body,
                 timeout: c.timeout,
             });
-            self.calls.insert(id, OutstandingCall::Cloud(c.op));
+            self.calls.insert(id, OutstandingCall::Cloud(c.call_id));
         }
         until
     }
@@ -486,7 +486,7 @@
             Some(OutstandingCall::Store(op)) => {
                 if matches!(result, Err(CallError::NoAnswer)) {
                     // After a cut the other connections only hang, too.
-                    self.reactor.reset_dest(STORE);
+                    self.reactor.close_idle_connections(STORE);
                 }
                 let mut events = Vec::new();
                 self.registry.on_response(op, result, self.now, &mut events);
@@ -515,7 +515,7 @@
                 StateStoreEvent::Loaded => self.on_loaded(),
                 StateStoreEvent::Changed(keys) => self.on_changed(keys),
                 StateStoreEvent::Barrier(sent) => {
-                    self.limiter.measured(self.now - sent, self.now);
+                    self.limiter.record_latency(self.now - sent, self.now);
                     self.on_barrier_for_detection(sent);
                     self.answer_waiting(sent);
                 }
@@ -545,7 +545,7 @@
             }
         }
         for t in self.registry.take_times() {
-            self.limiter.measured(t, self.now);
+            self.limiter.record_latency(t, self.now);
         }
     }
 
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 impl<N: Net> Controller<N> {
-    pub(super) fn refuse(&mut self, conn: ConnId, status: u16, after: u32) {
+    pub(super) fn refuse(&mut self, conn: ConnectionId, status: u16, after: u32) {
         self.reactor.respond(conn, Response::refusal(status, after));
     }
 
-    pub(super) fn on_request(&mut self, conn: ConnId, req: Request) {
+    pub(super) fn on_request(&mut self, conn: ConnectionId, req: Request) {
         let path: Vec<&str> = req.path.split('/').skip(1).collect();
         match (req.method.as_str(), path.as_slice()) {
             ("GET", ["ready"]) => {
@@ -21,7 +21,7 @@
             ("POST", ["v1", "report"]) => self.on_heartbeat(conn, &req.body),
             ("POST", ["work"]) => self.on_submit(conn, &req.body),
             ("GET", ["work", id]) => {
-                self.question_rate.note();
+                self.question_rate.record();
                 let id = (*id).to_owned();
                 let submitted = false;
                 self.on_ask(conn, ClientRequest::JobState { id, submitted });
@@ -47,7 +47,7 @@
     /// Questions and cancellations share one read of the state service, however
     /// many there are, so the limit on requests in progress is not for them: a job
     /// whose polls it refused again and again would be forgotten.
-    pub(super) fn answers(&mut self, conn: ConnId) -> bool {
+    pub(super) fn answers(&mut self, conn: ConnectionId) -> bool {
         let able = self.registry.loaded() && !self.registry.failing();
         if !able {
             self.refuse(conn, 503, 1);
@@ -56,7 +56,7 @@
     }
 
     /// Whether a submission may come in; if not it is refused at once.
-    pub(super) fn admit(&mut self, conn: ConnId) -> bool {
+    pub(super) fn admit(&mut self, conn: ConnectionId) -> bool {
         let n = self.in_progress();
         if !self.answers(conn) {
             return false;
@@ -69,7 +69,7 @@
         true
     }
 
-    pub(super) fn on_submit(&mut self, conn: ConnId, body: &[u8]) {
+    pub(super) fn on_submit(&mut self, conn: ConnectionId, body: &[u8]) {
         let (id, spec) = match admission::parse_submission(body, self.reactor.wall()) {
             Ok(x) => x,
             Err(_) => return self.reactor.respond(conn, Response::new(400, Vec::new())),
@@ -90,13 +90,13 @@
         if !self.admit(conn) {
             return;
         }
-        match admission::check(&spec, &self.registry.replica, &self.settings) {
+        match admission::check_satisfiable(&spec, &self.registry.replica, &self.settings) {
             Ok(()) => {}
-            Err(Refusal::NotYet(why)) => {
+            Err(AdmissionError::Undecided(why)) => {
                 log::info!("intake: {id}: {why}");
                 return self.refuse(conn, 503, 1);
             }
-            Err(e @ Refusal::Needs(_)) => {
+            Err(e @ AdmissionError::TooManyDependencies(_)) => {
                 log::info!("intake: {id}: {e}");
                 let body = e.to_string().into_bytes();
                 return self.reactor.respond(conn, Response::new(400, body));
@@ -138,7 +138,7 @@
     }
 
     /// Puts a new job on record; the answer goes out when it is.
-    pub(super) fn accept(&mut self, conn: ConnId, id: String, spec: JobSpec, came: Micros) {
+    pub(super) fn accept(&mut self, conn: ConnectionId, id: String, spec: JobSpec, came: Micros) {
         let key = Key::Job(id.clone());
         let rec = JobRecord {
             stage: JobStage::Open,
@@ -160,7 +160,7 @@
             .insert(t, PendingCommit::Submit { conn, id, came });
     }
 
-    pub(super) fn on_ask(&mut self, conn: ConnId, ask: ClientRequest) {
+    pub(super) fn on_ask(&mut self, conn: ConnectionId, ask: ClientRequest) {
         let id = match &ask {
             ClientRequest::JobState { id, .. }
             | ClientRequest::Cancel { id }
@@ -199,7 +199,7 @@
 
     pub(super) fn state(&self, id: &str, stage: JobStage) -> Vec<u8> {
         if stage != JobStage::Open {
-            return admission::state_body(id, stage, None);
+            return admission::encode_job_state(id, stage, None);
         }
         let mut running = 0;
         for (name, (r, _)) in &self.reports {
@@ -213,7 +213,7 @@
             };
         }
         let done = self.registry.replica.done_count(id);
-        admission::state_body(id, stage, Some((done, running)))
+        admission::encode_job_state(id, stage, Some((done, running)))
     }
 
     pub(super) fn expire_waiting(&mut self) {
@@ -262,7 +262,7 @@
         }
     }
 
-    pub(super) fn cancel(&mut self, conn: ConnId, id: String, give_up: Micros) {
+    pub(super) fn cancel(&mut self, conn: ConnectionId, id: String, give_up: Micros) {
         let Some(r) = self.registry.replica.jobs.get(&id) else {
             return self.reactor.respond(conn, Response::new(404, Vec::new()));
         };
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -22,7 +22,7 @@
                         log::debug!("intake: {id}: accepted");
                         // Cancelled at once, if one that it needs is.
                         let stage = self.registry.replica.stage(&id).unwrap_or(JobStage::Open);
-                        let body = admission::state_body(&id, stage, None);
+                        let body = admission::encode_job_state(&id, stage, None);
                         self.reactor.respond(conn, Response::new(201, body));
                     }
                     CommitOutcome::Conflict(_) => {
@@ -47,7 +47,7 @@
                     CommitOutcome::Committed(_) => {
                         log::debug!("intake: {id}: cancelled");
                         self.to_tell.push(id.clone());
-                        let body = admission::state_body(&id, JobStage::Cancelled, None);
+                        let body = admission::encode_job_state(&id, JobStage::Cancelled, None);
                         self.reactor.respond(conn, Response::new(200, body));
                     }
                     CommitOutcome::Conflict(_) if self.now < give_up => {
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -188,7 +188,7 @@
     pub(super) fn records_lost(&self) -> Option<Condition> {
         let held = self.held.as_ref()?;
         let seen = held.finding.to_string();
-        Some(Condition::RecordsLost { seen })
+        Some(Condition::DataLoss { seen })
     }
 
     /// Keeps the hold on record and its regions owned; returns when to look again.
@@ -326,7 +326,7 @@
     }
 
     /// Renews a worker's lease, if this controller keeps its region.
-    pub(super) fn on_report_while_held(&mut self, conn: ConnId, report: &Heartbeat) {
+    pub(super) fn on_report_while_held(&mut self, conn: ConnectionId, report: &Heartbeat) {
         let home = self.settings.name.clone();
         let authority = self.authority();
         let Some(incident) = self.held.as_ref().map(|h| h.incident) else {
@@ -343,7 +343,7 @@
         let Some(kept) = held.regions.get(&region).copied() else {
             let owner = replica.regions.get(&region).map(|r| r.value.owner.clone());
             let owner = owner.filter(|o| *o != home);
-            let body = worker_protocol::elsewhere(owner.as_deref());
+            let body = worker_protocol::encode_redirect(owner.as_deref());
             return self.reactor.respond(conn, Response::new(421, body));
         };
         if report.token > kept.token && !is_disabled(Safeguard::SufficientToken) {
@@ -351,7 +351,7 @@
             held.regions.remove(&region);
         } else if authority && (all_hold || self.now >= kept.answers_from) {
             let commands = self.stops_of_cancelled(report);
-            let body = worker_protocol::answer(kept.token, &commands);
+            let body = worker_protocol::encode_commands(kept.token, &commands);
             return self.reactor.respond(conn, Response::new(200, body));
         }
         self.refuse(conn, 503, 1);
@@ -362,7 +362,7 @@
         let on_machine = report
             .tasks
             .iter()
-            .filter(|t| !matches!(t.stage, ReportedState::Ended(_)));
+            .filter(|t| !matches!(t.state, ReportedState::Ended(_)));
         on_machine
             .filter(|t| self.is_known_cancelled(&t.job))
             .take(worker_protocol::MAX_COMMANDS)
@@ -386,7 +386,7 @@
     /// Whether a user's request about a job is answered here and now, with its final stage or
     /// a refusal: in a hold, and after a start until workers had the time to speak against the
     /// records. Until then a job may be missing, or stand as in an older copy.
-    pub(super) fn withholds(&mut self, conn: ConnId, job: &str) -> bool {
+    pub(super) fn withholds(&mut self, conn: ConnectionId, job: &str) -> bool {
         let Some(detection) = &self.detection else {
             return false;
         };
@@ -398,7 +398,7 @@
         };
         match self.recorded_final_stage(job) {
             Some(stage) => {
-                let body = admission::state_body(job, stage, None);
+                let body = admission::encode_job_state(job, stage, None);
                 self.reactor.respond(conn, Response::new(200, body));
             }
             None => self.refuse(conn, 503, retry_after),
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl<N: Net> Controller<N> {
-    pub(super) fn on_heartbeat(&mut self, conn: ConnId, body: &[u8]) {
+    pub(super) fn on_heartbeat(&mut self, conn: ConnectionId, body: &[u8]) {
         let Some(r) = worker_protocol::parse_heartbeat(body) else {
             return self.reactor.respond(conn, Response::new(400, Vec::new()));
         };
@@ -17,7 +17,7 @@
             return self.refuse(conn, 503, 1);
         }
         let me = self.settings.name.clone();
-        let elsewhere = |to: Option<&str>| Response::new(421, worker_protocol::elsewhere(to));
+        let elsewhere = |to: Option<&str>| Response::new(421, worker_protocol::encode_redirect(to));
         let Some(rec) = self.registry.replica.machines.get(&r.machine) else {
             // No record: the leader finds out what it is.
             let context = context!(self);
@@ -52,7 +52,9 @@
         let token = owned.token;
         let verdict = owned.on_heartbeat(&r, &context);
         let answer = match verdict {
-            HeartbeatOutcome::Accepted(c) => Response::new(200, worker_protocol::answer(token, &c)),
+            HeartbeatOutcome::Accepted(c) => {
+                Response::new(200, worker_protocol::encode_commands(token, &c))
+            }
             HeartbeatOutcome::Stale => {
                 log::debug!("node: {}: late or repeated report passed over", r.machine);
                 Response::refusal(503, 1)
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -6,7 +6,7 @@
     pub(super) fn step_down(&mut self, why: &str) {
         if self.leader.take().is_some() {
             log::info!("node: leader: no more, {why}");
-            self.cloud_client.drop_rentals();
+            self.cloud_client.cancel_unsent_rentals();
         }
     }
 
@@ -102,9 +102,9 @@
     }
 
     pub(super) fn tell_owner(&mut self, m: Message) {
-        let (Message::Move { from, .. }
-        | Message::Close { region: from, .. }
-        | Message::Go { region: from, .. }) = &m
+        let (Message::RebindTasks { from, .. }
+        | Message::CordonMachines { region: from, .. }
+        | Message::StartGang { region: from, .. }) = &m
         else {
             return;
         };
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -139,7 +139,7 @@
         asked
             .map(|r| (r, self.redirects.lasting(r)))
             .filter(|(_, machines)| *machines >= LEAST_MACHINES)
-            .map(|(r, machines)| Condition::OwnerUnreached {
+            .map(|(r, machines)| Condition::OwnerUnreachable {
                 region: r.clone(),
                 machines,
             })
@@ -166,7 +166,7 @@
             let Some(peer) = self.peer_with_extensions(&owner.owner) else {
                 continue;
             };
-            let message = Message::Unreached {
+            let message = Message::OwnerUnreachable {
                 region: region.clone(),
                 token: owner.token,
                 machines: machines.len() as u32,
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -30,7 +30,7 @@
         self.mesh_count += 1;
         let all = self.mesh_count.is_multiple_of(ALL_TOLD);
         let state = |regions: Vec<peer_protocol::RegionReport>| {
-            peer_protocol::encode(&Message::State {
+            peer_protocol::encode(&Message::ControllerState {
                 from: self.settings.name.clone(),
                 run: self.run | peer_protocol::UNDERSTANDS_EXTENSIONS,
                 fresh: self.fresh(),
@@ -57,11 +57,11 @@
         let told: Vec<Message> = self
             .regions
             .values_mut()
-            .map(|r| Message::Boots {
+            .map(|r| Message::ProvisioningHealth {
                 region: r.name.clone(),
-                kinds: r.provisioning_health(now),
+                pools: r.provisioning_health(now),
             })
-            .filter(|m| matches!(m, Message::Boots { kinds, .. } if !kinds.is_empty()))
+            .filter(|m| matches!(m, Message::ProvisioningHealth { pools, .. } if !pools.is_empty()))
             .collect();
         let leader = self.registry.replica.leader.as_ref();
         let leader = leader.map(|l| l.value.holder.clone()).unwrap_or_default();
@@ -89,7 +89,7 @@
 
     pub(super) fn on_message(&mut self, m: Message) {
         match m {
-            Message::State {
+            Message::ControllerState {
                 from,
                 run,
                 fresh,
@@ -123,7 +123,7 @@
                     }
                 }
             }
-            Message::Move {
+            Message::RebindTasks {
                 job,
                 from,
                 to,
@@ -138,21 +138,21 @@
                     r.hand_over_tasks(&job, &to, count, &context);
                 }
             }
-            Message::AskStatus | Message::Status(_) => {}
-            Message::Unreached {
+            Message::StatusRequest | Message::StatusResponse(_) => {}
+            Message::OwnerUnreachable {
                 region,
                 token,
                 machines,
             } => self.on_unreached(region, token, machines),
-            Message::Boots { region, kinds } => {
+            Message::ProvisioningHealth { region, pools } => {
                 if let Some(l) = &mut self.leader {
-                    l.boots.note(region, kinds, self.now);
+                    l.boots.note(region, pools, self.now);
                 }
             }
-            Message::Cancelled { .. }
+            Message::JobsCancelled { .. }
                 if is_disabled(Safeguard::StartDeadline)
                     || is_disabled(Safeguard::AuthorityDeadline) => {}
-            Message::Cancelled { jobs } => {
+            Message::JobsCancelled { jobs } => {
                 for id in jobs {
                     let rec = self.registry.replica.jobs.get(&id);
                     let shown = rec.is_some_and(|r| r.value.stage != JobStage::Open);
@@ -169,7 +169,7 @@
                     }
                 }
             }
-            Message::Close {
+            Message::CordonMachines {
                 region,
                 machine_type,
                 zone,
@@ -181,7 +181,7 @@
                     r.cordon_surplus((&machine_type, &zone, spot), count, &context);
                 }
             }
-            Message::Go {
+            Message::StartGang {
                 job,
                 attempt,
                 region,
--- a/src/controller/pending_requests.rs
+++ b/src/controller/pending_requests.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use super::PendingRequest;
-use crate::reactor::ConnId;
+use crate::reactor::ConnectionId;
 use salttiller_records::units::Micros;
 
 /// Requests in the order in which they came.
@@ -45,7 +45,7 @@
     }
 
     /// Takes the connections of those whose time is up.
-    pub fn take_expired(&mut self, now: Micros) -> Vec<ConnId> {
+    pub fn take_expired(&mut self, now: Micros) -> Vec<ConnectionId> {
         if self.next_expiry.is_none_or(|at| now < at) {
             return Vec::new();
         }
--- a/src/controller/pending_requests/tests.rs
+++ b/src/controller/pending_requests/tests.rs
@@ -5,7 +5,7 @@
 
 fn request(slot: usize, came: Micros, give_up: Micros) -> PendingRequest {
     PendingRequest {
-        conn: ConnId {
+        conn: ConnectionId {
             slot,
             generation: 1,
         },
@@ -25,7 +25,7 @@
     }
     assert_eq!(pending.next_expiry(), Some(40));
     assert!(pending.take_expired(39).is_empty());
-    let slots = |list: Vec<ConnId>| list.iter().map(|c| c.slot).collect::<Vec<_>>();
+    let slots = |list: Vec<ConnectionId>| list.iter().map(|c| c.slot).collect::<Vec<_>>();
     assert_eq!(slots(pending.take_expired(60)), [1, 3]);
     assert_eq!(pending.next_expiry(), Some(90));
     let taken = pending.take_until(10);
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -15,7 +15,7 @@
             || self.reports.values().any(unsettled)
         {
             "takeover under way"
-        } else if self.cloud_client.down() {
+        } else if self.cloud_client.is_unavailable() {
             "cloud down"
         } else if self.leader.as_ref().is_some_and(|l| l.refused(self.now)) {
             "no capacity"
@@ -49,21 +49,25 @@
             .flat_map(|(r, _)| r.running_tasks.iter().map(|c| c.job.as_str()))
             .collect();
         let replica = &self.registry.replica;
-        let open = replica.open_jobs().map(|(id, _, spec)| signals::Seen {
-            id,
-            spec,
-            guaranteed: last
-                .get(spec.team.as_str())
-                .is_some_and(|l| (spec.submitted_at, id) <= (l.0, &l.1)),
-            started: running.contains(id.as_str()) || replica.progress.contains_key(id),
-            pipeline: replica.pipeline_end(id),
-        });
+        let open = replica
+            .open_jobs()
+            .map(|(id, _, spec)| signals::ObservedJob {
+                id,
+                spec,
+                guaranteed: last
+                    .get(spec.team.as_str())
+                    .is_some_and(|l| (spec.submitted_at, id) <= (l.0, &l.1)),
+                started: running.contains(id.as_str()) || replica.progress.contains_key(id),
+                pipeline: replica.pipeline_end(id),
+            });
         let done = |id: &str| replica.stage(id) == Some(JobStage::Done);
         let is_open = |id: &str| replica.stage(id) == Some(JobStage::Open);
         let wall = self.reactor.wall();
-        let mut signals = self.aims.look(open, done, is_open, wall, self.cause());
+        let mut signals = self
+            .aims
+            .observe_jobs(open, done, is_open, wall, self.cause());
         let conditions = self.conditions();
-        signals.extend(self.aims.look_at_conditions(conditions, self.now));
+        signals.extend(self.aims.observe_conditions(conditions, self.now));
         if self.leader.is_some() || self.held.is_some() {
             for s in signals {
                 let level = if s.is_warning() {
@@ -79,11 +83,11 @@
 
     /// What operators should know of just now, as far as this controller sees it.
     fn conditions(&mut self) -> Vec<Condition> {
-        let mut found: Vec<Condition> = self.question_rate.look(self.now).into_iter().collect();
+        let mut found: Vec<Condition> = self.question_rate.sample(self.now).into_iter().collect();
         found.extend(self.records_lost());
         if let Some(l) = &self.leader {
             found.extend(l.boots.in_trouble().into_iter().map(|(offer, boots)| {
-                Condition::BadBoots {
+                Condition::ProvisioningFailing {
                     machine_type: offer.machine_type,
                     zone: offer.zone,
                     spot: offer.spot,
@@ -100,7 +104,7 @@
                 continue;
             };
             if let Some(spec) = record.open_spec() {
-                found.push(Condition::JobFails {
+                found.push(Condition::JobFailing {
                     job: w.job.clone(),
                     team: spec.team.clone(),
                     class: spec.class.clone(),
@@ -146,30 +150,31 @@
         let regions = self.settings.regions().into_iter().map(|name| {
             let rep = self.reports.get(&name).map(|(r, _)| r);
             let rec = r.regions.get(&name).map(|r| &r.value);
-            peer_protocol::StatusRegion {
+            peer_protocol::RegionStatus {
                 owner: rec.map(|r| r.owner.clone()),
                 token: rec.map_or(0, |r| r.token),
-                settled: rep.is_some_and(|r| r.reconciled),
+                reconciled: rep.is_some_and(|r| r.reconciled),
                 machines: r.stock.get(&name).map_or(0, |kinds| kinds.values().sum()),
-                live: rep.map_or(0, |r| {
+                ready_machines: rep.map_or(0, |r| {
                     let live = r.capacity.iter().filter(|l| l.available);
                     live.map(|l| l.machines).sum()
                 }),
-                waiting: rep.map_or(0, |r| r.pending_jobs.iter().map(|w| w.pending_tasks).sum()),
+                pending_tasks: rep
+                    .map_or(0, |r| r.pending_jobs.iter().map(|w| w.pending_tasks).sum()),
                 region: name,
             }
         });
         let mut page = peer_protocol::Status {
             name: self.settings.name.clone(),
-            run: self.run,
+            incarnation: self.run,
             leader: r.leader.as_ref().map(|l| l.value.holder.clone()),
-            authority_us: self.registry.authority_until().saturating_sub(self.now),
-            fresh: self.fresh(),
+            authority_remaining_us: self.registry.authority_until().saturating_sub(self.now),
+            reads_recent: self.fresh(),
             regions: regions.collect(),
-            waiting: waiting.into_iter().collect(),
+            pending_tasks: waiting.into_iter().collect(),
             ..Default::default()
         };
-        self.aims.fill(&mut page, self.reactor.wall());
+        self.aims.fill_status(&mut page, self.reactor.wall());
         page
     }
 }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use crate::cloud::{offers, CloudClient, CloudEvent, Listed, Offer, Refusals};
+use crate::cloud::{offers, CapacityBackoff, CloudClient, CloudEvent, ListedMachine, Offer};
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::peer_protocol::{Message, RegionReport};
 use crate::region::{only_fitting_type, waiting_spans, ConstrainedTypes, SchedulingContext};
@@ -55,7 +55,7 @@
     counter: u64,
     writing: BTreeSet<Key>,
     coming: BTreeMap<String, ProvisioningBatch>,
-    refusals: Refusals,
+    refusals: CapacityBackoff,
     /// Kinds that come up badly.
     pub boots: ProvisioningReports,
     narrow: ConstrainedTypes,
@@ -232,7 +232,7 @@
             counter: 0,
             writing: BTreeSet::new(),
             coming: BTreeMap::new(),
-            refusals: Refusals::default(),
+            refusals: CapacityBackoff::default(),
             boots: ProvisioningReports::default(),
             narrow: ConstrainedTypes::default(),
             moved: BTreeMap::new(),
@@ -289,7 +289,7 @@
 
     /// Whether the cloud has refused something lately.
     pub fn refused(&self, now: Micros) -> bool {
-        self.refusals.any(now)
+        self.refusals.any_backing_off(now)
     }
 
     /// A commit of ours ended, one way or the other.
@@ -327,14 +327,14 @@
     ) -> Micros {
         self.bind(context);
         if context.now >= self.next_flavors {
-            cloud_client.ask_flavors();
+            cloud_client.request_machine_types();
             let known = !context.replica.machine_types.is_empty();
             self.next_flavors = context.now + if known { 60 * SECOND } else { SECOND };
         }
         if context.now >= self.next_list {
             self.next_list = context.now + 30 * SECOND;
             self.last_list = context.now;
-            cloud_client.ask_list();
+            cloud_client.request_inventory();
         }
         if context.now >= self.next_plan {
             self.next_plan = context.now + 400 * MILLISECOND;
@@ -401,7 +401,7 @@
                 n,
             ));
         }
-        for (o, region, n) in cloud_client.renting() {
+        for (o, region, n) in cloud_client.pending_rentals() {
             let n = n as f64;
             rooms.extend(room(
                 &region,
@@ -453,7 +453,7 @@
                     region: r.region.clone(),
                     spec: spec.clone(),
                     count: w.pending_tasks as u64,
-                    since: w.since_us,
+                    since: w.waiting_us,
                     narrow: only_fitting_type(spec, context.replica),
                     short: r.quota_blocked_teams.iter().any(|(t, _)| *t == spec.team),
                     suspect: failing.contains(w.job.as_str()),
--- a/src/leader/binding.rs
+++ b/src/leader/binding.rs
@@ -154,7 +154,7 @@
                     .get(&o.machine_type)
                     .map(|f| &f.value);
                 if f.is_some_and(|f| s.permits_machine(f, &o.zone, o.spot))
-                    && !self.refusals.closed(&o, context.now)
+                    && !self.refusals.is_backing_off(&o, context.now)
                 {
                     able.insert(self.region_for(&o, context));
                 }
--- a/src/leader/demand.rs
+++ b/src/leader/demand.rs
@@ -105,7 +105,7 @@
             self.truth
         );
         for ((region, machine_type, zone, spot), count) in closing {
-            self.out.push(Action::Tell(Message::Close {
+            self.out.push(Action::Tell(Message::CordonMachines {
                 region: region.to_owned(),
                 machine_type: machine_type.to_owned(),
                 zone: zone.to_owned(),
--- a/src/leader/machine_assignment.rs
+++ b/src/leader/machine_assignment.rs
@@ -154,7 +154,7 @@
     /// Takes what the cloud answered.
     pub fn on_cloud_event(&mut self, ev: &CloudEvent, context: &SchedulingContext<'_>) {
         match ev {
-            CloudEvent::Flavors(list) => {
+            CloudEvent::MachineTypes(list) => {
                 let changes = list
                     .iter()
                     .filter_map(|f| {
@@ -176,9 +176,9 @@
                     if offer.spot { ", spot" } else { "" }
                 );
                 if (names.len() as u32) < *asked {
-                    self.refusals.refused(offer, context.now);
+                    self.refusals.record_refusal(offer, context.now);
                 } else {
-                    self.refusals.filled(offer);
+                    self.refusals.record_success(offer);
                 }
                 self.assign_machines(offer, names, region, context);
             }
@@ -189,17 +189,17 @@
                     offer.zone,
                     if offer.spot { ", spot" } else { "" }
                 );
-                self.refusals.refused(offer, context.now);
+                self.refusals.record_refusal(offer, context.now);
             }
-            CloudEvent::Listed(list) => self.on_list(list, context),
-            CloudEvent::Down | CloudEvent::Released(_) => {}
+            CloudEvent::Inventory(list) => self.on_list(list, context),
+            CloudEvent::Unavailable | CloudEvent::Released(_) => {}
         }
     }
 
     /// Machines that nobody knows: there before us, or rented by a request that was
     /// carried out late. They are dealt like any other and used, or returned when
     /// idle.
-    pub(super) fn on_list(&mut self, list: &[Listed], context: &SchedulingContext<'_>) {
+    pub(super) fn on_list(&mut self, list: &[ListedMachine], context: &SchedulingContext<'_>) {
         // Records that can't be read may name them.
         if !context.replica.unreadable.is_empty() {
             return;
--- a/src/leader/multi_region_gangs.rs
+++ b/src/leader/multi_region_gangs.rs
@@ -27,7 +27,7 @@
                 .get(&o.machine_type)
                 .map(|f| &f.value);
             f.is_some_and(|f| s.permits_machine(f, &o.zone, o.spot))
-                && !self.refusals.closed(&o, context.now)
+                && !self.refusals.is_backing_off(&o, context.now)
         });
         if for_rent {
             return None;
@@ -123,8 +123,8 @@
                 ready &= has_room;
                 idle &= has_room || waits;
                 stuck |= wait.is_some_and(|w| w.needs_new_attempt);
-                if waits && (given_up || wait.is_some_and(|w| w.since_us > PART_PATIENCE)) {
-                    self.out.push(Action::Tell(Message::Move {
+                if waits && (given_up || wait.is_some_and(|w| w.waiting_us > PART_PATIENCE)) {
+                    self.out.push(Action::Tell(Message::RebindTasks {
                         job: id.clone(),
                         from: region.clone(),
                         to: String::new(),
@@ -137,7 +137,7 @@
             }
             if ready {
                 for TaskRange { region, .. } in parts {
-                    self.out.push(Action::Tell(Message::Go {
+                    self.out.push(Action::Tell(Message::StartGang {
                         job: id.clone(),
                         attempt: *attempt,
                         region: region.clone(),
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -59,7 +59,7 @@
             {
                 all.overdue += l.overdue;
                 all.arrived += l.arrived;
-                all.since = all.since.max(l.since_us);
+                all.since = all.since.max(l.overdue_us);
             }
         }
         all
--- a/src/leader/provisioning/tests.rs
+++ b/src/leader/provisioning/tests.rs
@@ -17,7 +17,7 @@
         spot: false,
         overdue,
         arrived,
-        since_us: SECOND,
+        overdue_us: SECOND,
     }
 }
 
--- a/src/leader/rebinding.rs
+++ b/src/leader/rebinding.rs
@@ -99,7 +99,7 @@
             w.count -= count;
             *most -= 1;
             self.moved.insert(w.id.clone(), context.now);
-            self.out.push(Action::Tell(Message::Move {
+            self.out.push(Action::Tell(Message::RebindTasks {
                 job: w.id.clone(),
                 from: w.region.clone(),
                 to,
--- a/src/leader/scale_out.rs
+++ b/src/leader/scale_out.rs
@@ -14,10 +14,10 @@
         cloud_client: &mut CloudClient,
     ) {
         const AT_ONCE: usize = 8;
-        if cloud_client.down() {
+        if cloud_client.is_unavailable() {
             return;
         }
-        let mut asks = AT_ONCE.saturating_sub(cloud_client.renting().len());
+        let mut asks = AT_ONCE.saturating_sub(cloud_client.pending_rentals().len());
         // Jobs that keep together get what each lacks.
         for w in waits.iter().filter(|w| w.whole() && w.count > 0) {
             if asks == 0 {
@@ -202,7 +202,7 @@
         };
         log::info!("leader: {}: can't be had in {}, to {to:?}", w.id, w.region);
         self.moved.insert(w.id.clone(), context.now + 10 * SECOND);
-        self.out.push(Action::Tell(Message::Move {
+        self.out.push(Action::Tell(Message::RebindTasks {
             job: w.id.clone(),
             from: w.region.clone(),
             to,
@@ -249,7 +249,7 @@
                 continue;
             };
             if !s.permits_machine(f, &o.zone, o.spot)
-                || self.refusals.closed(&o, context.now)
+                || self.refusals.is_backing_off(&o, context.now)
                 || zone.is_some_and(|z| z != o.zone)
             {
                 continue;
--- a/src/main.rs
+++ b/src/main.rs
@@ -141,7 +141,7 @@
     let mut s = TcpStream::connect_timeout(&addr, wait).map_err(fail)?;
     s.set_read_timeout(Some(wait)).map_err(fail)?;
     s.set_write_timeout(Some(wait)).map_err(fail)?;
-    let ask = peer_protocol::encode(&Message::AskStatus);
+    let ask = peer_protocol::encode(&Message::StatusRequest);
     s.write_all(&(ask.len() as u32).to_le_bytes())
         .map_err(fail)?;
     s.write_all(&ask).map_err(fail)?;
@@ -154,7 +154,7 @@
     let mut body = vec![0u8; n];
     s.read_exact(&mut body).map_err(fail)?;
     match peer_protocol::decode(&body) {
-        Some(Message::Status(s)) => Ok(s),
+        Some(Message::StatusResponse(s)) => Ok(s),
         _ => Err(format!("{addr}: not a controller's answer")),
     }
 }
@@ -172,7 +172,7 @@
     } else {
         print!("{}", status::text(&s));
     }
-    if s.aims.iter().any(|a| a.behind) {
+    if s.objectives.iter().any(|a| a.breached) {
         ExitCode::from(3)
     } else {
         ExitCode::SUCCESS
--- a/src/peer_protocol.rs
+++ b/src/peer_protocol.rs
@@ -33,7 +33,7 @@
     /// Tasks that wait and could be started or moved.
     pub pending_tasks: u32,
     /// How long the oldest has waited for room.
-    pub since_us: u64,
+    pub waiting_us: u64,
     /// Tried in vain: part of a gang over several regions whose attempt failed, or a job
     /// that failed on several machines without a result.
     pub needs_new_attempt: bool,
@@ -89,12 +89,12 @@
     /// Machines that came up lately.
     pub arrived: u32,
     /// For how long the first has been overdue.
-    pub since_us: u64,
+    pub overdue_us: u64,
 }
 
 /// A region on the status page.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, serde::Serialize)]
-pub struct StatusRegion {
+pub struct RegionStatus {
     /// Region.
     pub region: String,
     /// Owner on record.
@@ -102,28 +102,35 @@
     /// Its token.
     pub token: u64,
     /// Whether all machines are accounted for, as last told.
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub reconciled: bool,
     /// Machines on record.
     pub machines: u32,
     /// Machines open to placing, as last told.
-    pub live: u32,
+    #[serde(rename = "live")]
+    pub ready_machines: u32,
     /// Tasks that wait.
-    pub waiting: u32,
+    #[serde(rename = "waiting")]
+    pub pending_tasks: u32,
 }
 
 /// An aim on the status page.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, serde::Serialize)]
 pub struct ObjectiveStatus {
     /// What is aimed at.
-    pub aim: String,
+    #[serde(rename = "aim")]
+    pub objective: String,
     /// Jobs in the window that met it.
     pub met: u32,
     /// Jobs in the window.
-    pub all: u32,
+    #[serde(rename = "all")]
+    pub total: u32,
     /// The share that should.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub target: f64,
     /// Whether it is behind.
-    pub behind: bool,
+    #[serde(rename = "behind")]
+    pub breached: bool,
 }
 
 /// The status page.
@@ -132,28 +139,34 @@
     /// Host name.
     pub name: String,
     /// Which run of its process.
-    pub run: u64,
+    #[serde(rename = "run")]
+    pub incarnation: u64,
     /// Who leads.
     pub leader: Option<String>,
     /// How long its authority still stands.
-    pub authority_us: u64,
+    #[serde(rename = "authority_us")]
+    pub authority_remaining_us: u64,
     /// Its state service reads are recent.
-    pub fresh: bool,
+    #[serde(rename = "fresh")]
+    pub reads_recent: bool,
     /// Regions.
-    pub regions: Vec<StatusRegion>,
+    pub regions: Vec<RegionStatus>,
     /// Waiting tasks by class.
-    pub waiting: Vec<(String, u32)>,
-    /// Aims.
-    pub aims: Vec<ObjectiveStatus>,
+    #[serde(rename = "waiting")]
+    pub pending_tasks: Vec<(String, u32)>,
+    /// AlertMonitor.
+    #[serde(rename = "aims")]
+    pub objectives: Vec<ObjectiveStatus>,
     /// Last signals.
-    pub signals: Vec<String>,
+    #[serde(rename = "signals")]
+    pub alerts: Vec<String>,
 }
 
 /// A message between controllers.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum Message {
     /// How the sender is and what it owns.
-    State {
+    ControllerState {
         /// Host name.
         from: String,
         /// Which run of its process.
@@ -164,7 +177,7 @@
         regions: Vec<RegionReport>,
     },
     /// The leader asks an owner to give waiting tasks of a job to another region.
-    Move {
+    RebindTasks {
         /// Job.
         job: String,
         /// Region that gives.
@@ -175,7 +188,7 @@
         count: u32,
     },
     /// The leader finds that some machines of a kind are not needed.
-    Close {
+    CordonMachines {
         /// Region.
         region: String,
         /// Type.
@@ -188,7 +201,7 @@
         count: u32,
     },
     /// The leader finds that all parts of a gang over several regions have room.
-    Go {
+    StartGang {
         /// Job.
         job: String,
         /// Attempt.
@@ -197,18 +210,18 @@
         region: String,
     },
     /// The operator's toolbox asks for the status page.
-    AskStatus,
+    StatusRequest,
     /// The status page.
-    Status(Status),
+    StatusResponse(Status),
     /// Jobs whose cancellation the sender has committed. Spares an owner that the
     /// state service refuses from running them on until it hears; nothing hangs on it.
-    Cancelled {
+    JobsCancelled {
         /// Jobs.
         jobs: Vec<String>,
     },
     /// Machines of a region turn to the sender, since they don't reach its owner, who is
     /// told. Sent only to peers that understand it, see [`UNDERSTANDS_EXTENSIONS`].
-    Unreached {
+    OwnerUnreachable {
         /// Region.
         region: String,
         /// The owner's token, as the sender knows it.
@@ -218,11 +231,11 @@
     },
     /// How machines of a region come up, for the leader. Sent only to peers that understand
     /// it, see [`UNDERSTANDS_EXTENSIONS`].
-    Boots {
+    ProvisioningHealth {
         /// Region.
         region: String,
-        /// The kinds of which machines are overdue.
-        kinds: Vec<ProvisioningHealth>,
+        /// The pools of which machines are overdue.
+        pools: Vec<ProvisioningHealth>,
     },
 }
 
--- a/src/peer_protocol/tests.rs
+++ b/src/peer_protocol/tests.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 fn sample() -> Message {
-    Message::State {
+    Message::ControllerState {
         from: "t-0".into(),
         run: 3,
         fresh: true,
@@ -24,7 +24,7 @@
             pending_jobs: vec![PendingJob {
                 job: "req-1".into(),
                 pending_tasks: 5,
-                since_us: 6,
+                waiting_us: 6,
                 needs_new_attempt: false,
             }],
             running_tasks: vec![RunningTasks {
@@ -69,27 +69,27 @@
          00000000000000000000000000000000000000000000000000000000000000000000000000000000",
         ),
         (
-            Message::Move { job: "req-1".into(), from: "t-0".into(), to: "t-1".into(), count: 8 },
+            Message::RebindTasks { job: "req-1".into(), from: "t-0".into(), to: "t-1".into(), count: 8 },
             "010000007265712d31ffffff742d30ffffffffff742d31ffffffffff08000000000000000000000000000000\
          0000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
         ),
         (
-            Message::Close { region: "t-0".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, count: 2 },
+            Message::CordonMachines { region: "t-0".into(), machine_type: "g8".into(), zone: "a".into(), spot: true, count: 2 },
             "02000000742d30ffffffffff6738ffffffffffff61ffffffffffffff01000000020000000000000000000000\
          0000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
         ),
         (
-            Message::Go { job: "req-1".into(), attempt: 9, region: "t-2".into() },
+            Message::StartGang { job: "req-1".into(), attempt: 9, region: "t-2".into() },
             "030000007265712d31ffffff000000000900000000000000742d32ffffffffff000000000000000000000000\
          0000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
         ),
         (
-            Message::AskStatus,
+            Message::StatusRequest,
             "0400000000000000000000000000000000000000000000000000000000000000000000000000000000000000\
          0000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
         ),
         (
-            Message::Cancelled { jobs: vec!["req-1".into(), "req-22".into()] },
+            Message::JobsCancelled { jobs: vec!["req-1".into(), "req-22".into()] },
             "7265712d31ffffff7265712d3232ffff06000000ecffffff0200000000000000000000000000000000000000\
          0000000000000000000000000000000000000000000000000000000000000000000000000000000000000000\
          00000000000000000000000000000000",
@@ -150,7 +150,7 @@
     let wait = |job: String, waiting, since_us, stuck| PendingJob {
         job,
         pending_tasks: waiting,
-        since_us,
+        waiting_us: since_us,
         needs_new_attempt: stuck,
     };
     let count = |job: String, running| RunningTasks { job, running };
@@ -160,7 +160,7 @@
         spot,
         overdue,
         arrived,
-        since_us,
+        overdue_us: since_us,
     };
     let report = RegionReport {
         region: long(),
@@ -192,40 +192,40 @@
         estimated: 0.0,
         actual: 0.0,
     };
-    let status_region = |region: &str, owner: Option<String>, settled| StatusRegion {
+    let status_region = |region: &str, owner: Option<String>, settled| RegionStatus {
         region: region.into(),
         owner,
         token: 12,
-        settled,
+        reconciled: settled,
         machines: 13,
-        live: 14,
-        waiting: 15,
+        ready_machines: 14,
+        pending_tasks: 15,
     };
     let aim = |aim: String, behind| ObjectiveStatus {
-        aim,
+        objective: aim,
         met: 16,
-        all: 17,
-        share: 0.75,
-        behind,
+        total: 17,
+        target: 0.75,
+        breached: behind,
     };
     let status = Status {
         name: "t-0".into(),
-        run: 1 << 44,
+        incarnation: 1 << 44,
         leader: Some(long()),
-        authority_us: 18,
-        fresh: true,
+        authority_remaining_us: 18,
+        reads_recent: true,
         regions: vec![
             status_region("t-0", Some("t-0".into()), true),
             status_region("t-1", None, false),
         ],
-        waiting: vec![("x".into(), 19), (long(), 20)],
-        aims: vec![aim("wait".into(), true), aim(long(), false)],
-        signals: vec!["aim".into(), long()],
+        pending_tasks: vec![("x".into(), 19), (long(), 20)],
+        objectives: vec![aim("wait".into(), true), aim(long(), false)],
+        alerts: vec!["aim".into(), long()],
     };
     vec![
         (
             "state",
-            Message::State {
+            Message::ControllerState {
                 from: "t-0".into(),
                 run: 21 | UNDERSTANDS_EXTENSIONS,
                 fresh: true,
@@ -234,7 +234,7 @@
         ),
         (
             "state without regions",
-            Message::State {
+            Message::ControllerState {
                 from: long(),
                 run: 22,
                 fresh: false,
@@ -243,7 +243,7 @@
         ),
         (
             "move",
-            Message::Move {
+            Message::RebindTasks {
                 job: long(),
                 from: "t-0".into(),
                 to: "t-1".into(),
@@ -252,7 +252,7 @@
         ),
         (
             "close",
-            Message::Close {
+            Message::CordonMachines {
                 region: "t-0".into(),
                 machine_type: long(),
                 zone: "a".into(),
@@ -262,24 +262,24 @@
         ),
         (
             "go",
-            Message::Go {
+            Message::StartGang {
                 job: "req-1".into(),
                 attempt: 1 << 45,
                 region: long(),
             },
         ),
-        ("ask status", Message::AskStatus),
-        ("status", Message::Status(status)),
-        ("bare status", Message::Status(Status::default())),
+        ("ask status", Message::StatusRequest),
+        ("status", Message::StatusResponse(status)),
+        ("bare status", Message::StatusResponse(Status::default())),
         (
             "cancelled",
-            Message::Cancelled {
+            Message::JobsCancelled {
                 jobs: vec!["req-1".into(), long()],
             },
         ),
         (
             "unreached",
-            Message::Unreached {
+            Message::OwnerUnreachable {
                 region: "t-2".into(),
                 token: 1 << 46,
                 machines: 24,
@@ -287,9 +287,9 @@
         ),
         (
             "boots",
-            Message::Boots {
+            Message::ProvisioningHealth {
                 region: "t-2".into(),
-                kinds: vec![
+                pools: vec![
                     boot("g8".into(), true, 25, 26, 27),
                     boot(long(), false, 70_000, 28, 1 << 47),
                 ],
@@ -302,9 +302,9 @@
 #[test]
 fn every_kind_of_message_keeps_its_bytes() {
     let files = files::read(include_str!("fixtures/messages.hex"));
-    let kinds = every_kind();
-    assert_eq!(files.len(), kinds.len());
-    for (name, message) in kinds {
+    let pools = every_kind();
+    assert_eq!(files.len(), pools.len());
+    for (name, message) in pools {
         let bytes = &files[name];
         assert_eq!(hex_of(&encode(&message)), hex_of(bytes), "written: {name}");
         assert_eq!(decode(bytes), Some(message), "read: {name}");
@@ -363,7 +363,7 @@
     /// Length of what stands at the end of each message and begins with the discriminant.
     const LAST_PART: usize = 88;
     let files = files::read(include_str!("fixtures/messages.hex"));
-    let kinds = [
+    let pools = [
         "state",
         "move",
         "close",
@@ -374,7 +374,7 @@
         "unreached",
         "boots",
     ];
-    for (discriminant, name) in (0u8..).zip(kinds) {
+    for (discriminant, name) in (0u8..).zip(pools) {
         let mut bytes = files[name].clone();
         let at = bytes.len() - LAST_PART;
         assert_eq!(bytes[at], discriminant, "{name}");
--- a/src/reactor.rs
+++ b/src/reactor.rs
@@ -8,7 +8,7 @@
 mod io;
 mod net;
 
-pub use net::{Call, CallError, CallId, ConnId, Limits, Net, NetEvent};
+pub use net::{Call, CallError, CallId, ConnectionId, Limits, Net, NetEvent};
 
 use std::collections::{BTreeSet, VecDeque};
 use std::io::{ErrorKind, Read, Write};
@@ -280,7 +280,7 @@
         self.now
     }
 
-    fn respond(&mut self, id: ConnId, mut r: Response) {
+    fn respond(&mut self, id: ConnectionId, mut r: Response) {
         let now = self.now;
         let crowded = self.is_crowded();
         let Some(c) = self
@@ -311,7 +311,7 @@
         let id = self.next_call;
         self.next_call += 1;
         let deadline = self.now + call.timeout;
-        let dest = call.dest;
+        let dest = call.destination;
         if self.dests[dest].queue.len() >= QUEUE_PER_DEST {
             self.out
                 .push_back(NetEvent::Response(id, Err(CallError::NotSent)));
@@ -340,7 +340,7 @@
         let Some(slot) = self.peers[peer].conn else {
             return;
         };
-        let backlog = self.limits.backlog;
+        let backlog = self.limits.max_peer_backlog_bytes;
         if let Some(c) = self.conns[slot].as_mut() {
             if c.wbuf.len() - c.wpos + payload.len() > backlog {
                 // Nothing has gone out for long: the way is dead.
@@ -360,13 +360,13 @@
         }
     }
 
-    fn reset_dest(&mut self, dest: usize) {
+    fn close_idle_connections(&mut self, dest: usize) {
         for slot in std::mem::take(&mut self.dests[dest].idle) {
             self.drop_conn(slot);
         }
     }
 
-    fn reply(&mut self, id: ConnId, payload: &[u8]) {
+    fn reply(&mut self, id: ConnectionId, payload: &[u8]) {
         if let Some(c) = self
             .conns
             .get_mut(id.slot)
--- a/src/reactor/connections.rs
+++ b/src/reactor/connections.rs
@@ -9,7 +9,10 @@
             let listener = if front { &self.front } else { &self.mesh };
             match listener.accept() {
                 Ok((stream, _)) => {
-                    if front && self.served >= self.limits.served && !self.close_idle_served() {
+                    if front
+                        && self.served >= self.limits.max_served_connections
+                        && !self.close_idle_served()
+                    {
                         log::debug!("reactor: front: connection refused, {} open", self.served);
                         continue;
                     }
@@ -54,7 +57,7 @@
 
     /// Whether connections are so scarce that each is to carry one request only.
     pub(super) fn is_crowded(&self) -> bool {
-        self.served * 8 > self.limits.served * 7
+        self.served * 8 > self.limits.max_served_connections * 7
     }
 
     pub(super) fn insert(
--- a/src/reactor/io.rs
+++ b/src/reactor/io.rs
@@ -171,7 +171,7 @@
                 // Requests sent ahead of an answer are not served.
                 let close = req.close || !c.rbuf.is_empty();
                 c.role = Role::Answering { close };
-                let id = ConnId {
+                let id = ConnectionId {
                     slot,
                     generation: c.generation,
                 };
@@ -209,7 +209,7 @@
         }
         let frame = c.rbuf[4..4 + n].to_vec();
         c.rbuf.drain(..4 + n);
-        let id = ConnId {
+        let id = ConnectionId {
             slot,
             generation: c.generation,
         };
--- a/src/reactor/net.rs
+++ b/src/reactor/net.rs
@@ -6,7 +6,7 @@
 /// Names a connection for as long as it lives; a later one in the same slot has
 /// another generation, so an answer can't reach a stranger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ConnId {
+pub struct ConnectionId {
     pub(crate) slot: usize,
     pub(crate) generation: u32,
 }
@@ -32,18 +32,18 @@
 #[derive(Debug)]
 pub enum NetEvent {
     /// A request on the users' and workers' side.
-    Request(ConnId, Request),
+    Request(ConnectionId, Request),
     /// The end of a call.
     Response(CallId, Result<Response, CallError>),
     /// A frame from another controller.
-    Frame(ConnId, Vec<u8>),
+    Frame(ConnectionId, Vec<u8>),
 }
 
 /// One outgoing call.
 #[derive(Debug)]
 pub struct Call {
     /// Which destination, as given to [`Reactor::new`](super::Reactor::new).
-    pub dest: usize,
+    pub destination: usize,
     /// Request method.
     pub method: &'static str,
     /// Path and query.
@@ -61,24 +61,24 @@
     /// Reads the time of day.
     fn wall(&self) -> Micros;
     /// Answers a request. A connection that has gone is no error.
-    fn respond(&mut self, id: ConnId, r: Response);
+    fn respond(&mut self, id: ConnectionId, r: Response);
     /// Starts a call; its end comes as [`NetEvent::Response`], always.
     fn call(&mut self, call: Call) -> CallId;
     /// Sends a frame to another controller, if there is a way just now. Frames
     /// are state, not orders that must arrive: a lost one is made good by the next.
     fn send(&mut self, peer: usize, payload: &[u8]);
     /// Answers a frame on the connection on which it came.
-    fn reply(&mut self, id: ConnId, payload: &[u8]);
+    fn reply(&mut self, id: ConnectionId, payload: &[u8]);
     /// Gives up every idle connection to a destination: after a cut they would
     /// only hang.
-    fn reset_dest(&mut self, dest: usize);
+    fn close_idle_connections(&mut self, dest: usize);
 }
 
 /// Limits that follow from the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Connections of users and workers at once.
-    pub served: usize,
+    pub max_served_connections: usize,
     /// Bytes waiting for one peer before its connection is given up.
-    pub backlog: usize,
+    pub max_peer_backlog_bytes: usize,
 }
--- a/src/reactor/tests.rs
+++ b/src/reactor/tests.rs
@@ -7,8 +7,8 @@
 fn reactor() -> (Reactor, SocketAddr) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let limits = Limits {
-        served: SERVED,
-        backlog: 1 << 16,
+        max_served_connections: SERVED,
+        max_peer_backlog_bytes: 1 << 16,
     };
     let reactor = Reactor::new(any, any, &[], &[], limits).unwrap();
     let front = reactor.front.local_addr().unwrap();
--- a/src/region.rs
+++ b/src/region.rs
@@ -514,7 +514,7 @@
             .map(|(id, j)| PendingJob {
                 job: id.to_string(),
                 pending_tasks: j.tasks_to_schedule(context.now),
-                since_us: context.now.saturating_sub(j.pending_since),
+                waiting_us: context.now.saturating_sub(j.pending_since),
                 needs_new_attempt: j.needs_new_attempt() || j.failures.is_suspect(),
             })
             .collect();
--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -91,7 +91,7 @@
             .tasks
             .get(&(t.job.clone(), t.task))
             .map(|h| (h.attempt, h.state));
-        if let ReportedState::Ended(end) = t.stage {
+        if let ReportedState::Ended(end) = t.state {
             let ours = held.is_some_and(|(a, p)| a == t.attempt && p != TaskState::Assigned);
             if ours || end == ExitReason::Done {
                 self.on_ended(machine, t, end, ours, context);
@@ -110,11 +110,11 @@
         let key = (t.job.clone(), t.task);
         match held {
             Some((a, p)) if a == t.attempt => {
-                if p != TaskState::Reported(t.stage) {
+                if p != TaskState::Reported(t.state) {
                     if let Some(m) = self.inventory.machines.get_mut(machine) {
                         if let Some(h) = m.tasks.get_mut(&key) {
-                            h.state = TaskState::Reported(t.stage);
-                            if t.stage == ReportedState::Running {
+                            h.state = TaskState::Reported(t.state);
+                            if t.state == ReportedState::Running {
                                 h.running_since.get_or_insert(context.now);
                             }
                         }
@@ -177,7 +177,7 @@
         self.transition(
             &t.job,
             t.task,
-            TaskState::Reported(t.stage),
+            TaskState::Reported(t.state),
             Some((machine, t.attempt)),
             context.now,
         );
--- a/src/region/provisioning.rs
+++ b/src/region/provisioning.rs
@@ -134,7 +134,7 @@
                 spot: pool.spot,
                 overdue: history.overdue.len() as u32,
                 arrived: history.arrivals.len() as u32,
-                since_us: now - first,
+                overdue_us: now - first,
             });
         }
         lines
--- a/src/region/tests.rs
+++ b/src/region/tests.rs
@@ -81,7 +81,7 @@
                 job: Rc::from(*j),
                 task: *n,
                 attempt: *a,
-                stage: ReportedState::Running,
+                state: ReportedState::Running,
             })
             .collect(),
     }
@@ -236,7 +236,7 @@
                 job: "req-1".into(),
                 task: 0,
                 attempt: a,
-                stage: ReportedState::Ended(ExitReason::Done),
+                state: ReportedState::Ended(ExitReason::Done),
             });
         }
         if let HeartbeatOutcome::Accepted(c) = r.on_heartbeat(&rep, &v) {
@@ -287,7 +287,7 @@
             r.on_progress("req-1", &f.context(2 * SECOND));
         } else {
             let mut rep = report("m-1", 1, 7, &[("req-1", 2, 9)]);
-            rep.tasks[0].stage = ReportedState::Ended(ExitReason::Done);
+            rep.tasks[0].state = ReportedState::Ended(ExitReason::Done);
             r.on_heartbeat(&rep, &f.context(2 * SECOND));
         }
         let finished = r
@@ -484,7 +484,7 @@
                 job: Rc::from(job.as_str()),
                 task: *task,
                 attempt: *attempt,
-                stage: ReportedState::Ended(ExitReason::Failed),
+                state: ReportedState::Ended(ExitReason::Failed),
             })
             .collect();
         match self.r.on_heartbeat(&rep, &self.f.context(now)) {
@@ -504,7 +504,7 @@
                     job: Rc::from(job.as_str()),
                     task: *n,
                     attempt: *attempt,
-                    stage: if *ends <= now {
+                    state: if *ends <= now {
                         let fails = self.broken.contains(job) || self.faulty.contains(m);
                         ReportedState::Ended(if fails {
                             ExitReason::Failed
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -4,7 +4,7 @@
 mod operator;
 mod wire;
 
-pub use operator::{parse_ini, Operator};
+pub use operator::{parse_operator_settings, OperatorSettings};
 use salttiller_records::QuotaAmount;
 
 use std::net::{SocketAddr, SocketAddrV4};
@@ -102,7 +102,7 @@
     pub zones: Vec<String>,
     /// Teams in the order given.
     pub teams: Vec<Team>,
-    /// Aims.
+    /// AlertMonitor.
     pub objectives: Vec<Objective>,
     /// Workers' report interval.
     pub heartbeat_interval: Micros,
@@ -135,7 +135,7 @@
     /// Bound on the error of the time of day.
     pub max_clock_error: Micros,
     /// Operators' own settings.
-    pub operator: Operator,
+    pub operator: OperatorSettings,
 }
 
 /// No limits to come.
@@ -151,7 +151,8 @@
         let text = read(path)?;
         let mut s = Settings::parse(&path.display().to_string(), &text)?;
         if let Some(ini) = ini {
-            s.operator = parse_ini(&ini.display().to_string(), &read(ini)?, s.operator)?;
+            s.operator =
+                parse_operator_settings(&ini.display().to_string(), &read(ini)?, s.operator)?;
         }
         Ok(s)
     }
@@ -298,7 +299,7 @@
             max_sockets: f.facts.quota.fd_limit,
             memory_mb: f.facts.quota.ram_mb,
             max_clock_error: units::secs(f.facts.clock_off_ms / 1000.0),
-            operator: Operator::default(),
+            operator: OperatorSettings::default(),
         })
     }
 
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -4,7 +4,7 @@
 
 /// The operators' own settings, with defaults that suit most sites.
 #[derive(Debug, Clone)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Classes in the order in which they go first, after guarantee and priority.
     pub class_precedence: Vec<String>,
     /// How long a machine may stand idle before it is returned; unless given, as
@@ -25,9 +25,9 @@
     pub detect_lost_records: bool,
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
-        Operator {
+        OperatorSettings {
             class_precedence: Vec::new(),
             idle_timeout: None,
             scale_out_horizon: None,
@@ -42,7 +42,11 @@
 
 /// Reads the operators' INI. Unknown sections and keys are refused: a misspelt
 /// key that is passed over would be found out on the night it matters.
-pub fn parse_ini(file: &str, text: &str, base: Operator) -> Result<Operator, SettingsError> {
+pub fn parse_operator_settings(
+    file: &str,
+    text: &str,
+    base: OperatorSettings,
+) -> Result<OperatorSettings, SettingsError> {
     let bad = |field: String, cause: String| SettingsError::Field {
         file: file.into(),
         field,
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -92,17 +92,17 @@
 
 #[test]
 fn operators_ini() {
-    let ok = parse_ini(
+    let ok = parse_operator_settings(
         "i",
         "[classes]\nprecedence = a, b\n[renting]\nidle_s = 30\n",
-        Operator::default(),
+        OperatorSettings::default(),
     )
     .unwrap();
     assert_eq!(ok.class_precedence, ["a", "b"]);
     assert_eq!(ok.idle_timeout, Some(30 * units::SECOND));
     assert!(!ok.detect_lost_records);
     let deployed = include_str!("../../deploy/recovery.ini");
-    let on = parse_ini("i", deployed, Operator::default()).unwrap();
+    let on = parse_operator_settings("i", deployed, OperatorSettings::default()).unwrap();
     assert!(on.detect_lost_records);
     for (text, names) in [
         ("[classes]\nprecedense = a\n", "classes.precedense"),
@@ -112,7 +112,7 @@
         ("idle_s = 4\n", "idle_s"),
         ("[recovery]\ndetect = maybe\n", "recovery.detect"),
     ] {
-        let e = parse_ini("the-ini", text, Operator::default())
+        let e = parse_operator_settings("the-ini", text, OperatorSettings::default())
             .unwrap_err()
             .to_string();
         assert!(e.contains("the-ini") && e.contains(names), "{text}: {e}");
--- a/src/simulation.rs
+++ b/src/simulation.rs
@@ -11,7 +11,7 @@
 
 use crate::controller::Controller;
 use crate::fault_injection::{disable, Safeguard};
-use crate::reactor::{Call, CallError, CallId, ConnId, Net, NetEvent};
+use crate::reactor::{Call, CallError, CallId, ConnectionId, Net, NetEvent};
 use crate::settings::Settings;
 use salttiller_protocol::http::{query_value, Request, Response};
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
@@ -33,10 +33,10 @@
 use faults::Fault;
 
 enum Out {
-    Respond(ConnId, Response),
+    Respond(ConnectionId, Response),
     Call(CallId, Call),
     Send(usize, Vec<u8>),
-    Reply(ConnId, Vec<u8>),
+    Reply(ConnectionId, Vec<u8>),
     ResetDest(usize),
 }
 
@@ -60,7 +60,7 @@
     fn wall(&self) -> Micros {
         self.shared.borrow().wall
     }
-    fn respond(&mut self, id: ConnId, r: Response) {
+    fn respond(&mut self, id: ConnectionId, r: Response) {
         self.shared.borrow_mut().out.push(Out::Respond(id, r));
     }
     fn call(&mut self, call: Call) -> CallId {
@@ -76,13 +76,13 @@
             .out
             .push(Out::Send(peer, payload.to_vec()));
     }
-    fn reply(&mut self, id: ConnId, payload: &[u8]) {
+    fn reply(&mut self, id: ConnectionId, payload: &[u8]) {
         self.shared
             .borrow_mut()
             .out
             .push(Out::Reply(id, payload.to_vec()));
     }
-    fn reset_dest(&mut self, dest: usize) {
+    fn close_idle_connections(&mut self, dest: usize) {
         self.shared.borrow_mut().out.push(Out::ResetDest(dest));
     }
 }
@@ -644,7 +644,7 @@
                 let c = &mut self.controllers[i];
                 c.next_conn += 1;
                 c.conns.insert(c.next_conn, requester);
-                let id = ConnId {
+                let id = ConnectionId {
                     slot: 0,
                     generation: c.next_conn,
                 };
@@ -659,7 +659,7 @@
             }
             Event::Frame(i, b) => {
                 if self.controllers[i].node.is_some() {
-                    let id = ConnId {
+                    let id = ConnectionId {
                         slot: 0,
                         generation: 0,
                     };
@@ -763,7 +763,7 @@
                 Out::Call(id, call) => {
                     let timeout = call.timeout;
                     let lag = self.lag();
-                    let cut = call.dest == 0 && self.now < self.controllers[i].cut_store;
+                    let cut = call.destination == 0 && self.now < self.controllers[i].cut_store;
                     if cut && self.controllers[i].resets {
                         let soon = self.now + lag;
                         self.at(soon, Event::Returned(i, life, id, Err(CallError::NoAnswer)));
@@ -789,7 +789,7 @@
                             self.now + timeout,
                             Event::Returned(i, life, id, Err(CallError::NoAnswer)),
                         );
-                    } else if call.dest == 0 && self.now < self.slow_store {
+                    } else if call.destination == 0 && self.now < self.slow_store {
                         let slow = self.rng.u64(50..1500) * MILLISECOND;
                         if slow > timeout {
                             self.at(
--- a/src/simulation/state_service.rs
+++ b/src/simulation/state_service.rs
@@ -8,7 +8,7 @@
         let path = path.to_owned();
         let query = query.to_owned();
         let body = read(&call.body);
-        if call.dest == 1 {
+        if call.destination == 1 {
             let r = self.cloud(&path, &body);
             return self.back(i, life, id, Ok(r));
         }
--- a/src/simulation/trace_digest.rs
+++ b/src/simulation/trace_digest.rs
@@ -47,7 +47,7 @@
             Out::Call(id, call) => {
                 self.number(2);
                 self.number(*id);
-                self.number(call.dest as u64);
+                self.number(call.destination as u64);
                 self.bytes(call.method.as_bytes());
                 self.bytes(call.target.as_bytes());
                 self.bytes(&call.body);
--- a/src/status.rs
+++ b/src/status.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 
 use crate::peer_protocol::{ObjectiveStatus, Status};
-use crate::settings::{Objective, Operator};
+use crate::settings::{Objective, OperatorSettings};
 use crate::state_store::pipelines::PipelineEnd;
 use conditions::{Condition, ConditionWatch};
 use pipelines::{expected_end, PipelineWatch, Step};
@@ -18,40 +18,40 @@
 
 /// What operators are told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Signal {
+pub enum Alert {
     /// A class falls behind an aim.
-    AimBehind(String),
+    ObjectiveBreached(String),
     /// It is met again.
-    AimMetAgain(String),
+    ObjectiveRecovered(String),
     /// A pipeline will miss its deadline.
-    PipelineBehind(String),
+    PipelineLate(String),
     /// It will be in time after all.
-    PipelineInTime(String),
+    PipelineRecovered(String),
     /// Something that operators should know of.
-    Condition(String),
+    ConditionRaised(String),
     /// It is over.
-    ConditionOver(String),
+    ConditionCleared(String),
 }
 
-impl Signal {
+impl Alert {
     /// Whether somebody should look at it.
     pub fn is_warning(&self) -> bool {
         matches!(
             self,
-            Signal::AimBehind(_) | Signal::PipelineBehind(_) | Signal::Condition(_)
+            Alert::ObjectiveBreached(_) | Alert::PipelineLate(_) | Alert::ConditionRaised(_)
         )
     }
 }
 
-impl fmt::Display for Signal {
+impl fmt::Display for Alert {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Signal::AimBehind(what) => write!(f, "aim behind: {what}"),
-            Signal::AimMetAgain(what) => write!(f, "aim met again: {what}"),
-            Signal::PipelineBehind(what) => write!(f, "pipeline behind: {what}"),
-            Signal::PipelineInTime(what) => write!(f, "pipeline in time again: {what}"),
-            Signal::Condition(what) => write!(f, "{what}"),
-            Signal::ConditionOver(what) => write!(f, "over: {what}"),
+            Alert::ObjectiveBreached(what) => write!(f, "aim behind: {what}"),
+            Alert::ObjectiveRecovered(what) => write!(f, "aim met again: {what}"),
+            Alert::PipelineLate(what) => write!(f, "pipeline behind: {what}"),
+            Alert::PipelineRecovered(what) => write!(f, "pipeline in time again: {what}"),
+            Alert::ConditionRaised(what) => write!(f, "{what}"),
+            Alert::ConditionCleared(what) => write!(f, "over: {what}"),
         }
     }
 }
@@ -91,13 +91,13 @@
     Behind,
 }
 
-struct Aim {
+struct TrackedObjective {
     objective: Objective,
     window: Window,
     standing: Standing,
 }
 
-impl Aim {
+impl TrackedObjective {
     fn name(&self) -> String {
         let class = self.objective.class.as_deref().unwrap_or("all classes");
         match self.objective.threshold {
@@ -111,7 +111,7 @@
     }
 }
 
-struct Track {
+struct TrackedJob {
     submitted: Micros,
     deadline: Option<Micros>,
     class: String,
@@ -121,7 +121,7 @@
 }
 
 /// A job as it is seen just now.
-pub struct Seen<'a> {
+pub struct ObservedJob<'a> {
     /// Name.
     pub id: &'a str,
     /// Submission.
@@ -135,9 +135,9 @@
 }
 
 /// The aims, and what is known of the jobs that count for them.
-pub struct Aims {
-    aims: Vec<Aim>,
-    jobs: BTreeMap<String, Track>,
+pub struct AlertMonitor {
+    aims: Vec<TrackedObjective>,
+    jobs: BTreeMap<String, TrackedJob>,
     slice: Micros,
     least: u32,
     margin: f64,
@@ -149,10 +149,10 @@
 const SLICES: u64 = 10;
 const SIGNALS_KEPT: usize = 10;
 
-impl Aims {
+impl AlertMonitor {
     /// The aims of the settings, with the operators' thresholds.
-    pub fn new(objectives: &[Objective], op: &Operator) -> Self {
-        Aims {
+    pub fn new(objectives: &[Objective], op: &OperatorSettings) -> Self {
+        AlertMonitor {
             aims: objectives
                 .iter()
                 .filter(|o| {
@@ -161,7 +161,7 @@
                         "wait" | "finished" | "deadline" | "guarantee"
                     )
                 })
-                .map(|o| Aim {
+                .map(|o| TrackedObjective {
                     objective: o.clone(),
                     window: Window::default(),
                     standing: Standing::Met,
@@ -180,26 +180,29 @@
     /// Takes a look at the open jobs. `done` says whether one that is no longer
     /// open was done (and not cancelled); `wall` is the time of day, `cause` what
     /// is wrong just now. Returns the signals to give.
-    pub fn look<'a>(
+    pub fn observe_jobs<'a>(
         &mut self,
-        open: impl Iterator<Item = Seen<'a>>,
+        open: impl Iterator<Item = ObservedJob<'a>>,
         done: impl Fn(&str) -> bool,
         is_open: impl Fn(&str) -> bool,
         wall: Micros,
         cause: &str,
-    ) -> Vec<Signal> {
+    ) -> Vec<Alert> {
         let mut here = BTreeSet::new();
         let mut steps = Vec::new();
         for s in open {
             here.insert(s.id.to_owned());
-            let t = self.jobs.entry(s.id.to_owned()).or_insert_with(|| Track {
-                submitted: s.spec.submitted_at,
-                deadline: s.spec.deadline,
-                class: s.spec.class.clone(),
-                guaranteed: s.guaranteed,
-                started: None,
-                judged: BTreeSet::new(),
-            });
+            let t = self
+                .jobs
+                .entry(s.id.to_owned())
+                .or_insert_with(|| TrackedJob {
+                    submitted: s.spec.submitted_at,
+                    deadline: s.spec.deadline,
+                    class: s.spec.class.clone(),
+                    guaranteed: s.guaranteed,
+                    started: None,
+                    judged: BTreeSet::new(),
+                });
             if s.started {
                 t.started.get_or_insert(wall);
             }
@@ -259,27 +262,28 @@
                 a.standing = next;
                 let figures = format!("{:.0}% of {all}, aim {:.0}%", share * 100.0, aim * 100.0);
                 out.push(match next {
-                    Standing::Behind => {
-                        Signal::AimBehind(format!("{}: {figures}, likely cause: {cause}", a.name()))
-                    }
-                    Standing::Met => Signal::AimMetAgain(format!("{}: {figures}", a.name())),
+                    Standing::Behind => Alert::ObjectiveBreached(format!(
+                        "{}: {figures}, likely cause: {cause}",
+                        a.name()
+                    )),
+                    Standing::Met => Alert::ObjectiveRecovered(format!("{}: {figures}", a.name())),
                 });
             }
         }
-        out.extend(self.pipelines.look(steps.into_iter(), is_open, cause));
+        out.extend(self.pipelines.observe(steps.into_iter(), is_open, cause));
         self.keep(&out);
         out
     }
 
     /// Takes a look at the conditions that there are just now.
-    pub fn look_at_conditions(&mut self, current: Vec<Condition>, now: Micros) -> Vec<Signal> {
-        let signals = self.conditions.look(current, now);
+    pub fn observe_conditions(&mut self, current: Vec<Condition>, now: Micros) -> Vec<Alert> {
+        let signals = self.conditions.observe(current, now);
         self.keep(&signals);
         signals
     }
 
     /// Keeps signals for the status page.
-    fn keep(&mut self, signals: &[Signal]) {
+    fn keep(&mut self, signals: &[Alert]) {
         for s in signals {
             if self.signals.len() == SIGNALS_KEPT {
                 self.signals.pop_front();
@@ -289,34 +293,34 @@
     }
 
     /// Fills in the aims' part of the status page.
-    pub fn fill(&mut self, status: &mut Status, wall: Micros) {
+    pub fn fill_status(&mut self, status: &mut Status, wall: Micros) {
         let oldest = (wall / self.slice).saturating_sub(SLICES - 1);
-        status.aims = self
+        status.objectives = self
             .aims
             .iter_mut()
             .map(|a| {
                 let (met, all) = a.window.counts(oldest);
                 ObjectiveStatus {
-                    aim: a.name(),
+                    objective: a.name(),
                     met,
-                    all,
-                    share: a.objective.target,
-                    behind: a.standing == Standing::Behind,
+                    total: all,
+                    target: a.objective.target,
+                    breached: a.standing == Standing::Behind,
                 }
             })
             .collect();
-        let behind = self.pipelines.count() as u32;
+        let behind = self.pipelines.late_count() as u32;
         if behind > 0 {
             let line = "(pipelines that will miss their deadline)".to_owned();
-            status.waiting.push((line, behind));
+            status.pending_tasks.push((line, behind));
         }
-        status.signals = self.signals.iter().cloned().collect();
+        status.alerts = self.signals.iter().cloned().collect();
     }
 }
 
 /// Whether a job met an objective; `None` while that is open, or if it doesn't
 /// count for it.
-fn judge(o: &Objective, t: &Track, finished: Option<Micros>, wall: Micros) -> Option<bool> {
+fn judge(o: &Objective, t: &TrackedJob, finished: Option<Micros>, wall: Micros) -> Option<bool> {
     if o.class.as_ref().is_some_and(|c| *c != t.class) || (o.kind == "guarantee" && !t.guaranteed) {
         return None;
     }
@@ -336,7 +340,7 @@
     use std::fmt::Write;
     let mut out = String::new();
     let yes = |b: bool| if b { "yes" } else { "no" };
-    let _ = writeln!(out, "{} (run {})", s.name, s.run);
+    let _ = writeln!(out, "{} (run {})", s.name, s.incarnation);
     let _ = writeln!(
         out,
         "  leader: {}",
@@ -345,8 +349,8 @@
     let _ = writeln!(
         out,
         "  authority for {:.1} s, reads recent: {}",
-        to_secs(s.authority_us),
-        yes(s.fresh)
+        to_secs(s.authority_remaining_us),
+        yes(s.reads_recent)
     );
     for r in &s.regions {
         let _ = writeln!(
@@ -355,27 +359,27 @@
             r.region,
             r.owner.as_deref().unwrap_or("none"),
             r.token,
-            yes(r.settled),
+            yes(r.reconciled),
             r.machines,
-            r.live,
-            r.waiting
+            r.ready_machines,
+            r.pending_tasks
         );
     }
-    for (class, n) in &s.waiting {
+    for (class, n) in &s.pending_tasks {
         let _ = writeln!(out, "  waiting, {class}: {n}");
     }
-    for a in &s.aims {
-        let state = if a.behind { "BEHIND" } else { "ok" };
+    for a in &s.objectives {
+        let state = if a.breached { "BEHIND" } else { "ok" };
         let _ = writeln!(
             out,
             "  aim {}: {} of {} (aim {:.0}%) {state}",
-            a.aim,
+            a.objective,
             a.met,
-            a.all,
-            a.share * 100.0
+            a.total,
+            a.target * 100.0
         );
     }
-    for l in &s.signals {
+    for l in &s.alerts {
         let _ = writeln!(out, "  signal: {l}");
     }
     out
--- a/src/status/conditions.rs
+++ b/src/status/conditions.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use super::Signal;
+use super::Alert;
 use salttiller_records::units::{to_secs, Micros, SECOND};
 
 /// Most conditions named in one round; the others are counted.
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
     /// Machines of a kind come up late or not at all.
-    BadBoots {
+    ProvisioningFailing {
         /// Type.
         machine_type: String,
         /// Zone.
@@ -33,26 +33,26 @@
         since: Micros,
     },
     /// Users ask about their jobs many times as often as usual.
-    QuestionStorm {
+    PollStorm {
         /// Questions a second at this controller.
         rate: u32,
         /// What is usual.
         usual: u32,
     },
     /// Workers of a region don't reach its owner.
-    OwnerUnreached {
+    OwnerUnreachable {
         /// Region.
         region: String,
         /// Machines that turn to this controller.
         machines: usize,
     },
     /// The state service lost records; this controller holds.
-    RecordsLost {
+    DataLoss {
         /// What was seen.
         seen: String,
     },
     /// A job fails on machine after machine.
-    JobFails {
+    JobFailing {
         /// Job.
         job: String,
         /// Its team.
@@ -66,7 +66,7 @@
     /// What it is about, without its figures.
     fn subject(&self) -> String {
         match self {
-            Condition::BadBoots {
+            Condition::ProvisioningFailing {
                 machine_type,
                 zone,
                 spot,
@@ -75,16 +75,14 @@
                 let kind = if *spot { " spot" } else { "" };
                 format!("{machine_type}{kind} machines in {zone} come up late or not at all")
             }
-            Condition::QuestionStorm { .. } => {
-                "many more questions about jobs than usual".to_owned()
-            }
-            Condition::OwnerUnreached { region, .. } => {
+            Condition::PollStorm { .. } => "many more questions about jobs than usual".to_owned(),
+            Condition::OwnerUnreachable { region, .. } => {
                 format!("workers of region {region} don't reach its owner")
             }
-            Condition::RecordsLost { .. } => {
+            Condition::DataLoss { .. } => {
                 "the state service lost records, nothing is started or accepted".to_owned()
             }
-            Condition::JobFails { job, team, class } => {
+            Condition::JobFailing { job, team, class } => {
                 format!("{job} of team {team}, class {class}, fails on every machine")
             }
         }
@@ -95,21 +93,21 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.subject())?;
         match self {
-            Condition::BadBoots { overdue, since, .. } => {
+            Condition::ProvisioningFailing { overdue, since, .. } => {
                 write!(
                     f,
                     ": {overdue} overdue, the first for {:.0} s",
                     to_secs(*since)
                 )
             }
-            Condition::QuestionStorm { rate, usual } => {
+            Condition::PollStorm { rate, usual } => {
                 write!(f, ": {rate} a second, usually {usual}")
             }
-            Condition::OwnerUnreached { machines, .. } => {
+            Condition::OwnerUnreachable { machines, .. } => {
                 write!(f, ": {machines} of them turn to this controller")
             }
-            Condition::RecordsLost { seen } => write!(f, ": {seen}"),
-            Condition::JobFails { .. } => Ok(()),
+            Condition::DataLoss { seen } => write!(f, ": {seen}"),
+            Condition::JobFailing { .. } => Ok(()),
         }
     }
 }
@@ -117,8 +115,8 @@
 /// How a condition stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Standing {
-    /// Seen, and not reported yet.
-    Seen,
+    /// Pending, and not reported yet.
+    Pending,
     /// Reported.
     Reported,
 }
@@ -138,7 +136,7 @@
 
 impl ConditionWatch {
     /// Reported conditions that are not over, for the status page.
-    pub fn reported(&self) -> impl Iterator<Item = &String> {
+    pub fn raised(&self) -> impl Iterator<Item = &String> {
         let reported = |k: &Known| k.standing == Standing::Reported;
         self.known
             .iter()
@@ -147,7 +145,7 @@
     }
 
     /// Takes the conditions that there are just now. Returns what changed.
-    pub fn look(&mut self, current: Vec<Condition>, now: Micros) -> Vec<Signal> {
+    pub fn observe(&mut self, current: Vec<Condition>, now: Micros) -> Vec<Alert> {
         let mut signals = Vec::new();
         let mut unnamed = 0;
         for condition in current {
@@ -157,7 +155,7 @@
                 continue;
             }
             let known = self.known.entry(subject).or_insert(Known {
-                standing: Standing::Seen,
+                standing: Standing::Pending,
                 first: now,
                 last: now,
             });
@@ -167,29 +165,29 @@
             }
             known.standing = Standing::Reported;
             if signals.len() < NAMED_AT_ONCE {
-                signals.push(Signal::Condition(condition.to_string()));
+                signals.push(Alert::ConditionRaised(condition.to_string()));
             } else {
                 unnamed += 1;
             }
         }
         if unnamed > 0 {
-            signals.push(Signal::Condition(format!("{unnamed} more")));
+            signals.push(Alert::ConditionRaised(format!("{unnamed} more")));
         }
         signals.extend(self.take_over(now));
         signals
     }
 
     /// Forgets conditions that are over, and says so of those that were reported.
-    fn take_over(&mut self, now: Micros) -> Vec<Signal> {
+    fn take_over(&mut self, now: Micros) -> Vec<Alert> {
         let mut over = Vec::new();
         self.known.retain(|subject, known| {
             let wait = match known.standing {
-                Standing::Seen => RAISE_AFTER,
+                Standing::Pending => RAISE_AFTER,
                 Standing::Reported => OVER_AFTER,
             };
             let gone = now > known.last + wait;
             if gone && known.standing == Standing::Reported && over.len() < NAMED_AT_ONCE {
-                over.push(Signal::ConditionOver(subject.clone()));
+                over.push(Alert::ConditionCleared(subject.clone()));
             }
             !gone
         });
@@ -199,13 +197,13 @@
 
 /// Tells when users ask many times as often as usual.
 #[derive(Debug, Default)]
-pub struct QuestionRate {
+pub struct PollRate {
     count: u32,
     usual: f64,
     looked: Option<Micros>,
 }
 
-impl QuestionRate {
+impl PollRate {
     /// So many times the usual rate are a storm.
     const STORM: f64 = 4.0;
     /// Fewer a second are none, whatever is usual.
@@ -214,12 +212,12 @@
     const FOLLOW: f64 = 0.05;
 
     /// A question came.
-    pub fn note(&mut self) {
+    pub fn record(&mut self) {
         self.count = self.count.saturating_add(1);
     }
 
     /// Looks at the rate since the last look.
-    pub fn look(&mut self, now: Micros) -> Option<Condition> {
+    pub fn sample(&mut self, now: Micros) -> Option<Condition> {
         let last = self.looked.replace(now);
         let count = std::mem::take(&mut self.count);
         let span = to_secs(now.saturating_sub(last?));
@@ -228,7 +226,7 @@
         }
         let rate = f64::from(count) / span;
         if self.usual > 0.0 && rate > Self::LEAST && rate > self.usual * Self::STORM {
-            return Some(Condition::QuestionStorm {
+            return Some(Condition::PollStorm {
                 rate: rate as u32,
                 usual: self.usual as u32,
             });
--- a/src/status/conditions/tests.rs
+++ b/src/status/conditions/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn fails(n: u32) -> Condition {
-    Condition::JobFails {
+    Condition::JobFailing {
         job: format!("req-{n:06}"),
         team: "red".into(),
         class: "x".into(),
@@ -11,7 +11,7 @@
 }
 
 fn boots(overdue: u32) -> Condition {
-    Condition::BadBoots {
+    Condition::ProvisioningFailing {
         machine_type: "big".into(),
         zone: "a".into(),
         spot: true,
@@ -30,18 +30,22 @@
     for (at, current, want) in [
         (0, Some(boots(2)), None),
         (2, Some(boots(3)), None),
-        (4, Some(boots(4)), Some(Signal::Condition(report.into()))),
+        (
+            4,
+            Some(boots(4)),
+            Some(Alert::ConditionRaised(report.into())),
+        ),
         (6, Some(boots(9)), None),
         (8, None, None),
         (30, Some(boots(1)), None),
         (58, None, None),
-        (62, None, Some(Signal::ConditionOver(over.into()))),
+        (62, None, Some(Alert::ConditionCleared(over.into()))),
         (64, Some(boots(2)), None),
         (70, None, None),
         (72, Some(boots(2)), None),
         (74, Some(boots(2)), None),
     ] {
-        let got = watch.look(current.into_iter().collect(), at * SECOND);
+        let got = watch.observe(current.into_iter().collect(), at * SECOND);
         assert_eq!(got, Vec::from_iter(want), "at {at} s");
     }
 }
@@ -51,32 +55,32 @@
 fn many_conditions_are_counted() {
     let mut watch = ConditionWatch::default();
     let many = || (0..2_000).map(fails).collect::<Vec<_>>();
-    assert!(watch.look(many(), SECOND).is_empty());
-    let told = watch.look(many(), 5 * SECOND);
+    assert!(watch.observe(many(), SECOND).is_empty());
+    let told = watch.observe(many(), 5 * SECOND);
     assert_eq!(told.len(), NAMED_AT_ONCE + 1);
     let rest = MAX_REMEMBERED - NAMED_AT_ONCE;
-    assert_eq!(told[3], Signal::Condition(format!("{rest} more")));
-    assert_eq!(watch.reported().count(), MAX_REMEMBERED);
-    assert!(watch.look(many(), 7 * SECOND).is_empty());
-    assert!(watch.look(Vec::new(), 60 * SECOND).len() <= NAMED_AT_ONCE);
-    assert_eq!(watch.reported().count(), 0);
+    assert_eq!(told[3], Alert::ConditionRaised(format!("{rest} more")));
+    assert_eq!(watch.raised().count(), MAX_REMEMBERED);
+    assert!(watch.observe(many(), 7 * SECOND).is_empty());
+    assert!(watch.observe(Vec::new(), 60 * SECOND).len() <= NAMED_AT_ONCE);
+    assert_eq!(watch.raised().count(), 0);
 }
 
 /// Many times the usual rate of questions is a storm, a slow rise and a few more are not.
 #[test]
 fn storms_are_told_from_a_rise() {
-    let mut rate = QuestionRate::default();
+    let mut rate = PollRate::default();
     let mut now = 0;
     let mut second = |questions: u32| {
-        (0..questions).for_each(|_| rate.note());
+        (0..questions).for_each(|_| rate.record());
         now += SECOND;
-        rate.look(now)
+        rate.sample(now)
     };
     for _ in 0..60 {
         assert_eq!(second(10), None);
     }
     for _ in 0..100 {
-        let Some(Condition::QuestionStorm { rate, usual }) = second(80) else {
+        let Some(Condition::PollStorm { rate, usual }) = second(80) else {
             panic!("no storm");
         };
         assert_eq!((rate, usual), (80, 10));
@@ -85,9 +89,9 @@
     for questions in (10..200).step_by(5) {
         (0..10).for_each(|_| assert_eq!(second(questions), None, "{questions}"));
     }
-    let mut quiet = QuestionRate::default();
+    let mut quiet = PollRate::default();
     for (at, questions) in [(1, 1), (2, 1), (3, 15), (4, 1)] {
-        (0..questions).for_each(|_| quiet.note());
-        assert_eq!(quiet.look(at * SECOND), None);
+        (0..questions).for_each(|_| quiet.record());
+        assert_eq!(quiet.sample(at * SECOND), None);
     }
 }
--- a/src/status/pipelines.rs
+++ b/src/status/pipelines.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::Signal;
+use super::Alert;
 use salttiller_records::units::{to_secs, Micros, SECOND};
 
 /// Most pipelines named in one round; the others are counted.
@@ -46,17 +46,17 @@
     }
 
     /// Pipelines that are behind.
-    pub fn count(&self) -> usize {
+    pub fn late_count(&self) -> usize {
         self.behind.len()
     }
 
     /// Looks at the steps that are next in all pipelines. Returns what changed.
-    pub fn look<'a>(
+    pub fn observe<'a>(
         &mut self,
         steps: impl Iterator<Item = Step<'a>>,
         is_open: impl Fn(&str) -> bool,
         cause: &str,
-    ) -> Vec<Signal> {
+    ) -> Vec<Alert> {
         let mut slowest: BTreeMap<&str, Step<'a>> = BTreeMap::new();
         for step in steps {
             let known = slowest.entry(step.last).or_insert(step);
@@ -74,19 +74,19 @@
             if self.behind.contains(step.last) {
                 if late <= -spare {
                     self.behind.remove(step.last);
-                    signals.push(Signal::PipelineInTime(in_time(&step)));
+                    signals.push(Alert::PipelineRecovered(in_time(&step)));
                 }
             } else if late > 0 && self.behind.len() < MAX_BEHIND {
                 self.behind.insert(step.last.to_owned());
                 if signals.len() < NAMED_AT_ONCE {
-                    signals.push(Signal::PipelineBehind(behind(&step, cause)));
+                    signals.push(Alert::PipelineLate(behind(&step, cause)));
                 } else {
                     unnamed += 1;
                 }
             }
         }
         if unnamed > 0 {
-            signals.push(Signal::PipelineBehind(format!("{unnamed} more")));
+            signals.push(Alert::PipelineLate(format!("{unnamed} more")));
         }
         signals
     }
--- a/src/status/pipelines/tests.rs
+++ b/src/status/pipelines/tests.rs
@@ -35,18 +35,21 @@
     ];
     for (i, (late, open, told)) in rounds.into_iter().enumerate() {
         let steps = [step("req-9", late), step("req-9", late - 3)];
-        let signals = watch.look(steps.into_iter(), |_| open, "no capacity");
+        let signals = watch.observe(steps.into_iter(), |_| open, "no capacity");
         let kinds: Vec<&str> = signals
             .iter()
             .map(|s| match s {
-                Signal::PipelineBehind(_) => "behind",
+                Alert::PipelineLate(_) => "behind",
                 _ => "in time",
             })
             .collect();
         assert_eq!(kinds.join(","), told, "round {i}");
     }
-    let none = watch.look(std::iter::empty(), |_| false, "");
-    assert!(none.is_empty() && watch.count() == 0, "over is forgotten");
+    let none = watch.observe(std::iter::empty(), |_| false, "");
+    assert!(
+        none.is_empty() && watch.late_count() == 0,
+        "over is forgotten"
+    );
 }
 
 /// Many that fall behind at once are counted, not named one by one.
@@ -55,7 +58,7 @@
     let mut watch = PipelineWatch::new(0.05);
     let names = ["req-1", "req-2", "req-3", "req-4", "req-5"];
     let steps = names.into_iter().map(|last| step(last, 12));
-    let signals = watch.look(steps, |_| true, "backlog");
+    let signals = watch.observe(steps, |_| true, "backlog");
     assert_eq!(signals.len(), NAMED_AT_ONCE + 1);
     let first = signals[0].to_string();
     assert_eq!(
@@ -64,7 +67,7 @@
          likely cause: backlog"
     );
     assert_eq!(signals[3].to_string(), "pipeline behind: 2 more");
-    assert_eq!(watch.count(), 5);
+    assert_eq!(watch.late_count(), 5);
 }
 
 #[test]
--- a/src/status/tests.rs
+++ b/src/status/tests.rs
@@ -1,22 +1,22 @@
 //! Tests of status.
 
 use super::*;
-use crate::peer_protocol::StatusRegion;
+use crate::peer_protocol::RegionStatus;
 
-fn aims(margin: f64) -> Aims {
+fn aims(margin: f64) -> AlertMonitor {
     let o = |kind: &str, class: Option<&str>, share: f64| Objective {
         kind: kind.into(),
         class: class.map(Into::into),
         threshold: Some(10 * SECOND),
         target: share,
     };
-    let op = Operator {
+    let op = OperatorSettings {
         alert_window: 100 * SECOND,
         alert_min_jobs: 3,
         alert_recovery_margin: margin,
-        ..Operator::default()
+        ..OperatorSettings::default()
     };
-    Aims::new(
+    AlertMonitor::new(
         &[
             o("wait", Some("x"), 0.5),
             o("guarantee", None, 0.5),
@@ -57,15 +57,15 @@
         if jobs.len() > 8 {
             jobs.remove(0);
         }
-        let open = jobs.iter().map(|(id, s, st)| Seen {
+        let open = jobs.iter().map(|(id, s, st)| ObservedJob {
             id,
             spec: s,
             guaranteed: false,
             started: *st,
             pipeline: None,
         });
-        let told = a.look(open, |_| true, |_| true, now, "no capacity");
-        signals.extend(told.iter().map(Signal::to_string));
+        let told = a.observe_jobs(open, |_| true, |_| true, now, "no capacity");
+        signals.extend(told.iter().map(Alert::to_string));
     }
     assert_eq!(signals.len(), 2, "{signals:?}");
     assert!(signals[0].contains("aim behind: x, wait within 10 s: 0% of"));
@@ -75,7 +75,7 @@
 
 #[test]
 fn jobs_count_where_they_should() {
-    let t = |class: &str, guaranteed, started| Track {
+    let t = |class: &str, guaranteed, started| TrackedJob {
         submitted: 0,
         deadline: Some(30 * SECOND),
         class: class.into(),
@@ -162,35 +162,35 @@
 /// The page as `salttiller status --json` prints it, to the byte.
 #[test]
 fn the_page_as_json() {
-    let region = |region: &str, owner: Option<&str>, settled| StatusRegion {
+    let region = |region: &str, owner: Option<&str>, settled| RegionStatus {
         region: region.into(),
         owner: owner.map(Into::into),
         token: 9,
-        settled,
+        reconciled: settled,
         machines: 3,
-        live: 2,
-        waiting: 1,
+        ready_machines: 2,
+        pending_tasks: 1,
     };
     let aim = |aim: &str, share, behind| ObjectiveStatus {
-        aim: aim.into(),
+        objective: aim.into(),
         met: 4,
-        all: 5,
-        share,
-        behind,
+        total: 5,
+        target: share,
+        breached: behind,
     };
     let full = Status {
         name: "t-0".into(),
-        run: 7,
+        incarnation: 7,
         leader: Some("t-1".into()),
-        authority_us: 1_500_000,
-        fresh: true,
+        authority_remaining_us: 1_500_000,
+        reads_recent: true,
         regions: vec![region("t-0", Some("t-0"), true), region("t-1", None, false)],
-        waiting: vec![("train".into(), 6), ("web".into(), 0)],
-        aims: vec![
+        pending_tasks: vec![("train".into(), 6), ("web".into(), 0)],
+        objectives: vec![
             aim("train, wait within 10 s", 0.95, true),
             aim("guarantee", 1.0, false),
         ],
-        signals: vec!["aim behind".into()],
+        alerts: vec!["aim behind".into()],
     };
     let cases = [
         (full, include_str!("fixtures/full.json")),
--- a/src/worker_protocol.rs
+++ b/src/worker_protocol.rs
@@ -111,7 +111,7 @@
     /// Which start this is.
     pub attempt: u64,
     /// What it does.
-    pub stage: ReportedState,
+    pub state: ReportedState,
 }
 
 /// Position of a heartbeat among those of one machine: a later one is greater.
@@ -188,7 +188,7 @@
             job: Rc::from(job),
             task,
             attempt: s.sowing,
-            stage,
+            state: stage,
         });
     }
     Some(Heartbeat {
@@ -269,7 +269,7 @@
 pub const MAX_COMMANDS: usize = 400;
 
 /// The body of a 200.
-pub fn answer(token: u64, commands: &[Command]) -> Vec<u8> {
+pub fn encode_commands(token: u64, commands: &[Command]) -> Vec<u8> {
     let task_names: Vec<String> = commands
         .iter()
         .map(|command| format!("{}/{}", command.job, command.task))
@@ -299,7 +299,7 @@
 }
 
 /// The body of a 421.
-pub fn elsewhere(steward: Option<&str>) -> Vec<u8> {
+pub fn encode_redirect(steward: Option<&str>) -> Vec<u8> {
     rmp_serde::to_vec_named(&wire::Elsewhere { steward }).unwrap_or_default()
 }
 
--- a/src/worker_protocol/tests.rs
+++ b/src/worker_protocol/tests.rs
@@ -22,9 +22,9 @@
             Some(2_500_000)
         )
     );
-    assert_eq!(r.tasks[1].stage, ReportedState::Running);
+    assert_eq!(r.tasks[1].state, ReportedState::Running);
     assert_eq!(
-        r.tasks[2].stage,
+        r.tasks[2].state,
         ReportedState::Ended(ExitReason::Stopped { saved: true })
     );
     for (field, value) in [
@@ -53,7 +53,7 @@
         .map(|i| Command::stop(job.clone(), 99_999 - i, u64::MAX, 10_000_000))
         .collect();
     // Limits are counted in JSON, which is longer than what is sent.
-    let v: serde_json::Value = rmp_serde::from_slice(&answer(u64::MAX, &cmds)).unwrap();
+    let v: serde_json::Value = rmp_serde::from_slice(&encode_commands(u64::MAX, &cmds)).unwrap();
     assert!(v.to_string().len() < 64 * 1024);
 }
 
@@ -65,7 +65,7 @@
         job: Rc::from(job),
         task,
         attempt,
-        stage,
+        state: stage,
     };
     let stages = [
         ReportedState::Fetching,
@@ -164,10 +164,10 @@
         Command::reap(Rc::from("req-000412"), 99_999, 1 << 40),
     ];
     let cases = [
-        ("no command", answer(7, &[])),
-        ("every command", answer(1 << 40, &commands)),
-        ("elsewhere", elsewhere(Some("t-1"))),
-        ("elsewhere unknown", elsewhere(None)),
+        ("no command", encode_commands(7, &[])),
+        ("every command", encode_commands(1 << 40, &commands)),
+        ("elsewhere", encode_redirect(Some("t-1"))),
+        ("elsewhere unknown", encode_redirect(None)),
     ];
     assert_eq!(files.len(), cases.len());
     for (name, written) in cases {
