--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -71,8 +71,11 @@
 
     pub(super) fn on_submit(&mut self, conn: ConnectionId, body: &[u8]) {
         let (id, spec) = match admission::parse_submission(body, self.reactor.wall()) {
-            Ok(x) => x,
-            Err(_) => return self.reactor.respond(conn, Response::new(400, Vec::new())),
+            Ok(submission) => submission,
+            Err(error) => {
+                log::debug!("submission rejected: {error}");
+                return self.reactor.respond(conn, Response::new(400, Vec::new()));
+            }
         };
         if self.withholds(conn, &id) {
             return;
@@ -96,7 +99,7 @@
                 log::info!("intake: {id}: {why}");
                 return self.refuse(conn, 503, 1);
             }
-            Err(e @ AdmissionError::TooManyDependencies(_)) => {
+            Err(e @ AdmissionError::TooManyDependencies { .. }) => {
                 log::info!("intake: {id}: {e}");
                 let body = e.to_string().into_bytes();
                 return self.reactor.respond(conn, Response::new(400, body));
@@ -213,7 +216,8 @@
             };
         }
         let done = self.registry.replica.done_count(id);
-        admission::encode_job_state(id, stage, Some((done, running)))
+        let counts = admission::TaskCounts { done, running };
+        admission::encode_job_state(id, stage, Some(counts))
     }
 
     pub(super) fn expire_waiting(&mut self) {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -4,8 +4,12 @@
 
 impl<N: Net> Controller<N> {
     pub(super) fn on_heartbeat(&mut self, conn: ConnectionId, body: &[u8]) {
-        let Some(r) = worker_protocol::parse_heartbeat(body) else {
-            return self.reactor.respond(conn, Response::new(400, Vec::new()));
+        let r = match worker_protocol::parse_heartbeat(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => {
+                log::info!("heartbeat rejected: {error}");
+                return self.reactor.respond(conn, Response::new(400, Vec::new()));
+            }
         };
         if !self.registry.loaded() {
             return self.refuse(conn, 503, 1);
