--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -1,6 +1,13 @@
-//! Tests of fleet.
+//! Tests of the cloud's client.
+
+use serde_json::json;
 
 use super::*;
+use crate::reactor::CallError;
+use crate::settings::Settings;
+use salttiller_protocol::http::Response;
+use salttiller_records::model::MachineType;
+use salttiller_records::units::SECOND;
 
 fn cloud_client() -> CloudClient {
     let s = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
@@ -35,7 +42,12 @@
         bodies.push(call.body);
         let got = f.on_response(call.call_id, result.clone(), now);
         if result.is_ok_and(|r| r.status == 200) {
-            let want = CloudEvent::Rented(offer.clone(), "t-0".into(), vec!["m-1".into()], 2);
+            let want = CloudEvent::Rented {
+                offer: offer.clone(),
+                region: "t-0".into(),
+                machines: vec!["m-1".into()],
+                requested: 2,
+            };
             assert_eq!(got, [want]);
         } else {
             assert_eq!(got, [CloudEvent::Unavailable]);
@@ -114,7 +126,12 @@
     let g8 = || offer("g8", "a", true);
     let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
     let rent = |f: &mut CloudClient| f.rent(g8(), "t-0".into(), 50, "x-1".into());
-    let rented = CloudEvent::Rented(g8(), "t-0".into(), names(&["m-1", "m-2"]), 50);
+    let rented = CloudEvent::Rented {
+        offer: g8(),
+        region: "t-0".into(),
+        machines: names(&["m-1", "m-2"]),
+        requested: 50,
+    };
     type Request<'a> = &'a dyn Fn(&mut CloudClient);
     type Call = (&'static str, &'static str, Option<&'static str>);
     const RENT: Call = ("POST", "/machines", Some("rent"));
--- /dev/null
+++ b/src/cloud/wire.rs
@@ -0,0 +1,182 @@
+//! The cloud's interface in MessagePack: the only place where its own words occur.
+
+use serde::{Deserialize, Serialize};
+
+use super::client::CloudError;
+use super::inventory::ListedMachine;
+use super::offer::Offer;
+use salttiller_records::model::MachineType;
+use salttiller_records::units;
+
+/// What a machine that has stopped by itself is listed as.
+const FAILED: &str = "failed";
+/// The reason of a refusal for lack of capacity.
+const NO_CAPACITY: &str = "no capacity";
+
+/// The machine types that are offered.
+#[derive(Deserialize)]
+struct MachineTypesMessage {
+    #[serde(rename = "plots")]
+    machine_types: Vec<MachineTypeMessage>,
+}
+
+#[derive(Deserialize)]
+struct MachineTypeMessage {
+    #[serde(rename = "label")]
+    name: String,
+    #[serde(rename = "cores")]
+    cpus: f64,
+    #[serde(default, rename = "cards")]
+    gpus: f64,
+    #[serde(rename = "memoryGb")]
+    memory_gb: f64,
+    #[serde(default, rename = "pullGbPerS")]
+    fetch_gb_per_second: f64,
+    price: f64,
+    #[serde(default, rename = "lowPrice")]
+    spot_price: f64,
+    #[serde(default, rename = "startupS")]
+    boot_seconds: f64,
+    #[serde(default, rename = "fields")]
+    zones: Vec<String>,
+}
+
+impl From<MachineTypeMessage> for MachineType {
+    fn from(message: MachineTypeMessage) -> Self {
+        MachineType {
+            name: message.name,
+            cpus: units::room(message.cpus),
+            gpus: units::room(message.gpus),
+            memory: units::room(message.memory_gb),
+            fetch_rate: units::room(message.fetch_gb_per_second),
+            price: units::room(message.price),
+            spot_price: units::room(message.spot_price),
+            boot_time: units::secs(message.boot_seconds),
+            zones: message.zones,
+        }
+    }
+}
+
+/// A request to rent; fields in the order of their names, as they are sent.
+#[derive(Serialize)]
+struct RentMessage<'a> {
+    count: u32,
+    #[serde(rename = "fallow")]
+    spot: bool,
+    #[serde(rename = "field")]
+    zone: &'a str,
+    #[serde(rename = "plot")]
+    machine_type: &'a str,
+    #[serde(rename = "tenancy")]
+    idempotency_key: &'a str,
+}
+
+/// Names of machines: those to release, or those that were rented.
+#[derive(Serialize, Deserialize)]
+struct MachineNamesMessage {
+    #[serde(rename = "tillers")]
+    names: Vec<String>,
+}
+
+/// A page of the inventory.
+#[derive(Deserialize)]
+struct InventoryMessage {
+    #[serde(rename = "tillers")]
+    machines: Vec<ListedMachineMessage>,
+    #[serde(default)]
+    more: bool,
+}
+
+#[derive(Deserialize)]
+struct ListedMachineMessage {
+    #[serde(rename = "nameId")]
+    name: String,
+    #[serde(rename = "plot")]
+    machine_type: String,
+    #[serde(rename = "field")]
+    zone: String,
+    #[serde(default, rename = "fallow")]
+    spot: bool,
+    #[serde(default, rename = "stage")]
+    state: String,
+    #[serde(default, rename = "heldS")]
+    age_seconds: f64,
+}
+
+impl From<ListedMachineMessage> for ListedMachine {
+    fn from(message: ListedMachineMessage) -> Self {
+        ListedMachine {
+            name: message.name,
+            offer: Offer {
+                machine_type: message.machine_type,
+                zone: message.zone,
+                spot: message.spot,
+            },
+            failed: message.state == FAILED,
+            age: units::secs(message.age_seconds),
+        }
+    }
+}
+
+/// Why a request was refused.
+#[derive(Deserialize)]
+struct RefusalMessage {
+    error: String,
+}
+
+/// A page of the inventory, read.
+pub(super) struct InventoryPage {
+    /// Machines of the page, in the order of their names.
+    pub(super) machines: Vec<ListedMachine>,
+    /// Whether more pages follow.
+    pub(super) more: bool,
+}
+
+/// The body of a request to rent.
+pub(super) fn encode_rent(offer: &Offer, count: u32, idempotency_key: &str) -> Vec<u8> {
+    encode(&RentMessage {
+        count,
+        spot: offer.spot,
+        zone: &offer.zone,
+        machine_type: &offer.machine_type,
+        idempotency_key,
+    })
+}
+
+/// The body of a request to release machines.
+pub(super) fn encode_release(names: &[String]) -> Vec<u8> {
+    encode(&MachineNamesMessage {
+        names: names.to_vec(),
+    })
+}
+
+/// Reads the machine types that are offered.
+pub(super) fn decode_machine_types(body: &[u8]) -> Result<Vec<MachineType>, CloudError> {
+    let message: MachineTypesMessage = rmp_serde::from_slice(body)?;
+    Ok(message.machine_types.into_iter().map(Into::into).collect())
+}
+
+/// Reads the names of machines that were rented.
+pub(super) fn decode_rented(body: &[u8]) -> Result<Vec<String>, CloudError> {
+    let message: MachineNamesMessage = rmp_serde::from_slice(body)?;
+    Ok(message.names)
+}
+
+/// Reads a page of the inventory.
+pub(super) fn decode_inventory(body: &[u8]) -> Result<InventoryPage, CloudError> {
+    let message: InventoryMessage = rmp_serde::from_slice(body)?;
+    Ok(InventoryPage {
+        machines: message.machines.into_iter().map(Into::into).collect(),
+        more: message.more,
+    })
+}
+
+/// Whether the body of a refusal says that there is no capacity.
+pub(super) fn is_no_capacity(body: &[u8]) -> bool {
+    rmp_serde::from_slice::<RefusalMessage>(body).is_ok_and(|refusal| refusal.error == NO_CAPACITY)
+}
+
+fn encode(message: &impl Serialize) -> Vec<u8> {
+    // Messages are plain maps of text and numbers: this can't fail.
+    rmp_serde::to_vec_named(message).unwrap_or_default()
+}
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -401,13 +401,13 @@
                 n,
             ));
         }
-        for (o, region, n) in cloud_client.pending_rentals() {
-            let n = n as f64;
+        for rental in cloud_client.pending_rentals() {
+            let n = rental.count as f64;
             rooms.extend(room(
-                &region,
-                &o.machine_type,
-                &o.zone,
-                o.spot,
+                &rental.region,
+                &rental.offer.machine_type,
+                &rental.offer.zone,
+                rental.offer.spot,
                 Resources::ZERO,
                 false,
                 n,
--- a/src/leader/machine_assignment.rs
+++ b/src/leader/machine_assignment.rs
@@ -167,7 +167,12 @@
                     .collect();
                 self.commit(changes, CommitPriority::Normal, context);
             }
-            CloudEvent::Rented(offer, region, names, asked) => {
+            CloudEvent::Rented {
+                offer,
+                region,
+                machines: names,
+                requested: asked,
+            } => {
                 log::info!(
                     "leader: rented {} of {asked} {} in {}{} for {region}",
                     names.len(),
