--- a/crates/salttillerctl/src/settings.rs
+++ b/crates/salttillerctl/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use salttiller::settings::SettingsError;
+use salttiller::settings::{parse_number, FieldError, SettingsError};
 
 /// How the archive is kept.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -45,32 +45,27 @@
 }
 
 fn parse_archive_settings(file: &str, text: &str) -> Result<ArchiveSettings, SettingsError> {
-    let ini = ini::Ini::load_from_str(text).map_err(|e| SettingsError::Form {
+    let ini = ini::Ini::load_from_str(text).map_err(|cause| SettingsError::Ini {
         file: file.to_owned(),
-        cause: e.to_string(),
+        cause,
     })?;
     let mut settings = ArchiveSettings::default();
     for (section, properties) in ini.iter() {
         for (key, value) in properties.iter() {
             let field = format!("{}.{key}", section.unwrap_or(""));
-            let refuse = |cause: String| SettingsError::Field {
+            let refuse = |cause: FieldError| SettingsError::Field {
                 file: file.to_owned(),
                 field: field.clone(),
                 cause,
             };
-            let number = |low: f64, high: f64| match value.trim().parse::<f64>() {
-                Ok(n) if (low..=high).contains(&n) => Ok(n),
-                _ => Err(refuse(format!(
-                    "\"{value}\" is not a number from {low} to {high}"
-                ))),
-            };
+            let number = |min: f64, max: f64| parse_number(value, min, max).map_err(refuse);
             match field.as_str() {
                 "archive.request_share" => settings.request_share = number(0.001, 0.5)?,
                 "archive.watch_s" => settings.watch_s = number(0.05, 60.0)?,
                 "archive.image_every_s" => settings.image_every_s = number(1.0, 1e6)?,
                 "archive.keep_images" => settings.keep_images = number(1.0, 1e5)? as usize,
                 "archive.keep_s" => settings.keep_s = number(1.0, 1e9)?,
-                _ => return Err(refuse("unknown key".to_owned())),
+                _ => return Err(refuse(FieldError::UnknownKey)),
             }
         }
     }
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -1,104 +1,144 @@
-//! The platform's settings file as it is on the wire.
+//! The platform's settings file in JSON: the only place where its own words occur.
 
-use super::Deserialize;
+use serde::Deserialize;
 
+/// The whole file.
 #[derive(Deserialize)]
-pub struct File {
-    pub host_name: String,
-    pub area: String,
-    pub front: String,
-    pub mesh_addr: String,
-    #[serde(default)]
-    pub others: Vec<Other>,
-    pub outside: Outside,
-    pub facts: Facts,
+pub(super) struct File {
+    #[serde(rename = "host_name")]
+    pub(super) name: String,
+    #[serde(rename = "area")]
+    pub(super) zone: String,
+    #[serde(rename = "front")]
+    pub(super) http_addr: String,
+    #[serde(rename = "mesh_addr")]
+    pub(super) peer_addr: String,
+    #[serde(default, rename = "others")]
+    pub(super) peers: Vec<Peer>,
+    #[serde(rename = "outside")]
+    pub(super) services: Services,
+    #[serde(rename = "facts")]
+    pub(super) deployment: Deployment,
 }
 
+/// Another controller.
 #[derive(Deserialize)]
-pub struct Other {
-    pub host_name: String,
-    pub area: String,
-    pub addr: String,
+pub(super) struct Peer {
+    #[serde(rename = "host_name")]
+    pub(super) name: String,
+    #[serde(rename = "area")]
+    pub(super) zone: String,
+    pub(super) addr: String,
 }
 
+/// Addresses of the services that controllers use.
 #[derive(Deserialize)]
-pub struct Outside {
-    pub cloud: String,
-    pub state: String,
+pub(super) struct Services {
+    #[serde(rename = "cloud")]
+    pub(super) cloud_addr: String,
+    #[serde(rename = "state")]
+    pub(super) state_store_addr: String,
 }
 
+/// What is the same for all controllers of a deployment.
 #[derive(Deserialize)]
-pub struct Facts {
-    #[serde(default)]
-    pub zones: Vec<String>,
-    pub teams: Vec<Team>,
+pub(super) struct Deployment {
     #[serde(default)]
-    pub objectives: Vec<Objective>,
-    pub workers: Workers,
-    pub state: State,
-    pub cloud: Cloud,
-    pub quota: Quota,
+    pub(super) zones: Vec<String>,
+    pub(super) teams: Vec<Team>,
     #[serde(default)]
-    pub clock_off_ms: f64,
+    pub(super) objectives: Vec<Objective>,
+    pub(super) workers: Workers,
+    #[serde(rename = "state")]
+    pub(super) state_store: StateStore,
+    pub(super) cloud: Cloud,
+    #[serde(rename = "quota")]
+    pub(super) process_limits: ProcessLimits,
+    #[serde(default, rename = "clock_off_ms")]
+    pub(super) max_clock_error_ms: f64,
 }
 
+/// A team.
 #[derive(Deserialize)]
-pub struct Team {
-    pub name: String,
-    #[serde(default)]
-    pub cpus: f64,
-    #[serde(default)]
-    pub cpus_max: f64,
-    #[serde(default)]
-    pub gpus: f64,
-    #[serde(default)]
-    pub gpus_max: f64,
+pub(super) struct Team {
+    pub(super) name: String,
+    #[serde(default, rename = "cpus")]
+    pub(super) guaranteed_cpus: f64,
+    #[serde(default, rename = "cpus_max")]
+    pub(super) max_cpus: f64,
+    #[serde(default, rename = "gpus")]
+    pub(super) guaranteed_gpus: f64,
+    #[serde(default, rename = "gpus_max")]
+    pub(super) max_gpus: f64,
 }
 
+/// A service level objective.
 #[derive(Deserialize)]
-pub struct Objective {
-    pub kind: String,
-    pub class: Option<String>,
-    pub within_s: Option<f64>,
-    pub share: Option<f64>,
+pub(super) struct Objective {
+    pub(super) kind: String,
+    pub(super) class: Option<String>,
+    #[serde(rename = "within_s")]
+    pub(super) threshold_seconds: Option<f64>,
+    #[serde(rename = "share")]
+    pub(super) target: Option<f64>,
 }
 
+/// Timing of workers, in seconds.
 #[derive(Deserialize)]
-pub struct Workers {
-    pub report_s: f64,
-    pub lease_s: f64,
-    pub gang_wait_s: f64,
-    pub gang_peer_s: f64,
-    pub cancel_s: f64,
+pub(super) struct Workers {
+    #[serde(rename = "report_s")]
+    pub(super) heartbeat_interval: f64,
+    #[serde(rename = "lease_s")]
+    pub(super) lease: f64,
+    #[serde(rename = "gang_wait_s")]
+    pub(super) gang_start_timeout: f64,
+    #[serde(rename = "gang_peer_s")]
+    pub(super) gang_peer_timeout: f64,
+    #[serde(rename = "cancel_s")]
+    pub(super) cancellation_deadline: f64,
 }
 
+/// Limits of the state store.
 #[derive(Deserialize)]
-pub struct State {
-    pub rps: f64,
-    pub write_rps: f64,
-    pub value_kb: f64,
-    pub txn_ops: usize,
-    /// The limits that it will have from some moment on; any part may lack.
-    #[serde(default)]
-    pub next: Option<NextState>,
+pub(super) struct StateStore {
+    #[serde(rename = "rps")]
+    pub(super) request_rate: f64,
+    #[serde(rename = "write_rps")]
+    pub(super) write_rate: f64,
+    #[serde(rename = "value_kb")]
+    pub(super) max_value_kb: f64,
+    #[serde(rename = "txn_ops")]
+    pub(super) max_txn_ops: usize,
+    /// The limits that it will have from some time on; each may be left out.
+    #[serde(default, rename = "next")]
+    pub(super) upcoming: Option<UpcomingStateStore>,
 }
 
-#[derive(Deserialize)]
-pub struct NextState {
-    pub write_rps: Option<f64>,
-    pub value_kb: Option<f64>,
-    pub txn_ops: Option<usize>,
+/// Limits that the state store will have from some time on.
+#[derive(Deserialize, Default)]
+pub(super) struct UpcomingStateStore {
+    #[serde(rename = "write_rps")]
+    pub(super) write_rate: Option<f64>,
+    #[serde(rename = "value_kb")]
+    pub(super) max_value_kb: Option<f64>,
+    #[serde(rename = "txn_ops")]
+    pub(super) max_txn_ops: Option<usize>,
 }
 
+/// Limits of the cloud's interface.
 #[derive(Deserialize)]
-pub struct Cloud {
-    pub rps: f64,
-    pub list_lag_s: f64,
+pub(super) struct Cloud {
+    #[serde(rename = "rps")]
+    pub(super) request_rate: f64,
+    #[serde(rename = "list_lag_s")]
+    pub(super) inventory_lag_seconds: f64,
 }
 
+/// Limits of a controller's process.
 #[derive(Deserialize)]
-pub struct Quota {
-    #[serde(default)]
-    pub ram_mb: f64,
-    pub fd_limit: usize,
+pub(super) struct ProcessLimits {
+    #[serde(default, rename = "ram_mb")]
+    pub(super) memory_mb: f64,
+    #[serde(rename = "fd_limit")]
+    pub(super) max_sockets: usize,
 }
