--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -32,8 +32,8 @@
         let state = |regions: Vec<peer_protocol::RegionReport>| {
             peer_protocol::encode(&Message::ControllerState {
                 from: self.settings.name.clone(),
-                run: self.run | peer_protocol::UNDERSTANDS_EXTENSIONS,
-                fresh: self.fresh(),
+                incarnation: self.run | peer_protocol::UNDERSTANDS_EXTENSIONS,
+                reads_recent: self.fresh(),
                 regions,
             })
         };
@@ -91,8 +91,8 @@
         match m {
             Message::ControllerState {
                 from,
-                run,
-                fresh,
+                incarnation: run,
+                reads_recent: fresh,
                 regions,
             } => {
                 let now = self.now;
--- a/src/peer_protocol/tests.rs
+++ b/src/peer_protocol/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of mesh.
+//! Tests of messages between controllers.
 
 use super::*;
 use crate::fixtures::{self as files, bytes_of};
@@ -7,8 +7,8 @@
 fn sample() -> Message {
     Message::ControllerState {
         from: "t-0".into(),
-        run: 3,
-        fresh: true,
+        incarnation: 3,
+        reads_recent: true,
         regions: vec![RegionReport {
             region: "t-0".into(),
             token: 9,
@@ -227,8 +227,8 @@
             "state",
             Message::ControllerState {
                 from: "t-0".into(),
-                run: 21 | UNDERSTANDS_EXTENSIONS,
-                fresh: true,
+                incarnation: 21 | UNDERSTANDS_EXTENSIONS,
+                reads_recent: true,
                 regions: vec![report, bare],
             },
         ),
@@ -236,8 +236,8 @@
             "state without regions",
             Message::ControllerState {
                 from: long(),
-                run: 22,
-                fresh: false,
+                incarnation: 22,
+                reads_recent: false,
                 regions: Vec::new(),
             },
         ),
