--- a/src/status/conditions.rs
+++ b/src/alerts/conditions.rs
@@ -1,4 +1,4 @@
-//! Conditions that operators should know of though no aim may be behind yet: each is
+//! Conditions that operators should know of though no objective may be breached yet: each is
 //! reported once when it has lasted for a moment, and once when it is over.
 
 use std::collections::BTreeMap;
@@ -19,24 +19,24 @@
 /// Something that operators should know of.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
-    /// Machines of a kind come up late or not at all.
+    /// Machines of a pool become ready late or not at all.
     ProvisioningFailing {
-        /// Type.
+        /// Machine type.
         machine_type: String,
         /// Zone.
         zone: String,
-        /// Spot or ordinary.
+        /// Spot or on-demand.
         spot: bool,
         /// Machines that are overdue.
         overdue: u32,
         /// For how long the first has been.
         since: Micros,
     },
-    /// Users ask about their jobs many times as often as usual.
+    /// Users poll their jobs many times as often as usual.
     PollStorm {
-        /// Questions a second at this controller.
+        /// Polls a second at this controller.
         rate: u32,
-        /// What is usual.
+        /// The usual rate.
         usual: u32,
     },
     /// Workers of a region don't reach its owner.
@@ -46,7 +46,7 @@
         /// Machines that turn to this controller.
         machines: usize,
     },
-    /// The state service lost records; this controller holds.
+    /// The state store lost records; this controller holds.
     DataLoss {
         /// What was seen.
         seen: String,
@@ -112,41 +112,41 @@
     }
 }
 
-/// How a condition stands.
+/// State of a condition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
-    /// Pending, and not reported yet.
+enum ConditionState {
+    /// Observed, and not reported yet.
     Pending,
     /// Reported.
     Reported,
 }
 
 #[derive(Debug)]
-struct Known {
-    standing: Standing,
+struct TrackedCondition {
+    state: ConditionState,
     first: Micros,
     last: Micros,
 }
 
-/// Which conditions there are.
+/// Tracks conditions by their subject.
 #[derive(Debug, Default)]
 pub struct ConditionWatch {
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, TrackedCondition>,
 }
 
 impl ConditionWatch {
     /// Reported conditions that are not over, for the status page.
     pub fn raised(&self) -> impl Iterator<Item = &String> {
-        let reported = |k: &Known| k.standing == Standing::Reported;
+        let reported = |tracked: &TrackedCondition| tracked.state == ConditionState::Reported;
         self.known
             .iter()
-            .filter(move |(_, k)| reported(k))
+            .filter(move |(_, tracked)| reported(tracked))
             .map(|(subject, _)| subject)
     }
 
-    /// Takes the conditions that there are just now. Returns what changed.
+    /// Takes the conditions that there are just now. Returns the alerts to give.
     pub fn observe(&mut self, current: Vec<Condition>, now: Micros) -> Vec<Alert> {
-        let mut signals = Vec::new();
+        let mut alerts = Vec::new();
         let mut unnamed = 0;
         for condition in current {
             let subject = condition.subject();
@@ -154,39 +154,39 @@
             if full && !self.known.contains_key(&subject) {
                 continue;
             }
-            let known = self.known.entry(subject).or_insert(Known {
-                standing: Standing::Pending,
+            let known = self.known.entry(subject).or_insert(TrackedCondition {
+                state: ConditionState::Pending,
                 first: now,
                 last: now,
             });
             known.last = now;
-            if known.standing == Standing::Reported || now < known.first + RAISE_AFTER {
+            if known.state == ConditionState::Reported || now < known.first + RAISE_AFTER {
                 continue;
             }
-            known.standing = Standing::Reported;
-            if signals.len() < NAMED_AT_ONCE {
-                signals.push(Alert::ConditionRaised(condition.to_string()));
+            known.state = ConditionState::Reported;
+            if alerts.len() < NAMED_AT_ONCE {
+                alerts.push(Alert::ConditionRaised(condition.to_string()));
             } else {
                 unnamed += 1;
             }
         }
         if unnamed > 0 {
-            signals.push(Alert::ConditionRaised(format!("{unnamed} more")));
+            alerts.push(Alert::ConditionRaised(format!("{unnamed} more")));
         }
-        signals.extend(self.take_over(now));
-        signals
+        alerts.extend(self.clear_over(now));
+        alerts
     }
 
     /// Forgets conditions that are over, and says so of those that were reported.
-    fn take_over(&mut self, now: Micros) -> Vec<Alert> {
+    fn clear_over(&mut self, now: Micros) -> Vec<Alert> {
         let mut over = Vec::new();
         self.known.retain(|subject, known| {
-            let wait = match known.standing {
-                Standing::Pending => RAISE_AFTER,
-                Standing::Reported => OVER_AFTER,
+            let wait = match known.state {
+                ConditionState::Pending => RAISE_AFTER,
+                ConditionState::Reported => OVER_AFTER,
             };
             let gone = now > known.last + wait;
-            if gone && known.standing == Standing::Reported && over.len() < NAMED_AT_ONCE {
+            if gone && known.state == ConditionState::Reported && over.len() < NAMED_AT_ONCE {
                 over.push(Alert::ConditionCleared(subject.clone()));
             }
             !gone
@@ -195,49 +195,5 @@
     }
 }
 
-/// Tells when users ask many times as often as usual.
-#[derive(Debug, Default)]
-pub struct PollRate {
-    count: u32,
-    usual: f64,
-    looked: Option<Micros>,
-}
-
-impl PollRate {
-    /// So many times the usual rate are a storm.
-    const STORM: f64 = 4.0;
-    /// Fewer a second are none, whatever is usual.
-    const LEAST: f64 = 20.0;
-    /// How fast the usual rate follows.
-    const FOLLOW: f64 = 0.05;
-
-    /// A question came.
-    pub fn record(&mut self) {
-        self.count = self.count.saturating_add(1);
-    }
-
-    /// Looks at the rate since the last look.
-    pub fn sample(&mut self, now: Micros) -> Option<Condition> {
-        let last = self.looked.replace(now);
-        let count = std::mem::take(&mut self.count);
-        let span = to_secs(now.saturating_sub(last?));
-        if span <= 0.0 {
-            return None;
-        }
-        let rate = f64::from(count) / span;
-        if self.usual > 0.0 && rate > Self::LEAST && rate > self.usual * Self::STORM {
-            return Some(Condition::PollStorm {
-                rate: rate as u32,
-                usual: self.usual as u32,
-            });
-        }
-        if self.usual == 0.0 {
-            self.usual = rate;
-        }
-        self.usual += (rate - self.usual) * Self::FOLLOW;
-        None
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/status/pipelines.rs
+++ b/src/alerts/pipelines.rs
@@ -8,8 +8,8 @@
 
 /// Most pipelines named in one round; the others are counted.
 const NAMED_AT_ONCE: usize = 3;
-/// Most pipelines that are remembered as behind.
-const MAX_BEHIND: usize = 1_000;
+/// Most pipelines that are remembered as late.
+const MAX_LATE: usize = 1_000;
 
 /// A step of a pipeline that is next to run, or runs.
 #[derive(Debug, Clone, Copy)]
@@ -28,29 +28,30 @@
     pub expected: Micros,
 }
 
-/// Which pipelines are behind.
+/// Tracks which pipelines will miss their deadline.
 #[derive(Debug)]
 pub struct PipelineWatch {
-    /// How far ahead of its deadline a pipeline that was behind must be, as a share of it.
+    /// How far ahead of its deadline a late pipeline must be to recover, as a share of it.
     margin: f64,
-    behind: BTreeSet<String>,
+    late: BTreeSet<String>,
 }
 
 impl PipelineWatch {
-    /// Nothing is behind yet.
+    /// No pipeline is late yet. `margin` is the share of its deadline that one must be ahead
+    /// of it to count as recovered.
     pub fn new(margin: f64) -> Self {
         PipelineWatch {
             margin,
-            behind: BTreeSet::new(),
+            late: BTreeSet::new(),
         }
     }
 
-    /// Pipelines that are behind.
+    /// How many pipelines are late.
     pub fn late_count(&self) -> usize {
-        self.behind.len()
+        self.late.len()
     }
 
-    /// Looks at the steps that are next in all pipelines. Returns what changed.
+    /// Takes the steps that are next in all pipelines. Returns the alerts to give.
     pub fn observe<'a>(
         &mut self,
         steps: impl Iterator<Item = Step<'a>>,
@@ -64,31 +65,31 @@
                 *known = step;
             }
         }
-        // One that is over is judged by its class's aim.
-        self.behind.retain(|last| is_open(last));
-        let mut signals = Vec::new();
+        // One that is over is judged by its class's objective.
+        self.late.retain(|last| is_open(last));
+        let mut alerts = Vec::new();
         let mut unnamed = 0;
         for step in slowest.into_values() {
-            let late = lateness(&step);
+            let delay = lateness(&step);
             let spare = (step.deadline as f64 * self.margin) as i64;
-            if self.behind.contains(step.last) {
-                if late <= -spare {
-                    self.behind.remove(step.last);
-                    signals.push(Alert::PipelineRecovered(in_time(&step)));
+            if self.late.contains(step.last) {
+                if delay <= -spare {
+                    self.late.remove(step.last);
+                    alerts.push(Alert::PipelineRecovered(describe_recovered(&step)));
                 }
-            } else if late > 0 && self.behind.len() < MAX_BEHIND {
-                self.behind.insert(step.last.to_owned());
-                if signals.len() < NAMED_AT_ONCE {
-                    signals.push(Alert::PipelineLate(behind(&step, cause)));
+            } else if delay > 0 && self.late.len() < MAX_LATE {
+                self.late.insert(step.last.to_owned());
+                if alerts.len() < NAMED_AT_ONCE {
+                    alerts.push(Alert::PipelineLate(describe_late(&step, cause)));
                 } else {
                     unnamed += 1;
                 }
             }
         }
         if unnamed > 0 {
-            signals.push(Alert::PipelineLate(format!("{unnamed} more")));
+            alerts.push(Alert::PipelineLate(format!("{unnamed} more")));
         }
-        signals
+        alerts
     }
 }
 
@@ -97,7 +98,7 @@
     step.expected as i64 - step.due as i64
 }
 
-fn behind(step: &Step<'_>, cause: &str) -> String {
+fn describe_late(step: &Step<'_>, cause: &str) -> String {
     let late = to_secs(step.expected - step.due);
     let Step {
         id, last, class, ..
@@ -107,7 +108,7 @@
     )
 }
 
-fn in_time(step: &Step<'_>) -> String {
+fn describe_recovered(step: &Step<'_>) -> String {
     let spare = to_secs(step.due.saturating_sub(step.expected)).max(0.0);
     format!("{} of {}: {spare:.0} s to spare", step.last, step.class)
 }
--- /dev/null
+++ b/src/alerts/poll_rate.rs
@@ -0,0 +1,54 @@
+//! The rate at which users poll their jobs, and whether it is far above the usual one.
+
+use super::conditions::Condition;
+use salttiller_records::units::{to_secs, Micros};
+
+/// So many times the usual rate are a storm.
+const STORM_FACTOR: f64 = 4.0;
+/// Fewer a second are none, whatever is usual.
+const MIN_STORM_RATE: f64 = 20.0;
+/// Weight of a sample in the moving average that is the usual rate.
+const SMOOTHING: f64 = 0.05;
+
+/// Measures the rate of polls.
+#[derive(Debug, Default)]
+pub struct PollRate {
+    /// Polls since the last sample.
+    count: u32,
+    /// The usual rate, a second; 0 before the first sample.
+    usual: f64,
+    sampled_at: Option<Micros>,
+}
+
+impl PollRate {
+    /// Counts a poll.
+    pub fn record(&mut self) {
+        self.count = self.count.saturating_add(1);
+    }
+
+    /// Samples the rate since the last sample. Returns the condition if it is a storm; the
+    /// usual rate doesn't follow a storm.
+    pub fn sample(&mut self, now: Micros) -> Option<Condition> {
+        let last = self.sampled_at.replace(now);
+        let count = std::mem::take(&mut self.count);
+        let seconds = to_secs(now.saturating_sub(last?));
+        if seconds <= 0.0 {
+            return None;
+        }
+        let rate = f64::from(count) / seconds;
+        if self.usual > 0.0 && rate > MIN_STORM_RATE && rate > self.usual * STORM_FACTOR {
+            return Some(Condition::PollStorm {
+                rate: rate as u32,
+                usual: self.usual as u32,
+            });
+        }
+        if self.usual == 0.0 {
+            self.usual = rate;
+        }
+        self.usual += (rate - self.usual) * SMOOTHING;
+        None
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/alerts/tests.rs
@@ -0,0 +1,75 @@
+//! Tests of alerts.
+
+use super::*;
+use salttiller_records::model::JobSpec;
+use salttiller_records::units::SECOND;
+
+fn monitor(margin: f64) -> AlertMonitor {
+    let o = |kind: &str, class: Option<&str>, share: f64| Objective {
+        kind: kind.into(),
+        class: class.map(Into::into),
+        threshold: Some(10 * SECOND),
+        target: share,
+    };
+    let op = OperatorSettings {
+        alert_window: 100 * SECOND,
+        alert_min_jobs: 3,
+        alert_recovery_margin: margin,
+        ..OperatorSettings::default()
+    };
+    AlertMonitor::new(
+        &[
+            o("wait", Some("x"), 0.5),
+            o("guarantee", None, 0.5),
+            o("useful", None, 0.9),
+        ],
+        &op,
+    )
+}
+
+fn spec(class: &str, submitted: Micros) -> JobSpec {
+    let (_, mut s) = crate::admission::parse_submission(
+        &rmp_serde::to_vec(
+            &serde_json::json!({"nameId":"req-1","crop":class,"crew":"t","furrow":"batch",
+            "rank":"standard","sheaves":1,"cores":1,"cards":0,"memoryGb":1,"seed":"i","sizeGb":1,
+            "samePlace":false,"spread":false,"fallow":false,"growthS":1,"stookS":0,"bindS":0}),
+        )
+        .unwrap(),
+        submitted,
+    )
+    .unwrap();
+    s.submitted_at = submitted;
+    s
+}
+
+/// One alert when an objective is breached, none while it stays so, one when it has
+/// recovered; what is older than the window no longer counts.
+#[test]
+fn alerts_come_once() {
+    let mut a = monitor(0.1);
+    let t0 = 1000 * SECOND;
+    let mut jobs: Vec<(String, JobSpec, bool)> = Vec::new();
+    let mut alerts = Vec::new();
+    for step in 0..60u64 {
+        let now = t0 + step * 5 * SECOND;
+        // For the first 100 s nothing starts, later all does at once.
+        let started = step > 20;
+        jobs.push((format!("req-{step}"), spec("x", now), started));
+        if jobs.len() > 8 {
+            jobs.remove(0);
+        }
+        let open = jobs.iter().map(|(id, s, st)| ObservedJob {
+            id,
+            spec: s,
+            guaranteed: false,
+            started: *st,
+            pipeline: None,
+        });
+        let told = a.observe_jobs(open, |_| true, |_| true, now, "no capacity");
+        alerts.extend(told.iter().map(Alert::to_string));
+    }
+    assert_eq!(alerts.len(), 2, "{alerts:?}");
+    assert!(alerts[0].contains("aim behind: x, wait within 10 s: 0% of"));
+    assert!(alerts[0].ends_with("likely cause: no capacity"));
+    assert!(alerts[1].starts_with("aim met again"));
+}
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -5,6 +5,8 @@
 use std::io;
 
 use crate::admission::{self, AdmissionError, ConcurrencyLimiter};
+use crate::alerts::poll_rate::PollRate;
+use crate::alerts::AlertMonitor;
 use crate::cloud::{CloudClient, CloudEvent};
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::leader::{self, Leader, Reports};
@@ -17,8 +19,6 @@
     Authority, CommitOutcome, CommitPriority, LeaseRole, StateStore, StateStoreEvent, Transaction,
     FRESH_FOR,
 };
-use crate::status::conditions::PollRate;
-use crate::status::{self as signals, AlertMonitor};
 use crate::worker_protocol;
 use data_loss_hold::DataLossHold;
 use owner_reachability::{Redirects, Releases, UnreachedNews};
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -13,8 +13,8 @@
 use salttiller_recovery::{Finding, Reported};
 
 use super::*;
+use crate::alerts::conditions::Condition;
 use crate::state_store::replica::Replica;
-use crate::status::conditions::Condition;
 use crate::worker_protocol::{Command, Heartbeat, ReportedState};
 
 /// Users come back after so many seconds.
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -9,7 +9,7 @@
 //! machine.
 
 use super::*;
-use crate::status::conditions::Condition;
+use crate::alerts::conditions::Condition;
 
 /// For how long a worker that turned to us counts.
 const REDIRECT_WINDOW: Micros = 12 * SECOND;
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -1,7 +1,8 @@
 //! What operators are told.
 
 use super::*;
-use crate::status::conditions::Condition;
+use crate::alerts::conditions::Condition;
+use crate::slo::ObservedJob;
 
 impl<N: Net> Controller<N> {
     /// What is wrong just now, the gravest first.
@@ -49,17 +50,15 @@
             .flat_map(|(r, _)| r.running_tasks.iter().map(|c| c.job.as_str()))
             .collect();
         let replica = &self.registry.replica;
-        let open = replica
-            .open_jobs()
-            .map(|(id, _, spec)| signals::ObservedJob {
-                id,
-                spec,
-                guaranteed: last
-                    .get(spec.team.as_str())
-                    .is_some_and(|l| (spec.submitted_at, id) <= (l.0, &l.1)),
-                started: running.contains(id.as_str()) || replica.progress.contains_key(id),
-                pipeline: replica.pipeline_end(id),
-            });
+        let open = replica.open_jobs().map(|(id, _, spec)| ObservedJob {
+            id,
+            spec,
+            guaranteed: last
+                .get(spec.team.as_str())
+                .is_some_and(|l| (spec.submitted_at, id) <= (l.0, &l.1)),
+            started: running.contains(id.as_str()) || replica.progress.contains_key(id),
+            pipeline: replica.pipeline_end(id),
+        });
         let done = |id: &str| replica.stage(id) == Some(JobStage::Done);
         let is_open = |id: &str| replica.stage(id) == Some(JobStage::Open);
         let wall = self.reactor.wall();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,6 +6,7 @@
 #![warn(missing_docs)]
 
 pub mod admission;
+pub mod alerts;
 pub mod cloud;
 pub mod controller;
 mod fault_injection;
@@ -15,6 +16,7 @@
 pub mod reactor;
 pub mod region;
 pub mod settings;
+pub mod slo;
 pub mod state_store;
 pub mod status;
 pub mod worker_protocol;
--- a/src/main.rs
+++ b/src/main.rs
@@ -170,7 +170,7 @@
     if json {
         println!("{}", serde_json::to_string(&s).unwrap_or_default());
     } else {
-        print!("{}", status::text(&s));
+        print!("{}", status::render_text(&s));
     }
     if s.objectives.iter().any(|a| a.breached) {
         ExitCode::from(3)
