--- a/src/reactor/tests.rs
+++ b/src/reactor/tests.rs
@@ -1,6 +1,10 @@
-//! Tests of the polling loop, on loopback.
+//! Tests of the event loop, on loopback.
+
+use std::io::{Read, Write};
+use std::net::TcpStream;
 
 use super::*;
+use salttiller_records::units::SECOND;
 
 const SERVED: usize = 4;
 
@@ -11,7 +15,7 @@
         max_peer_backlog_bytes: 1 << 16,
     };
     let reactor = Reactor::new(any, any, &[], &[], limits).unwrap();
-    let front = reactor.front.local_addr().unwrap();
+    let front = reactor.http_listener.local_addr().unwrap();
     (reactor, front)
 }
 
