--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -1,5 +1,6 @@
 //! A blocking HTTP client for operators' tools: one request at a time on one connection, each
-//! with a deadline of its own.
+//! with a deadline of its own. The controller doesn't use it: its calls go through its event
+//! loop.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,42 +10,42 @@
 
 use crate::http::{parse_response_within, write_request, HttpError, Response};
 
-/// The largest answer that a tool takes. A watch's answer has no limit of its own; the
+/// The largest response that a tool reads. The response to a watch has no limit of its own; the
 /// state service keeps 10,000 changes of a few KiB.
 pub const MAX_TOOL_RESPONSE: usize = 64 * 1024 * 1024;
 
 const READ_CHUNK: usize = 256 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug, Error)]
 pub enum ClientError {
     /// No connection.
     #[error("{address}: can't connect: {cause}")]
     Connect {
-        /// Whom we called.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the system.
         cause: std::io::Error,
     },
     /// The connection broke.
     #[error("{address}: connection lost: {cause}")]
     Connection {
-        /// Whom we called.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the system.
         cause: std::io::Error,
     },
-    /// No whole answer within the deadline.
+    /// No complete response within the deadline.
     #[error("{address}: no answer in time")]
     Timeout {
-        /// Whom we called.
+        /// Address of the server.
         address: SocketAddr,
     },
-    /// The answer is not HTTP as we read it.
+    /// The response is not HTTP as it is read here.
     #[error("{address}: {cause}")]
     Malformed {
-        /// Whom we called.
+        /// Address of the server.
         address: SocketAddr,
         /// What is wrong with it.
         cause: HttpError,
@@ -67,15 +68,18 @@
         }
     }
 
-    /// Sends a request and waits for its whole answer, `time` at most.
+    /// Sends a request and waits for its complete response, `timeout` at most.
+    ///
+    /// # Errors
+    /// No connection, no response in time, or a malformed one.
     pub fn call(
         &mut self,
         method: &str,
         target: &str,
         body: &[u8],
-        time: Duration,
+        timeout: Duration,
     ) -> Result<Response, ClientError> {
-        let deadline = Instant::now() + time;
+        let deadline = Instant::now() + timeout;
         let mut stream = match self.stream.take() {
             Some(stream) => stream,
             None => self.connect(deadline)?,
@@ -93,7 +97,7 @@
             .write_all(&request)
             .map_err(|cause| self.lost(cause))?;
         let response = self.read_response(&mut stream, deadline)?;
-        // A connection on which something went wrong is dropped with its late answer.
+        // A connection on which something went wrong is dropped with its late response.
         if !response.close {
             self.stream = Some(stream);
         }
@@ -101,8 +105,8 @@
     }
 
     fn connect(&self, deadline: Instant) -> Result<TcpStream, ClientError> {
-        let time = remaining(deadline).min(CONNECT_TIMEOUT);
-        let stream = TcpStream::connect_timeout(&self.address, time).map_err(|cause| {
+        let timeout = remaining(deadline).min(CONNECT_TIMEOUT);
+        let stream = TcpStream::connect_timeout(&self.address, timeout).map_err(|cause| {
             ClientError::Connect {
                 address: self.address,
                 cause,
@@ -113,10 +117,10 @@
     }
 
     fn set_timeouts(&self, stream: &TcpStream, deadline: Instant) -> Result<(), ClientError> {
-        let time = Some(remaining(deadline));
+        let timeout = Some(remaining(deadline));
         stream
-            .set_read_timeout(time)
-            .and_then(|()| stream.set_write_timeout(time))
+            .set_read_timeout(timeout)
+            .and_then(|()| stream.set_write_timeout(timeout))
             .map_err(|cause| self.lost(cause))
     }
 
@@ -145,13 +149,14 @@
             self.set_timeouts(stream, deadline)?;
             match stream.read(&mut chunk) {
                 Ok(0) => return Err(self.lost(ErrorKind::UnexpectedEof.into())),
-                Ok(n) => received.extend_from_slice(&chunk[..n]),
+                Ok(count) => received.extend_from_slice(chunk.get(..count).unwrap_or_default()),
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
                 Err(cause) => return Err(self.lost(cause)),
             }
         }
     }
 
+    /// The error for a connection that broke.
     fn lost(&self, cause: std::io::Error) -> ClientError {
         let address = self.address;
         match cause.kind() {
--- /dev/null
+++ b/crates/protocol/src/http/body.rs
@@ -0,0 +1,84 @@
+//! Bodies, by length or in chunks.
+
+use super::head::{find, Head};
+use super::HttpError;
+
+const END_OF_LINE: &[u8] = b"\r\n";
+/// The longest line of a chunk's size that is read.
+const MAX_CHUNK_LINE: usize = 64;
+/// The most digits of a chunk's size: more is beyond any limit.
+const MAX_SIZE_DIGITS: usize = 8;
+
+/// Reads the body after `head` in `bytes`; `None` while incomplete. Returns it with the number
+/// of bytes that head and body take.
+pub(super) fn parse_body(
+    bytes: &[u8],
+    head: &Head<'_>,
+    limit: usize,
+) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
+    let rest = bytes.get(head.end..).unwrap_or_default();
+    if head.chunked {
+        let parsed = parse_chunks(rest, limit)?;
+        return Ok(parsed.map(|(body, length)| (body, head.end + length)));
+    }
+    let length = head.length.unwrap_or(0);
+    if length > limit {
+        return Err(HttpError::BodyTooLong);
+    }
+    let body = rest.get(..length);
+    Ok(body.map(|body| (body.to_vec(), head.end + length)))
+}
+
+/// Decodes a chunked body; `None` while incomplete. Returns it with the number of bytes that
+/// it takes.
+fn parse_chunks(bytes: &[u8], limit: usize) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
+    let mut body = Vec::new();
+    let mut position = 0;
+    loop {
+        let rest = bytes.get(position..).unwrap_or_default();
+        let Some((size, line_length)) = parse_chunk_size(rest)? else {
+            return Ok(None);
+        };
+        if body.len() + size > limit {
+            return Err(HttpError::BodyTooLong);
+        }
+        position += line_length;
+        let end = position + size + END_OF_LINE.len();
+        let Some(chunk) = bytes.get(position..end) else {
+            return Ok(None);
+        };
+        let Some(data) = chunk.strip_suffix(END_OF_LINE) else {
+            // Trailers are not used by anyone here: only the empty one is accepted.
+            let part = if size == 0 { "trailer" } else { "chunk end" };
+            return Err(HttpError::Malformed(part));
+        };
+        position = end;
+        if size == 0 {
+            return Ok(Some((body, position)));
+        }
+        body.extend_from_slice(data);
+    }
+}
+
+/// Reads the line with a chunk's size; `None` while incomplete. Returns the size and the
+/// number of bytes that the line takes.
+fn parse_chunk_size(bytes: &[u8]) -> Result<Option<(usize, usize)>, HttpError> {
+    let malformed = HttpError::Malformed("chunk size");
+    let within_limit = bytes.get(..MAX_CHUNK_LINE).unwrap_or(bytes);
+    let Some(length) = find(within_limit, END_OF_LINE) else {
+        return if bytes.len() >= MAX_CHUNK_LINE {
+            Err(malformed)
+        } else {
+            Ok(None)
+        };
+    };
+    let line = within_limit.get(..length).unwrap_or_default();
+    let line = std::str::from_utf8(line).map_err(|_| malformed)?;
+    let digits = line.split(';').next().unwrap_or("").trim();
+    let all_digits = digits.bytes().all(|byte| byte.is_ascii_hexdigit());
+    if digits.is_empty() || digits.len() > MAX_SIZE_DIGITS || !all_digits {
+        return Err(malformed);
+    }
+    let size = usize::from_str_radix(digits, 16).map_err(|_| malformed)?;
+    Ok(Some((size, length + END_OF_LINE.len())))
+}
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,5 @@
-//! What the daemon and its tools both speak: HTTP/1.1 and the wire forms of the state service.
+//! Protocols that the controller and its tools share: HTTP/1.1 and the messages of the state
+//! service.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/protocol/src/state_service.rs
+++ b/crates/protocol/src/state_service.rs
@@ -1,4 +1,4 @@
-//! Wire forms of the state service's answers, in MessagePack.
+//! Messages of the state service in MessagePack. Its own words occur in serde's `rename` only.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -46,17 +46,17 @@
     pub version: u64,
 }
 
-/// What a watch answers.
+/// The response to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Revision of the store as the answer was made.
+    /// Revision of the store as the response was made.
     #[serde(rename = "almanac")]
     pub revision: u64,
     /// All changes after the revision asked from.
     pub events: Vec<Event>,
 }
 
-/// What a transaction answers.
+/// The response to a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
     /// Revision of the transaction, or of the store if a condition failed.
@@ -80,11 +80,15 @@
 }
 
 /// Reads a body in MessagePack.
+///
+/// # Errors
+/// Not MessagePack of the expected form.
 pub fn decode<T: for<'a> Deserialize<'a>>(body: &[u8]) -> Result<T, rmp_serde::decode::Error> {
     rmp_serde::from_slice(body)
 }
 
 /// Writes a body in MessagePack, maps keyed by text.
+#[must_use]
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     // Messages are plain maps of text and numbers: this can't fail.
     rmp_serde::to_vec_named(message).unwrap_or_default()
