--- a/crates/salttillerctl/src/archive/record.rs
+++ b/crates/salttillerctl/src/archive/record.rs
@@ -23,13 +23,13 @@
         None => platform.regions().join(","),
     };
     let archive = Archive::open_or_create(&source.archive, &deployment)?;
-    let mut pacing = pacing(&settings, platform.store_rps);
+    let mut pacing = pacing(&settings, platform.store_request_rate);
     if limits.snapshots.is_some() {
         // A snapshot was asked for: it is due now, however young the last one is.
         pacing.snapshot_interval = 0;
     }
     let session = Session {
-        state_service: platform.store,
+        state_service: platform.state_store_addr,
         archive: &archive,
         pacing,
         retention: retention(&settings),
--- a/crates/salttillerctl/src/archive_settings.rs
+++ b/crates/salttillerctl/src/archive_settings.rs
@@ -3,7 +3,7 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-use salttiller::settings::SettingsError;
+use salttiller::settings::{parse_number, FieldError, SettingsError};
 
 /// Seconds of a day.
 const DAY_S: f64 = 86_400.0;
@@ -51,9 +51,9 @@
 }
 
 fn parse_archive_settings(file: &str, text: &str) -> Result<ArchiveSettings, SettingsError> {
-    let ini = ini::Ini::load_from_str(text).map_err(|error| SettingsError::Form {
+    let ini = ini::Ini::load_from_str(text).map_err(|cause| SettingsError::Ini {
         file: file.to_owned(),
-        cause: error.to_string(),
+        cause,
     })?;
     let mut settings = ArchiveSettings::default();
     for (section, properties) in ini.iter() {
@@ -79,18 +79,10 @@
 
 impl Property<'_> {
     fn number_in(&self, range: RangeInclusive<f64>) -> Result<f64, SettingsError> {
-        match self.value.trim().parse() {
-            Ok(number) if range.contains(&number) => Ok(number),
-            _ => Err(self.refuse(format!(
-                "\"{}\" is not a number from {} to {}",
-                self.value,
-                range.start(),
-                range.end()
-            ))),
-        }
+        parse_number(self.value, *range.start(), *range.end()).map_err(|cause| self.refuse(cause))
     }
 
-    fn refuse(&self, cause: String) -> SettingsError {
+    fn refuse(&self, cause: FieldError) -> SettingsError {
         SettingsError::Field {
             file: self.file.to_owned(),
             field: self.field.clone(),
@@ -108,7 +100,7 @@
             settings.keep_snapshots = property.number_in(1.0..=1e5)? as usize;
         }
         "archive.keep_s" => settings.keep_s = property.number_in(1.0..=1e9)?,
-        _ => return Err(property.refuse("unknown key".to_owned())),
+        _ => return Err(property.refuse(FieldError::UnknownKey)),
     }
     Ok(())
 }
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -24,7 +24,7 @@
         let mut classes = settings.objectives.iter().map(|o| o.class.as_ref());
         classes.any(|named| named == Some(class))
     };
-    let precedence = settings.operator.precedence.iter();
+    let precedence = settings.operator.class_precedence.iter();
     precedence.filter(|class| !has_objective(class)).collect()
 }
 
@@ -36,14 +36,14 @@
         "regions": settings.regions(),
         "teams": settings.teams.len(),
         "grant_life_ms": settings.owner_lease_life() / MILLISECOND,
-        "precedence": settings.operator.precedence,
+        "precedence": settings.operator.class_precedence,
         "precedence_without_aim": precedence_without_objective(settings),
     });
     println!("{document}");
 }
 
 fn print_text(settings: &Settings) {
-    let precedence = &settings.operator.precedence;
+    let precedence = &settings.operator.class_precedence;
     println!(
         "{}: usable; {} regions, {} teams, lease life {:.1} s, precedence: {}",
         settings.name,
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -41,9 +41,9 @@
     if json {
         println!("{}", serde_json::to_string(&page).unwrap_or_default());
     } else {
-        print!("{}", status::text(&page));
+        print!("{}", status::render_text(&page));
     }
-    let breached = page.aims.iter().any(|objective| objective.behind);
+    let breached = page.objectives.iter().any(|objective| objective.breached);
     Ok(if breached {
         ExitCode::from(OBJECTIVE_BREACHED)
     } else {
@@ -54,7 +54,7 @@
 fn fetch(addr: SocketAddr) -> Result<Status, StatusError> {
     let answer = exchange(addr).map_err(|source| StatusError::Connection { addr, source })?;
     match answer.as_deref().and_then(peer_protocol::decode) {
-        Some(Message::Status(page)) => Ok(page),
+        Some(Message::StatusResponse(page)) => Ok(page),
         _ => Err(StatusError::NotAController { addr }),
     }
 }
@@ -65,7 +65,7 @@
     let mut stream = TcpStream::connect_timeout(&addr, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
     stream.set_write_timeout(Some(TIMEOUT))?;
-    let request = peer_protocol::encode(&Message::AskStatus);
+    let request = peer_protocol::encode(&Message::StatusRequest);
     stream.write_all(&(request.len() as u32).to_le_bytes())?;
     stream.write_all(&request)?;
     let mut length = [0u8; 4];
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -46,7 +46,7 @@
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
 use crate::cloud::CloudClient;
-use crate::reactor::{ConnId, Limits, Net, NetEvent, Reactor};
+use crate::reactor::{ConnectionId, Limits, Net, NetEvent, Reactor};
 use crate::settings::Settings;
 use crate::state_store::{LeaseRole, StateStore};
 use broadcasts::Broadcasts;
@@ -105,14 +105,20 @@
     pub fn open(settings: Settings) -> io::Result<Self> {
         let peers: Vec<_> = settings.peers.iter().map(|p| p.addr).collect();
         let limits = Limits {
-            served: max_served_connections(&settings),
-            backlog: PEER_BACKLOG_BYTES,
+            max_served_connections: max_served_connections(&settings),
+            max_peer_backlog_bytes: PEER_BACKLOG_BYTES,
         };
         let destinations = [
-            (settings.store, STATE_STORE_CONNECTIONS),
-            (settings.cloud, CLOUD_CONNECTIONS),
+            (settings.state_store_addr, STATE_STORE_CONNECTIONS),
+            (settings.cloud_addr, CLOUD_CONNECTIONS),
         ];
-        let reactor = Reactor::new(settings.front, settings.mesh, &destinations, &peers, limits)?;
+        let reactor = Reactor::new(
+            settings.http_addr,
+            settings.peer_addr,
+            &destinations,
+            &peers,
+            limits,
+        )?;
         Ok(Controller::new(settings, reactor))
     }
 
@@ -135,8 +141,8 @@
 /// How many connections of users and workers the settings leave sockets for.
 fn max_served_connections(settings: &Settings) -> usize {
     let calls = STATE_STORE_CONNECTIONS + CLOUD_CONNECTIONS;
-    let reserved = RESERVED_SOCKETS + calls + SOCKETS_PER_PEER * settings.size();
-    let left = settings.sockets.saturating_sub(reserved);
+    let reserved = RESERVED_SOCKETS + calls + SOCKETS_PER_PEER * settings.region_count();
+    let left = settings.max_sockets.saturating_sub(reserved);
     left.max(MIN_SERVED_CONNECTIONS)
 }
 
@@ -144,7 +150,7 @@
     /// A controller that communicates through `net`.
     pub fn new(settings: Settings, net: N) -> Self {
         let state_store = StateStore::new(&settings);
-        let max_submissions = settings.sockets / SOCKETS_PER_SUBMISSION;
+        let max_submissions = settings.max_sockets / SOCKETS_PER_SUBMISSION;
         Controller {
             net,
             cloud_client: CloudClient::new(&settings),
@@ -177,7 +183,7 @@
         self.cluster.state_store.request_lease(LeaseRole::Owner);
         if self.cluster.settings.operator.detect_lost_records {
             self.data_loss
-                .start_detection(self.cluster.now, self.cluster.settings.report);
+                .start_detection(self.cluster.now, self.cluster.settings.heartbeat_interval);
         }
     }
 
@@ -225,18 +231,18 @@
     }
 
     /// Answers a request.
-    fn respond(&mut self, conn: ConnId, status: u16, body: Vec<u8>) {
+    fn respond(&mut self, conn: ConnectionId, status: u16, body: Vec<u8>) {
         self.net.respond(conn, Response::new(status, body));
     }
 
     /// Refuses a request; the requester may retry after so many seconds.
-    fn refuse(&mut self, conn: ConnId, status: u16, retry_after_s: u32) {
+    fn refuse(&mut self, conn: ConnectionId, status: u16, retry_after_s: u32) {
         self.net
             .respond(conn, Response::refusal(status, retry_after_s));
     }
 
     /// Refuses a request since it can't be served just now.
-    fn refuse_unavailable(&mut self, conn: ConnId) {
+    fn refuse_unavailable(&mut self, conn: ConnectionId) {
         self.refuse(conn, http_status::UNAVAILABLE, http_status::RETRY_AFTER_S);
     }
 }
--- a/src/controller/broadcasts.rs
+++ b/src/controller/broadcasts.rs
@@ -87,10 +87,10 @@
     }
 
     fn encode_state(&self, regions: Vec<RegionReport>) -> Vec<u8> {
-        peer_protocol::encode(&Message::State {
+        peer_protocol::encode(&Message::ControllerState {
             from: self.cluster.settings.name.clone(),
-            run: self.cluster.incarnation() | UNDERSTANDS_EXTENSIONS,
-            fresh: self.cluster.is_fresh(),
+            incarnation: self.cluster.incarnation() | UNDERSTANDS_EXTENSIONS,
+            reads_recent: self.cluster.is_fresh(),
             regions,
         })
     }
@@ -103,10 +103,10 @@
         let now = self.cluster.now;
         let mut messages = Vec::new();
         for region in self.ownership.regions_mut() {
-            let kinds = region.provisioning_health(now);
-            if !kinds.is_empty() {
+            let pools = region.provisioning_health(now);
+            if !pools.is_empty() {
                 let region = region.name.clone();
-                messages.push(Message::Boots { region, kinds });
+                messages.push(Message::ProvisioningHealth { region, pools });
             }
         }
         let leader = self.cluster.recorded_leader().unwrap_or_default();
@@ -126,7 +126,7 @@
             return;
         }
         let jobs = std::mem::take(&mut self.broadcasts.cancelled_jobs);
-        let message = peer_protocol::encode(&Message::Cancelled { jobs });
+        let message = peer_protocol::encode(&Message::JobsCancelled { jobs });
         for peer in 0..self.cluster.settings.peers.len() {
             self.net.send(peer, &message);
         }
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -16,9 +16,10 @@
 use super::http_status::{METHOD_NOT_ALLOWED, NOT_FOUND, OK, UNPROCESSABLE};
 use super::pending_requests::{ClientRequest, PendingRequest, PendingRequests};
 use super::{Controller, MAX_STEP_INTERVAL};
-use crate::admission::{self, Limiter};
+use crate::admission::TaskCounts;
+use crate::admission::{self, ConcurrencyLimiter};
 use crate::peer_protocol::RegionReport;
-use crate::reactor::{ConnId, Net};
+use crate::reactor::{ConnectionId, Net};
 
 /// A question about a job is refused after this; users wait 2 s for its answer.
 const POLL_TIMEOUT: Micros = 1500 * MILLISECOND;
@@ -27,7 +28,7 @@
 
 /// Users' requests in progress.
 pub(super) struct ClientRequests {
-    limiter: Limiter,
+    limiter: ConcurrencyLimiter,
     pending: PendingRequests,
     /// Submissions and cancellations that are being committed.
     committing: usize,
@@ -37,7 +38,7 @@
     /// No requests yet; at most `max_submissions` are to be in progress at once.
     pub fn new(max_submissions: usize) -> Self {
         ClientRequests {
-            limiter: Limiter::new(max_submissions),
+            limiter: ConcurrencyLimiter::new(max_submissions),
             pending: PendingRequests::default(),
             committing: 0,
         }
@@ -45,13 +46,13 @@
 
     /// Feeds the limiter the latency of a request to the state service.
     pub fn record_latency(&mut self, latency: Micros, now: Micros) {
-        self.limiter.measured(latency, now);
+        self.limiter.record_latency(latency, now);
     }
 }
 
 impl<N: Net> Controller<N> {
     /// A request of a user or a worker.
-    pub(super) fn on_request(&mut self, conn: ConnId, request: &Request) {
+    pub(super) fn on_request(&mut self, conn: ConnectionId, request: &Request) {
         let path: Vec<&str> = request.path.split('/').skip(1).collect();
         match (request.method.as_str(), path.as_slice()) {
             ("GET", ["ready"]) => self.on_readiness_request(conn),
@@ -74,7 +75,7 @@
         }
     }
 
-    fn on_readiness_request(&mut self, conn: ConnId) {
+    fn on_readiness_request(&mut self, conn: ConnectionId) {
         if self.cluster.is_ready() {
             self.respond(conn, OK, Vec::new());
         } else {
@@ -86,7 +87,7 @@
     /// cancellations share one read of the state service, however many there are, so the limit
     /// on requests in progress is not for them: a job whose polls it refused again and again
     /// would be forgotten.
-    fn is_answerable(&mut self, conn: ConnId) -> bool {
+    fn is_answerable(&mut self, conn: ConnectionId) -> bool {
         let state_store = &self.cluster.state_store;
         let is_answerable = state_store.is_loaded() && !state_store.is_failing();
         if !is_answerable {
@@ -96,7 +97,7 @@
     }
 
     /// Has a request answered after a read that begins now or later.
-    fn answer_after_read(&mut self, conn: ConnId, request: ClientRequest, deadline: Micros) {
+    fn answer_after_read(&mut self, conn: ConnectionId, request: ClientRequest, deadline: Micros) {
         self.client_requests.pending.push(PendingRequest {
             conn,
             request,
@@ -107,7 +108,7 @@
     }
 
     /// A request about a job that may be on record.
-    fn on_job_request(&mut self, conn: ConnId, request: ClientRequest) {
+    fn on_job_request(&mut self, conn: ConnectionId, request: ClientRequest) {
         let job = request.job();
         if !is_job_id(job) {
             return self.respond(conn, NOT_FOUND, Vec::new());
@@ -135,7 +136,7 @@
     /// The body of the answer about a job in this stage.
     fn job_state_body(&self, job: &str, stage: JobStage) -> Vec<u8> {
         if stage != JobStage::Open {
-            return admission::state_body(job, stage, None);
+            return admission::encode_job_state(job, stage, None);
         }
         let reports = self.cluster.region_reports.iter();
         let running = reports.map(|(name, report)| match self.ownership.get(name) {
@@ -144,7 +145,7 @@
         });
         let running = running.sum();
         let done = self.cluster.state_store.replica.done_count(job);
-        admission::state_body(job, stage, Some((done, running)))
+        admission::encode_job_state(job, stage, Some(TaskCounts { done, running }))
     }
 
     /// Refuses the requests that have expired; returns when the next may.
--- a/src/controller/client_requests/cancellations.rs
+++ b/src/controller/client_requests/cancellations.rs
@@ -9,12 +9,17 @@
 use crate::controller::http_status::{NOT_FOUND, OK};
 use crate::controller::pending_requests::ClientRequest;
 use crate::controller::Controller;
-use crate::reactor::{ConnId, Net};
+use crate::reactor::{ConnectionId, Net};
 use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
 
 impl<N: Net> Controller<N> {
     /// Commits the cancellation of a job, unless it has come to an end.
-    pub(super) fn commit_cancellation(&mut self, conn: ConnId, job: String, deadline: Micros) {
+    pub(super) fn commit_cancellation(
+        &mut self,
+        conn: ConnectionId,
+        job: String,
+        deadline: Micros,
+    ) {
         let replica = &self.cluster.state_store.replica;
         let Some(recorded) = replica.jobs.get(&job) else {
             return self.respond(conn, NOT_FOUND, Vec::new());
@@ -42,7 +47,7 @@
     /// The commit of a cancellation ended.
     pub(in crate::controller) fn on_cancellation_committed(
         &mut self,
-        conn: ConnId,
+        conn: ConnectionId,
         job: String,
         deadline: Micros,
         outcome: &CommitOutcome,
@@ -51,7 +56,7 @@
         match outcome {
             CommitOutcome::Committed(_) => {
                 log::debug!("job={job}: cancelled");
-                let body = admission::state_body(&job, JobStage::Cancelled, None);
+                let body = admission::encode_job_state(&job, JobStage::Cancelled, None);
                 self.broadcasts.announce_cancellation(job);
                 self.respond(conn, OK, body);
             }
--- a/src/controller/client_requests/submissions.rs
+++ b/src/controller/client_requests/submissions.rs
@@ -8,19 +8,23 @@
 use salttiller_records::units::Micros;
 
 use super::CHANGE_TIMEOUT;
-use crate::admission::{self, Refusal};
+use crate::admission::{self, AdmissionError};
 use crate::controller::commits::PendingCommit;
 use crate::controller::http_status::{BAD_REQUEST, CREATED, RETRY_AFTER_S, TOO_MANY_REQUESTS};
 use crate::controller::pending_requests::ClientRequest;
 use crate::controller::Controller;
-use crate::reactor::{ConnId, Net};
+use crate::reactor::{ConnectionId, Net};
 use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
 
 impl<N: Net> Controller<N> {
     /// A submission.
-    pub(super) fn on_submission(&mut self, conn: ConnId, body: &[u8]) {
-        let Ok((job, spec)) = admission::parse_submission(body, self.net.wall()) else {
-            return self.respond(conn, BAD_REQUEST, Vec::new());
+    pub(super) fn on_submission(&mut self, conn: ConnectionId, body: &[u8]) {
+        let (job, spec) = match admission::parse_submission(body, self.net.wall()) {
+            Ok(submission) => submission,
+            Err(error) => {
+                log::debug!("submission rejected: {error}");
+                return self.respond(conn, BAD_REQUEST, Vec::new());
+            }
         };
         if self.answer_from_records_only(conn, &job) {
             return;
@@ -34,7 +38,7 @@
             return;
         }
         let replica = &self.cluster.state_store.replica;
-        if let Err(refusal) = admission::check(&spec, replica, &self.cluster.settings) {
+        if let Err(refusal) = admission::check_satisfiable(&spec, replica, &self.cluster.settings) {
             return self.refuse_submission(conn, job, &refusal);
         }
         let now = self.cluster.now;
@@ -49,13 +53,13 @@
         self.answer_after_read(conn, request, now + CHANGE_TIMEOUT);
     }
 
-    fn refuse_submission(&mut self, conn: ConnId, job: String, refusal: &Refusal) {
+    fn refuse_submission(&mut self, conn: ConnectionId, job: String, refusal: &AdmissionError) {
         match refusal {
-            Refusal::NotYet(reason) => {
+            AdmissionError::Undecided(reason) => {
                 log::info!("job={job}: submission refused for now: {reason}");
                 self.refuse_unavailable(conn);
             }
-            Refusal::Needs(_) => {
+            AdmissionError::TooManyDependencies { .. } => {
                 log::info!("job={job}: submission refused: {refusal}");
                 self.respond(conn, BAD_REQUEST, refusal.to_string().into_bytes());
             }
@@ -73,7 +77,7 @@
     /// Commits the record of a new job; the answer is sent when it is committed.
     pub(super) fn commit_submission(
         &mut self,
-        conn: ConnId,
+        conn: ConnectionId,
         job: String,
         spec: JobSpec,
         received_at: Micros,
@@ -104,7 +108,7 @@
     /// The commit of a new job ended.
     pub(in crate::controller) fn on_submission_committed(
         &mut self,
-        conn: ConnId,
+        conn: ConnectionId,
         job: String,
         received_at: Micros,
         outcome: &CommitOutcome,
@@ -116,7 +120,7 @@
                 // Cancelled at once, if one of its dependencies is.
                 let stage = self.cluster.state_store.replica.stage(&job);
                 let stage = stage.unwrap_or(JobStage::Open);
-                let body = admission::state_body(&job, stage, None);
+                let body = admission::encode_job_state(&job, stage, None);
                 self.respond(conn, CREATED, body);
             }
             CommitOutcome::Conflict(_) => {
@@ -130,7 +134,7 @@
     }
 
     /// Whether a submission is admitted; if not it is refused at once.
-    fn is_admitted(&mut self, conn: ConnId) -> bool {
+    fn is_admitted(&mut self, conn: ConnectionId) -> bool {
         if !self.is_answerable(conn) {
             return false;
         }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -7,7 +7,7 @@
 use salttiller_records::units::Micros;
 
 use super::Controller;
-use crate::reactor::{ConnId, Net};
+use crate::reactor::{ConnectionId, Net};
 use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
 
 /// What a commit of the controller's own is about.
@@ -15,13 +15,13 @@
 pub(super) enum PendingCommit {
     /// The record of a new job.
     JobSubmission {
-        conn: ConnId,
+        conn: ConnectionId,
         job: String,
         received_at: Micros,
     },
     /// The cancellation of a job.
     JobCancellation {
-        conn: ConnId,
+        conn: ConnectionId,
         job: String,
         deadline: Micros,
     },
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -25,11 +25,11 @@
 use super::commits::PendingCommit;
 use super::region_ownership::Acquisition;
 use super::{Controller, MAX_STEP_INTERVAL};
+use crate::alerts::conditions::Condition;
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::reactor::Net;
 use crate::state_store::replica::Replica;
 use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
-use crate::status::conditions::Condition;
 use kept_regions::KeptRegions;
 
 /// What clocks and answers in transit may add to a former owner's authority.
@@ -74,7 +74,7 @@
     pub fn condition(&self) -> Option<Condition> {
         let hold = self.hold.as_ref()?;
         let seen = hold.finding.to_string();
-        Some(Condition::RecordsLost { seen })
+        Some(Condition::DataLoss { seen })
     }
 }
 
@@ -169,7 +169,7 @@
             return;
         }
         let authority = add_drift(self.cluster.settings.owner_lease_life());
-        let worker_lease = add_drift(self.cluster.settings.lease);
+        let worker_lease = add_drift(self.cluster.settings.worker_lease);
         self.cluster.starts_after =
             Some(self.cluster.now + authority + worker_lease + AUTHORITY_MARGIN);
     }
--- a/src/controller/data_loss_hold/requests.rs
+++ b/src/controller/data_loss_hold/requests.rs
@@ -6,7 +6,7 @@
 use crate::controller::http_status::{OK, UNAVAILABLE};
 use crate::controller::Controller;
 use crate::fault_injection::{is_disabled, Safeguard};
-use crate::reactor::{ConnId, Net};
+use crate::reactor::{ConnectionId, Net};
 use crate::worker_protocol::{self, Command, Heartbeat, ReportedState};
 
 /// Users retry after so many seconds in a hold.
@@ -18,7 +18,7 @@
     /// Renews a worker's lease, if this controller keeps its region.
     pub(in crate::controller) fn on_heartbeat_in_hold(
         &mut self,
-        conn: ConnId,
+        conn: ConnectionId,
         heartbeat: &Heartbeat,
     ) {
         let Some(hold) = &mut self.data_loss.hold else {
@@ -44,7 +44,7 @@
             return self.refuse_unavailable(conn);
         }
         let commands = self.stops_of_cancelled_jobs(heartbeat);
-        let body = worker_protocol::answer(kept.token, &commands);
+        let body = worker_protocol::encode_commands(kept.token, &commands);
         self.respond(conn, OK, body);
     }
 
@@ -73,7 +73,7 @@
     fn stops_of_cancelled_jobs(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         let tasks = heartbeat.tasks.iter();
         tasks
-            .filter(|task| !matches!(task.stage, ReportedState::Ended(_)))
+            .filter(|task| !matches!(task.state, ReportedState::Ended(_)))
             .filter(|task| self.is_known_cancelled(&task.job))
             .take(worker_protocol::MAX_COMMANDS)
             .map(|task| Command::stop(task.job.clone(), task.task, task.attempt, 0))
@@ -96,7 +96,7 @@
     /// later answers would contradict them.
     pub(in crate::controller) fn answer_from_records_only(
         &mut self,
-        conn: ConnId,
+        conn: ConnectionId,
         job: &str,
     ) -> bool {
         let Some(detection) = &self.data_loss.detection else {
@@ -112,7 +112,7 @@
             UNPROVEN_RETRY_AFTER_S
         };
         if let Some(stage) = self.recorded_final_stage(job) {
-            let body = admission::state_body(job, stage, None);
+            let body = admission::encode_job_state(job, stage, None);
             self.respond(conn, OK, body);
         } else {
             self.refuse(conn, UNAVAILABLE, retry_after_s);
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -5,15 +5,19 @@
 
 use super::http_status::{BAD_REQUEST, MISDIRECTED, OK, RETRY_AFTER_S, UNAVAILABLE};
 use super::Controller;
-use crate::reactor::{ConnId, Net};
+use crate::reactor::{ConnectionId, Net};
 use crate::region::HeartbeatOutcome;
 use crate::worker_protocol::{self, Heartbeat};
 
 impl<N: Net> Controller<N> {
     /// A worker's heartbeat.
-    pub(super) fn on_heartbeat(&mut self, conn: ConnId, body: &[u8]) {
-        let Some(heartbeat) = worker_protocol::parse_heartbeat(body) else {
-            return self.respond(conn, BAD_REQUEST, Vec::new());
+    pub(super) fn on_heartbeat(&mut self, conn: ConnectionId, body: &[u8]) {
+        let heartbeat = match worker_protocol::parse_heartbeat(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => {
+                log::info!("heartbeat rejected: {error}");
+                return self.respond(conn, BAD_REQUEST, Vec::new());
+            }
         };
         if !self.cluster.state_store.is_loaded() {
             return self.refuse_unavailable(conn);
@@ -39,7 +43,7 @@
     }
 
     /// A machine without a record: the leader finds out what it is.
-    fn redirect_unknown_machine(&mut self, conn: ConnId) {
+    fn redirect_unknown_machine(&mut self, conn: ConnectionId) {
         let context = self.cluster.scheduling_context(self.net.wall());
         if let Some(leader) = self.leadership.leader_mut() {
             leader.on_unknown_machine(&context);
@@ -50,20 +54,20 @@
     }
 
     /// Redirects a worker to the owner of a region, if one is on record.
-    pub(super) fn redirect_to_owner(&mut self, conn: ConnId, region: &str) {
+    pub(super) fn redirect_to_owner(&mut self, conn: ConnectionId, region: &str) {
         let owner = self.cluster.recorded_owner(region).map(str::to_owned);
         self.redirect(conn, owner);
     }
 
     /// Redirects a worker to another controller, or to none that is known.
-    fn redirect(&mut self, conn: ConnId, to: Option<String>) {
+    fn redirect(&mut self, conn: ConnectionId, to: Option<String>) {
         let to = to.filter(|controller| *controller != self.cluster.settings.name);
-        let body = worker_protocol::elsewhere(to.as_deref());
+        let body = worker_protocol::encode_redirect(to.as_deref());
         self.respond(conn, MISDIRECTED, body);
     }
 
     /// Applies a heartbeat to its owned region and answers with the region's commands.
-    fn answer_heartbeat(&mut self, conn: ConnId, region: &str, heartbeat: &Heartbeat) {
+    fn answer_heartbeat(&mut self, conn: ConnectionId, region: &str, heartbeat: &Heartbeat) {
         self.cluster.now = self.net.clock();
         if !self.cluster.has_authority() {
             return self.refuse_unavailable(conn);
@@ -95,7 +99,7 @@
         let machine = &heartbeat.machine;
         match outcome {
             HeartbeatOutcome::Accepted(commands) => {
-                Response::new(OK, worker_protocol::answer(token, &commands))
+                Response::new(OK, worker_protocol::encode_commands(token, &commands))
             }
             HeartbeatOutcome::Stale => {
                 log::debug!("region={region} machine={machine}: stale heartbeat ignored");
@@ -111,7 +115,7 @@
                 Response::refusal(UNAVAILABLE, RETRY_AFTER_S)
             }
             HeartbeatOutcome::UnknownMachine => {
-                Response::new(MISDIRECTED, worker_protocol::elsewhere(None))
+                Response::new(MISDIRECTED, worker_protocol::encode_redirect(None))
             }
         }
     }
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -80,7 +80,7 @@
     pub(super) fn step_down(&mut self, reason: &str) {
         if self.leadership.leader.take().is_some() {
             log::info!("stepping down as leader: {reason}");
-            self.cloud_client.drop_rentals();
+            self.cloud_client.cancel_unsent_rentals();
         }
     }
 
@@ -203,9 +203,9 @@
     /// Sends a decision of the leader to the owner of the region that it concerns, which may be
     /// this controller.
     fn send_to_owner(&mut self, message: Message) {
-        let (Message::Move { from: region, .. }
-        | Message::Close { region, .. }
-        | Message::Go { region, .. }) = &message
+        let (Message::RebindTasks { from: region, .. }
+        | Message::CordonMachines { region, .. }
+        | Message::StartGang { region, .. }) = &message
         else {
             return;
         };
--- a/src/controller/monitoring.rs
+++ b/src/controller/monitoring.rs
@@ -9,22 +9,24 @@
 use salttiller_records::units::{Micros, SECOND};
 
 use super::Controller;
+use crate::alerts::conditions::Condition;
+use crate::alerts::poll_rate::PollRate;
+use crate::alerts::{Alert, AlertMonitor};
 use crate::peer_protocol::Status;
 use crate::quota;
 use crate::reactor::Net;
 use crate::region::Region;
 use crate::settings::Settings;
+use crate::slo::ObservedJob;
 use crate::state_store::replica::SubmissionKey;
-use crate::status::conditions::{Condition, QuestionRate};
-use crate::status::{Aims, Seen, Signal};
 
 /// Interval of evaluations.
 const EVALUATION_INTERVAL: Micros = 2 * SECOND;
 
 /// State of the evaluation.
 pub(super) struct Monitoring {
-    objectives: Aims,
-    question_rate: QuestionRate,
+    objectives: AlertMonitor,
+    question_rate: PollRate,
     next_evaluation_at: Micros,
     /// Jobs that waited for jobs without a record at the last evaluation.
     jobs_with_unknown_dependencies: usize,
@@ -34,8 +36,8 @@
     /// The objectives and thresholds of the settings, with nothing evaluated yet.
     pub fn new(settings: &Settings) -> Self {
         Monitoring {
-            objectives: Aims::new(&settings.objectives, &settings.operator),
-            question_rate: QuestionRate::default(),
+            objectives: AlertMonitor::new(&settings.objectives, &settings.operator),
+            question_rate: PollRate::default(),
             next_evaluation_at: 0,
             jobs_with_unknown_dependencies: 0,
         }
@@ -43,12 +45,12 @@
 
     /// Counts a question about a job.
     pub fn record_question(&mut self) {
-        self.question_rate.note();
+        self.question_rate.record();
     }
 
     /// Fills in the objectives' part of the status page; `wall` is the time of day.
     pub fn fill_status_page(&mut self, page: &mut Status, wall: Micros) {
-        self.objectives.fill(page, wall);
+        self.objectives.fill_status(page, wall);
     }
 }
 
@@ -91,7 +93,7 @@
         let mut signals = self.evaluate_objectives();
         let conditions = self.conditions();
         let objectives = &mut self.monitoring.objectives;
-        signals.extend(objectives.look_at_conditions(conditions, now));
+        signals.extend(objectives.observe_conditions(conditions, now));
         if self.leadership.is_leading() || self.is_held() {
             signals.iter().for_each(log_signal);
         }
@@ -99,7 +101,7 @@
     }
 
     fn likely_cause(&self) -> LikelyCause {
-        let regions = self.cluster.settings.size();
+        let regions = self.cluster.settings.region_count();
         let leader = self.leadership.leader();
         if self.is_held() {
             LikelyCause::RecordsLost
@@ -107,7 +109,7 @@
             LikelyCause::StateServiceDown
         } else if !self.cluster.region_reports.are_all_reconciled(regions) {
             LikelyCause::Takeover
-        } else if self.cloud_client.down() {
+        } else if self.cloud_client.is_unavailable() {
             LikelyCause::CloudDown
         } else if leader.is_some_and(|leader| leader.has_capacity_refusals(self.cluster.now)) {
             LikelyCause::NoCapacity
@@ -121,7 +123,7 @@
     }
 
     /// Evaluates the objectives against the open jobs; returns the signals to log.
-    fn evaluate_objectives(&mut self) -> Vec<Signal> {
+    fn evaluate_objectives(&mut self) -> Vec<Alert> {
         let cause = self.likely_cause().to_string();
         let replica = &self.cluster.state_store.replica;
         let settings = &self.cluster.settings;
@@ -135,7 +137,7 @@
             .collect();
         let reports = &self.cluster.region_reports;
         let running: BTreeSet<&str> = reports.running_tasks().map(|t| t.job.as_str()).collect();
-        let open_jobs = replica.open_jobs().map(|(id, _, spec)| Seen {
+        let open_jobs = replica.open_jobs().map(|(id, _, spec)| ObservedJob {
             id,
             spec,
             guaranteed: last_guaranteed
@@ -148,12 +150,12 @@
         let is_open = |id: &str| replica.stage(id) == Some(JobStage::Open);
         let wall = self.net.wall();
         let objectives = &mut self.monitoring.objectives;
-        objectives.look(open_jobs, is_done, is_open, wall, &cause)
+        objectives.observe_jobs(open_jobs, is_done, is_open, wall, &cause)
     }
 
     /// Conditions that operators should know of, as far as this controller sees them.
     fn conditions(&mut self) -> Vec<Condition> {
-        let question_rate = self.monitoring.question_rate.look(self.cluster.now);
+        let question_rate = self.monitoring.question_rate.sample(self.cluster.now);
         let mut found: Vec<Condition> = question_rate.into_iter().collect();
         found.extend(self.data_loss.condition());
         found.extend(self.slow_provisioning());
@@ -168,7 +170,7 @@
             return Vec::new();
         };
         let pools = leader.pools_in_trouble().into_iter();
-        let conditions = pools.map(|pool| Condition::BadBoots {
+        let conditions = pools.map(|pool| Condition::ProvisioningFailing {
             machine_type: pool.offer.machine_type,
             zone: pool.offer.zone,
             spot: pool.offer.spot,
@@ -190,7 +192,7 @@
                 return None;
             }
             let spec = record.open_spec()?;
-            Some(Condition::JobFails {
+            Some(Condition::JobFailing {
                 job: pending.job.clone(),
                 team: spec.team.clone(),
                 class: spec.class.clone(),
@@ -213,7 +215,7 @@
     }
 }
 
-fn log_signal(signal: &Signal) {
+fn log_signal(signal: &Alert) {
     let level = if signal.is_warning() {
         log::Level::Warn
     } else {
--- a/src/controller/outstanding_calls.rs
+++ b/src/controller/outstanding_calls.rs
@@ -35,7 +35,7 @@
         let (calls, next) = self.cluster.state_store.pump(now, &mut events);
         for call in calls {
             let id = self.net.call(Call {
-                dest: STATE_STORE,
+                destination: STATE_STORE,
                 method: call.method,
                 target: call.target,
                 body: call.body,
@@ -49,18 +49,18 @@
 
     /// Sends the call that the cloud's client asks for, if any; returns when it is due next.
     pub(super) fn call_cloud(&mut self) -> Micros {
-        self.cloud_client.lead(self.leadership.is_leading());
-        let (call, next) = self.cloud_client.pump(self.cluster.now);
+        self.cloud_client.set_leading(self.leadership.is_leading());
+        let (call, next) = self.cloud_client.next_call(self.cluster.now);
         if let Some(call) = call {
             let id = self.net.call(Call {
-                dest: CLOUD,
+                destination: CLOUD,
                 method: call.method,
                 target: call.target,
                 body: call.body,
                 timeout: call.timeout,
             });
             self.outstanding_calls
-                .insert(id, OutstandingCall::Cloud(call.op));
+                .insert(id, OutstandingCall::Cloud(call.call_id));
         }
         next
     }
@@ -82,7 +82,7 @@
     fn on_state_store_response(&mut self, op: u64, result: Result<Response, CallError>) {
         if matches!(result, Err(CallError::NoAnswer)) {
             // After a partition the other connections would only time out, too.
-            self.net.reset_dest(STATE_STORE);
+            self.net.close_idle_connections(STATE_STORE);
         }
         let mut events = Vec::new();
         let now = self.cluster.now;
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -12,10 +12,10 @@
 use salttiller_records::units::{Micros, SECOND};
 
 use super::Controller;
+use crate::alerts::conditions::Condition;
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::peer_protocol::{self, Message};
 use crate::reactor::Net;
-use crate::status::conditions::Condition;
 
 /// For how long a redirected worker counts.
 const REDIRECT_WINDOW: Micros = 12 * SECOND;
@@ -197,7 +197,7 @@
             .filter(|region| !self.ownership.owns(region) && self.receives_most_redirects(region))
             .map(|region| (region, redirects.count_returned(region)))
             .filter(|(_, machines)| *machines >= MIN_MACHINES)
-            .map(|(region, machines)| Condition::OwnerUnreached {
+            .map(|(region, machines)| Condition::OwnerUnreachable {
                 region: region.clone(),
                 machines,
             })
@@ -224,7 +224,7 @@
             let Some(peer) = self.cluster.peer_with_extensions(&record.owner) else {
                 continue;
             };
-            let message = Message::Unreached {
+            let message = Message::OwnerUnreachable {
                 region: region.clone(),
                 token: record.token,
                 machines: machines as u32,
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -8,7 +8,7 @@
 use super::Controller;
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::peer_protocol::{self, Message, ProvisioningHealth, RegionReport};
-use crate::reactor::{ConnId, Net};
+use crate::reactor::{ConnectionId, Net};
 use crate::region::MachinePool;
 
 /// At most one line in this time is logged about messages that can't be decoded.
@@ -34,10 +34,10 @@
 
 impl<N: Net> Controller<N> {
     /// A frame of a peer or of the operators' tools.
-    pub(super) fn on_frame(&mut self, conn: ConnId, bytes: &[u8]) {
+    pub(super) fn on_frame(&mut self, conn: ConnectionId, bytes: &[u8]) {
         match peer_protocol::decode(bytes) {
-            Some(Message::AskStatus) => {
-                let page = Message::Status(self.status_page());
+            Some(Message::StatusRequest) => {
+                let page = Message::StatusResponse(self.status_page());
                 self.net.reply(conn, &peer_protocol::encode(&page));
             }
             Some(message) => self.on_message(message),
@@ -48,26 +48,28 @@
     /// A message of a peer, or one of this controller's own to itself.
     pub(super) fn on_message(&mut self, message: Message) {
         match message {
-            Message::State {
+            Message::ControllerState {
                 from,
-                run,
-                fresh,
+                incarnation,
+                reads_recent,
                 regions,
-            } => self.on_peer_state(&from, run, fresh, regions),
-            Message::Move {
+            } => self.on_peer_state(&from, incarnation, reads_recent, regions),
+            Message::RebindTasks {
                 job,
                 from,
                 to,
                 count,
             } => self.on_rebind(&job, &from, &to, count),
-            Message::Unreached {
+            Message::OwnerUnreachable {
                 region,
                 token,
                 machines,
             } => self.on_unreachable_report(region, token, machines),
-            Message::Boots { region, kinds } => self.on_provisioning_health(region, kinds),
-            Message::Cancelled { jobs } => self.on_cancellations_announced(&jobs),
-            Message::Close {
+            Message::ProvisioningHealth { region, pools } => {
+                self.on_provisioning_health(region, pools);
+            }
+            Message::JobsCancelled { jobs } => self.on_cancellations_announced(&jobs),
+            Message::CordonMachines {
                 region,
                 machine_type,
                 zone,
@@ -77,12 +79,12 @@
                 let pool = MachinePool::new(&machine_type, &zone, spot);
                 self.on_cordon_request(&region, &pool, count);
             }
-            Message::Go {
+            Message::StartGang {
                 job,
                 attempt,
                 region,
             } => self.on_gang_start(&job, attempt, &region),
-            Message::AskStatus | Message::Status(_) => {}
+            Message::StatusRequest | Message::StatusResponse(_) => {}
         }
     }
 
--- a/src/controller/pending_requests.rs
+++ b/src/controller/pending_requests.rs
@@ -6,7 +6,7 @@
 use salttiller_records::model::JobSpec;
 use salttiller_records::units::Micros;
 
-use crate::reactor::ConnId;
+use crate::reactor::ConnectionId;
 
 /// What a user requests.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
 /// A request that waits for a read.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     pub request: ClientRequest,
     pub received_at: Micros,
     /// When it is refused.
@@ -78,7 +78,7 @@
     }
 
     /// Takes the connections of those that have expired.
-    pub fn take_expired(&mut self, now: Micros) -> Vec<ConnId> {
+    pub fn take_expired(&mut self, now: Micros) -> Vec<ConnectionId> {
         if self.next_expiry.is_none_or(|at| now < at) {
             return Vec::new();
         }
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::Controller;
-use crate::peer_protocol::{RegionReport, Status, StatusRegion};
+use crate::peer_protocol::{RegionReport, RegionStatus, Status};
 use crate::reactor::Net;
 
 /// Line of the page for pipeline steps that wait for others.
@@ -19,12 +19,12 @@
         let regions = self.cluster.settings.regions().into_iter();
         let mut page = Status {
             name: self.cluster.settings.name.clone(),
-            run: self.cluster.incarnation(),
+            incarnation: self.cluster.incarnation(),
             leader: self.cluster.recorded_leader().map(str::to_owned),
-            authority_us: authority_until.saturating_sub(self.cluster.now),
-            fresh: self.cluster.is_fresh(),
+            authority_remaining_us: authority_until.saturating_sub(self.cluster.now),
+            reads_recent: self.cluster.is_fresh(),
             regions: regions.map(|region| self.region_status(region)).collect(),
-            waiting: self.pending_work().into_iter().collect(),
+            pending_tasks: self.pending_work().into_iter().collect(),
             ..Default::default()
         };
         self.monitoring.fill_status_page(&mut page, self.net.wall());
@@ -53,17 +53,17 @@
         pending_work
     }
 
-    fn region_status(&self, region: String) -> StatusRegion {
+    fn region_status(&self, region: String) -> RegionStatus {
         let replica = &self.cluster.state_store.replica;
         let record = replica.regions.get(&region).map(|r| &r.value);
         let report = self.cluster.region_reports.get(&region);
-        StatusRegion {
+        RegionStatus {
             owner: record.map(|record| record.owner.clone()),
             token: record.map_or(0, |record| record.token),
-            settled: report.is_some_and(|report| report.reconciled),
+            reconciled: report.is_some_and(|report| report.reconciled),
             machines: self.cluster.recorded_machines(&region),
-            live: report.map_or(0, available_machines),
-            waiting: report.map_or(0, pending_tasks),
+            ready_machines: report.map_or(0, available_machines),
+            pending_tasks: report.map_or(0, pending_tasks),
             region,
         }
     }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -49,7 +49,7 @@
 mod unplaced_job;
 mod upstream_cancellations;
 
-use crate::cloud::{CloudClient, Refusals};
+use crate::cloud::{CapacityBackoff, CloudClient};
 use crate::peer_protocol::ProvisioningHealth;
 use crate::region::{ConstrainedTypes, SchedulingContext};
 use crate::state_store::CommitPriority;
@@ -85,7 +85,7 @@
     demand: DemandForecast,
     constrained_types: ConstrainedTypes,
     recent_rebindings: RecentRebindings,
-    refusals: Refusals,
+    refusals: CapacityBackoff,
     provisioning_reports: ProvisioningReports,
     provisioning_batches: ProvisioningBatches,
     unknown_machines: UnknownMachines,
@@ -108,7 +108,7 @@
             demand: DemandForecast::new(context.now),
             constrained_types,
             recent_rebindings: RecentRebindings::default(),
-            refusals: Refusals::default(),
+            refusals: CapacityBackoff::default(),
             provisioning_reports: ProvisioningReports::default(),
             provisioning_batches: ProvisioningBatches::default(),
             unknown_machines: UnknownMachines::default(),
@@ -179,7 +179,7 @@
 
     /// Whether the cloud has refused an offer lately.
     pub fn has_capacity_refusals(&self, now: Micros) -> bool {
-        self.refusals.any(now)
+        self.refusals.any_backing_off(now)
     }
 
     fn poll_cloud(&mut self, context: &SchedulingContext<'_>, cloud_client: &mut CloudClient) {
@@ -188,10 +188,10 @@
             .cloud_polling
             .poll_machine_types(any_types_known, context.now)
         {
-            cloud_client.ask_flavors();
+            cloud_client.request_machine_types();
         }
         if self.cloud_polling.poll_list(context.now) {
-            cloud_client.ask_list();
+            cloud_client.request_inventory();
         }
     }
 
@@ -202,7 +202,7 @@
         priority: CommitPriority,
         context: &SchedulingContext<'_>,
     ) {
-        let max_operations = context.settings.txn_ops;
+        let max_operations = context.settings.max_txn_ops;
         self.outbox
             .commit(changes, priority, &self.term, max_operations);
     }
--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -1,7 +1,7 @@
 //! What the leader does with the cloud's answers: machine types are put on record, rented and
 //! unknown machines are assigned to regions, refusals are remembered.
 
-use crate::cloud::{CloudEvent, Listed, Offer};
+use crate::cloud::{CloudEvent, ListedMachine, Offer};
 use crate::region::SchedulingContext;
 use crate::state_store::replica::Versioned;
 use crate::state_store::CommitPriority;
@@ -24,16 +24,23 @@
     /// Acts on an answer of the cloud.
     pub fn on_cloud_event(&mut self, event: &CloudEvent, context: &SchedulingContext<'_>) {
         match event {
-            CloudEvent::Flavors(machine_types) => self.on_machine_types(machine_types, context),
-            CloudEvent::Rented(offer, region, machines, requested) => {
+            CloudEvent::MachineTypes(machine_types) => {
+                self.on_machine_types(machine_types, context)
+            }
+            CloudEvent::Rented {
+                offer,
+                region,
+                machines,
+                requested,
+            } => {
                 self.on_rented(offer, region, machines, *requested, context);
             }
             CloudEvent::NoCapacity(offer) => {
                 log::info!("no capacity for {}", describe(offer));
-                self.refusals.refused(offer, context.now);
+                self.refusals.record_refusal(offer, context.now);
             }
-            CloudEvent::Listed(list) => self.on_list(list, context),
-            CloudEvent::Down | CloudEvent::Released(_) => {}
+            CloudEvent::Inventory(list) => self.on_list(list, context),
+            CloudEvent::Unavailable | CloudEvent::Released(_) => {}
         }
     }
 
@@ -77,15 +84,15 @@
             describe(offer)
         );
         if (machines.len() as u32) < requested {
-            self.refusals.refused(offer, context.now);
+            self.refusals.record_refusal(offer, context.now);
         } else {
-            self.refusals.filled(offer);
+            self.refusals.record_success(offer);
         }
         self.assign_machines(offer, machines, region, context);
     }
 
     /// Machines without a record are assigned like any other and used, or returned when idle.
-    fn on_list(&mut self, list: &[Listed], context: &SchedulingContext<'_>) {
+    fn on_list(&mut self, list: &[ListedMachine], context: &SchedulingContext<'_>) {
         // Records that can't be read may name them.
         if !context.replica.unreadable.is_empty() {
             return;
@@ -100,7 +107,7 @@
         }
         if !self.unknown_machines.is_empty() {
             self.cloud_polling
-                .list_no_later_than(context.now + context.settings.list_lag);
+                .list_no_later_than(context.now + context.settings.cloud_list_lag);
         }
     }
 }
--- a/src/leader/horizon.rs
+++ b/src/leader/horizon.rs
@@ -13,7 +13,7 @@
 /// shortest time that its deadline and its class's objectives leave for waiting. What can't be
 /// met any more, or is past, is no reason to hurry.
 pub(super) fn start_horizon(spec: &JobSpec, context: &SchedulingContext<'_>) -> Micros {
-    if let Some(horizon) = context.settings.operator.horizon {
+    if let Some(horizon) = context.settings.operator.scale_out_horizon {
         return horizon;
     }
     let waiting_span = start_windows(spec, context.settings)
--- a/src/leader/multi_region_gangs.rs
+++ b/src/leader/multi_region_gangs.rs
@@ -133,7 +133,7 @@
         PartStatus {
             is_ready: self.is_reserved_in(report),
             is_waiting: pending.is_some_and(|p| p.pending_tasks == range.end - range.first),
-            waiting_for: pending.map_or(0, |p| p.since_us),
+            waiting_for: pending.map_or(0, |p| p.waiting_us),
             needs_new_attempt: pending.is_some_and(|p| p.needs_new_attempt),
         }
     }
@@ -147,7 +147,7 @@
 
     /// Asks a part's owner to bind its tasks to no region.
     fn unbind_request(&self, range: &TaskRange) -> Message {
-        Message::Move {
+        Message::RebindTasks {
             job: self.id.to_owned(),
             from: range.region.clone(),
             to: String::new(),
@@ -157,7 +157,7 @@
 
     /// Tells a part's owner that all parts have capacity.
     fn start_request(&self, range: &TaskRange) -> Message {
-        Message::Go {
+        Message::StartGang {
             job: self.id.to_owned(),
             attempt: self.attempt.attempt,
             region: range.region.clone(),
--- a/src/leader/offer_selection.rs
+++ b/src/leader/offer_selection.rs
@@ -38,7 +38,7 @@
             })
             .filter(move |(offer, machine_type)| {
                 spec.permits_machine(machine_type, &offer.zone, offer.spot)
-                    && !self.refusals.closed(offer, now)
+                    && !self.refusals.is_backing_off(offer, now)
             })
     }
 
--- a/src/leader/plan.rs
+++ b/src/leader/plan.rs
@@ -61,9 +61,10 @@
             let machines = batch.machines.len() as f64;
             self.empty_machines(&batch.region, Pool::from(&batch.offer), machines, context)
         });
-        let rentals = cloud_client.renting();
-        let requested = rentals.iter().filter_map(|(offer, region, machines)| {
-            self.empty_machines(region, Pool::from(offer), f64::from(*machines), context)
+        let rentals = cloud_client.pending_rentals();
+        let requested = rentals.iter().filter_map(|rental| {
+            let machines = f64::from(rental.count);
+            self.empty_machines(&rental.region, Pool::from(&rental.offer), machines, context)
         });
         self.capacity = reported.chain(provisioning).chain(requested).collect();
     }
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -129,7 +129,7 @@
         {
             pool.overdue += reported.overdue;
             pool.arrived += reported.arrived;
-            pool.longest_overdue = pool.longest_overdue.max(reported.since_us);
+            pool.longest_overdue = pool.longest_overdue.max(reported.overdue_us);
         }
         pool
     }
--- a/src/leader/rebinding.rs
+++ b/src/leader/rebinding.rs
@@ -10,7 +10,7 @@
 use crate::peer_protocol::Message;
 use crate::region::SchedulingContext;
 use salttiller_records::model::JobSpec;
-use salttiller_records::units::{to_secs, Micros, MILLISECOND, SECOND};
+use salttiller_records::units::{to_seconds, Micros, MILLISECOND, SECOND};
 
 use super::planned_capacity::{claim_from, PlannedCapacity};
 use super::unplaced_job::UnplacedJob;
@@ -89,7 +89,7 @@
         waiting.sort_by_key(|job| job.is_quota_blocked);
         let unblocked = waiting.partition_point(|job| !job.is_quota_blocked);
         let (startable, quota_blocked) = waiting.split_at_mut(unblocked);
-        let writes_per_plan = context.settings.store_writes_least * to_secs(PLAN_INTERVAL);
+        let writes_per_plan = context.settings.min_store_write_rate * to_seconds(PLAN_INTERVAL);
         let mut budget = (writes_per_plan * REBINDING_WRITE_SHARE).ceil() as u32;
         for jobs in [startable, quota_blocked] {
             self.claim_in_own_region(jobs);
@@ -207,7 +207,7 @@
         now: Micros,
     ) {
         self.recent_rebindings.insert(&job.id, pause, now);
-        self.outbox.send(Message::Move {
+        self.outbox.send(Message::RebindTasks {
             job: job.id.clone(),
             from: job.region.clone(),
             to,
--- a/src/leader/scale_in.rs
+++ b/src/leader/scale_in.rs
@@ -130,7 +130,7 @@
 }
 
 fn drain_request(RegionPool { region, pool }: RegionPool<'_>, count: u32) -> Message {
-    Message::Close {
+    Message::CordonMachines {
         region: region.to_owned(),
         machine_type: pool.machine_type.to_owned(),
         zone: pool.zone.to_owned(),
--- a/src/leader/scale_out.rs
+++ b/src/leader/scale_out.rs
@@ -32,7 +32,7 @@
 
 impl<'a> RentalRequests<'a> {
     fn new(cloud_client: &'a mut CloudClient) -> Self {
-        let under_way = cloud_client.renting().len();
+        let under_way = cloud_client.pending_rentals().len();
         RentalRequests {
             cloud_client,
             remaining: MAX_RENTAL_REQUESTS.saturating_sub(under_way),
@@ -130,7 +130,7 @@
         context: &SchedulingContext<'_>,
         cloud_client: &mut CloudClient,
     ) {
-        if cloud_client.down() {
+        if cloud_client.is_unavailable() {
             return;
         }
         let mut requests = RentalRequests::new(cloud_client);
--- a/src/leader/unknown_machines.rs
+++ b/src/leader/unknown_machines.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::cloud::{Listed, Offer};
+use crate::cloud::{ListedMachine, Offer};
 use crate::region::SchedulingContext;
 use salttiller_records::units::{Micros, SECOND};
 
@@ -39,11 +39,11 @@
     /// exist; `provisioning` are machines whose record is being committed.
     pub(super) fn on_list(
         &mut self,
-        list: &[Listed],
+        list: &[ListedMachine],
         provisioning: &BTreeSet<&str>,
         context: &SchedulingContext<'_>,
     ) -> BTreeMap<Offer, Vec<String>> {
-        let list_lag = context.settings.list_lag;
+        let list_lag = context.settings.cloud_list_lag;
         let remembered = (LIST_DELAYS_REMEMBERED * list_lag).max(MIN_REMEMBERED);
         self.removed_at
             .retain(|_, removed_at| context.now < *removed_at + remembered);
@@ -72,7 +72,7 @@
 
     fn is_unknown(
         &self,
-        machine: &Listed,
+        machine: &ListedMachine,
         provisioning: &BTreeSet<&str>,
         context: &SchedulingContext<'_>,
     ) -> bool {
--- a/src/leader/unplaced_job.rs
+++ b/src/leader/unplaced_job.rs
@@ -64,7 +64,7 @@
             region: report.region.clone(),
             spec: spec.clone(),
             unplaced_tasks: u64::from(pending.pending_tasks),
-            waiting_for: pending.since_us,
+            waiting_for: pending.waiting_us,
             only_type: only_fitting_type(spec, context.replica),
             is_quota_blocked: is_quota_blocked(&spec.team, report),
             is_suspect,
--- a/src/region.rs
+++ b/src/region.rs
@@ -102,7 +102,7 @@
 /// The time in which each machine reports at least once: the interval, a quarter of it for
 /// jitter, and some seconds for delays.
 fn heartbeat_window(settings: &Settings) -> Micros {
-    settings.report * 5 / 4 + 4 * SECOND
+    settings.heartbeat_interval * 5 / 4 + 4 * SECOND
 }
 
 /// A region that this controller owns; see the module.
@@ -376,7 +376,7 @@
             .map(|(id, job)| PendingJob {
                 job: id.to_string(),
                 pending_tasks: job.tasks_to_schedule(now),
-                since_us: now.saturating_sub(job.tasks.pending_since()),
+                waiting_us: now.saturating_sub(job.tasks.pending_since()),
                 needs_new_attempt: job.needs_new_attempt() || job.failures.is_suspect(),
             })
             .collect()
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -102,8 +102,10 @@
         if let Some(job) = self.jobs.get_mut(id) {
             job.gang.reach_barrier(context.now);
         }
-        self.queue
-            .wake_at(context.now + context.settings.gang_wait, id.clone());
+        self.queue.wake_at(
+            context.now + context.settings.gang_start_timeout,
+            id.clone(),
+        );
     }
 
     /// Parts of gangs over several regions that are at the start barrier, with the attempt.
@@ -144,7 +146,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let timeout = context.settings.gang_wait;
+        let timeout = context.settings.gang_start_timeout;
         if !job.gang.leave_expired_barrier(context.now, timeout) {
             return;
         }
--- a/src/region/interruption.rs
+++ b/src/region/interruption.rs
@@ -39,8 +39,9 @@
                 };
                 // The stop is sent in the answer to the machine's next heartbeat, and to the
                 // other tasks of a gang with theirs.
-                let needed =
-                    job.spec.checkpoint_time + 2 * context.settings.report + CHECKPOINT_MARGIN;
+                let needed = job.spec.checkpoint_time
+                    + 2 * context.settings.heartbeat_interval
+                    + CHECKPOINT_MARGIN;
                 if can_checkpoint(&job.spec)
                     && !job.is_over
                     && interruption_at < context.now + needed
--- a/src/region/machine.rs
+++ b/src/region/machine.rs
@@ -298,12 +298,12 @@
     ) -> bool {
         let restarted = self.last_heartbeat.incarnation != 0
             && heartbeat.id.incarnation > self.last_heartbeat.incarnation;
-        if now > self.last_answered_at + 2 * settings.report + SECOND {
+        if now > self.last_answered_at + 2 * settings.heartbeat_interval + SECOND {
             self.answered_without_gap_since = now;
         }
         // Answered without a gap for the better part of a lease: one answer alone may have
         // been to a heartbeat that came late.
-        let answered = now > self.answered_without_gap_since + settings.lease * 3 / 4;
+        let answered = now > self.answered_without_gap_since + settings.worker_lease * 3 / 4;
         self.last_heartbeat = heartbeat.id;
         self.last_heartbeat_at = now;
         self.last_answered_at = now;
--- a/src/region/machine_checks.rs
+++ b/src/region/machine_checks.rs
@@ -37,28 +37,28 @@
 /// How long no heartbeat may come from a machine before it counts as silent: three and a
 /// half report intervals and some delay.
 fn silence_timeout(settings: &Settings) -> Micros {
-    settings.report * 18 / 5
+    settings.heartbeat_interval * 18 / 5
 }
 
 /// The same for an unreconciled machine: the longest report interval, one heartbeat to a
 /// controller that is gone, a second to the next, and a margin. Work that was bound before
 /// the change of ownership waits for all of these machines.
 fn unreconciled_silence_timeout(settings: &Settings) -> Micros {
-    (settings.report * 5 / 4 + 8 * SECOND).min(silence_timeout(settings))
+    (settings.heartbeat_interval * 5 / 4 + 8 * SECOND).min(silence_timeout(settings))
 }
 
 /// When a machine whose interruption time has passed counts as taken by the cloud: after a
 /// report interval and a half without a heartbeat.
 fn interrupted_silence_timeout(settings: &Settings) -> Micros {
-    settings.report * 3 / 2
+    settings.heartbeat_interval * 3 / 2
 }
 
 /// The longest time for which a worker keeps tasks after an answer, its clock's drift included.
 fn lease_time(settings: &Settings) -> Micros {
     if is_disabled(Safeguard::LeaseWait) {
-        settings.report
+        settings.heartbeat_interval
     } else {
-        add_drift(settings.lease)
+        add_drift(settings.worker_lease)
     }
 }
 
@@ -126,7 +126,9 @@
 
     /// Whether at least half of the activated machines reported lately.
     fn most_machines_report(&self, context: &SchedulingContext<'_>) -> bool {
-        let since = context.now.saturating_sub(3 * context.settings.report);
+        let since = context
+            .now
+            .saturating_sub(3 * context.settings.heartbeat_interval);
         let reported = self.inventory.count_reported_since(since);
         reported * 2 >= self.inventory.activated_count()
     }
@@ -315,7 +317,7 @@
     /// guess. Of a reserved pool no more machines wait than the largest gang takes: those
     /// beyond are needed later than a new one would be up.
     fn idle_timeout(&self, machine: &Machine, context: &SchedulingContext<'_>) -> Micros {
-        let usual = context.settings.operator.idle.unwrap_or_else(|| {
+        let usual = context.settings.operator.idle_timeout.unwrap_or_else(|| {
             // Idle time of a cheap machine costs less than the expensive ones that work would
             // go to instead: those are to leave first.
             let price_advantage = self.price_advantage(&machine.pool, context);
@@ -369,7 +371,7 @@
 /// When a machine that reports is checked if nothing else happens.
 fn next_regular_check(machine: &Machine, context: &SchedulingContext<'_>) -> Micros {
     let silent_at = machine.last_heartbeat_at + silence_timeout(context.settings);
-    let next = silent_at.max(context.now + context.settings.report);
+    let next = silent_at.max(context.now + context.settings.heartbeat_interval);
     match machine.interruption_at {
         Some(interruption_at) => next.min(interruption_at + 2 * SECOND),
         None => next,
--- a/src/region/machine_records.rs
+++ b/src/region/machine_records.rs
@@ -26,8 +26,8 @@
 
 /// Time between two commits of a region that takes its part of a share of the write rate.
 fn commit_interval(settings: &Settings, write_share: f64) -> Micros {
-    let regions = settings.size() as f64;
-    (regions / (settings.store_writes * write_share) * 1e6) as Micros
+    let regions = settings.region_count() as f64;
+    (regions / (settings.store_write_rate * write_share) * 1e6) as Micros
 }
 
 /// Machines whose records are to be changed in one way.
--- a/src/region/machine_records/transactions.rs
+++ b/src/region/machine_records/transactions.rs
@@ -20,7 +20,7 @@
 
 /// Most changes of one transaction, besides the condition of ownership.
 fn max_changes(settings: &Settings) -> usize {
-    settings.txn_ops.saturating_sub(1).max(1)
+    settings.max_txn_ops.saturating_sub(1).max(1)
 }
 
 /// Conditions and changes of a transaction, and the machines that it concerns.
--- a/src/region/objectives.rs
+++ b/src/region/objectives.rs
@@ -24,7 +24,7 @@
         .iter()
         .filter(|objective| objective.class.as_deref() == Some(spec.class.as_str()))
         .filter_map(
-            move |objective| match (objective.kind.as_str(), objective.within?) {
+            move |objective| match (objective.kind.as_str(), objective.threshold?) {
                 ("wait", within) => Some(within),
                 ("finished", within) => Some(within.saturating_sub(run_time)),
                 _ => None,
--- a/src/region/progress.rs
+++ b/src/region/progress.rs
@@ -83,8 +83,8 @@
     /// regions stay within their part of the state service's writes.
     fn progress_interval(&self, context: &SchedulingContext<'_>) -> Micros {
         let settings = context.settings;
-        let interval = (self.unrecorded_jobs.len() * settings.size()) as f64
-            / (settings.store_writes_least * STORE_WRITE_SHARE)
+        let interval = (self.unrecorded_jobs.len() * settings.region_count()) as f64
+            / (settings.min_store_write_rate * STORE_WRITE_SHARE)
             * MICROS_PER_SECOND;
         (interval as Micros).max(MIN_RELAXED_INTERVAL)
     }
@@ -102,7 +102,7 @@
         conditions.push((key.clone(), context.replica.version(&key)));
         let mut changes = vec![(key, Some(value(&ended)))];
         if let Some(chunks) = context.replica.progress.get(&**id) {
-            let max_removals = context.settings.txn_ops - 1;
+            let max_removals = context.settings.max_txn_ops - 1;
             changes.extend(chunks.keys().take(max_removals).map(|progress| {
                 let region = progress.region.clone();
                 (Key::Progress(id.to_string(), region, progress.chunk), None)
@@ -132,7 +132,7 @@
         conditions.push((job_key, job_version));
         let mut changes = Vec::new();
         let mut written = RangeSet::default();
-        let max_chunks = (context.settings.txn_ops - 1).min(MAX_CHUNKS_PER_COMMIT);
+        let max_chunks = (context.settings.max_txn_ops - 1).min(MAX_CHUNKS_PER_COMMIT);
         for chunk in chunks_of(job.tasks.unrecorded_done())
             .into_iter()
             .take(max_chunks)
--- a/src/region/queue.rs
+++ b/src/region/queue.rs
@@ -316,7 +316,7 @@
         context: &SchedulingContext<'_>,
     ) -> QueueKey {
         let spec = &job.spec;
-        let mut precedence = context.settings.operator.precedence.iter();
+        let mut precedence = context.settings.operator.class_precedence.iter();
         QueueKey {
             service,
             is_suspect: job.failures.is_suspect(),
--- a/src/region/quota_updates.rs
+++ b/src/region/quota_updates.rs
@@ -52,7 +52,7 @@
             limit,
             blocked_elsewhere: context.quota_blocked_teams.get(team).copied(),
             is_reconciled: self.reconciliation.is_complete(),
-            regions: context.settings.size() as u64,
+            regions: context.settings.region_count() as u64,
             now: context.now,
         };
         let Some(changed) = self.quotas.propose_change(team, &state) else {
--- a/src/region/reachability.rs
+++ b/src/region/reachability.rs
@@ -119,7 +119,8 @@
         let Some(machine) = self.inventory.machine(name) else {
             return;
         };
-        let recovery_time = add_drift(context.settings.lease) + context.settings.report;
+        let recovery_time =
+            add_drift(context.settings.worker_lease) + context.settings.heartbeat_interval;
         let was_unreachable = machine.is_unreachable();
         let next = machine
             .reachability
--- a/src/region/reassignment.rs
+++ b/src/region/reassignment.rs
@@ -32,12 +32,12 @@
 /// How long a task is left to its machine although another, with as many tasks or more, could
 /// start it sooner.
 fn patience(context: &SchedulingContext<'_>) -> Micros {
-    context.settings.report / 8
+    context.settings.heartbeat_interval / 8
 }
 
 /// By when a machine is expected to report again: the interval and an eighth of it for jitter.
 fn next_heartbeat_at(machine: &Machine, context: &SchedulingContext<'_>) -> Micros {
-    machine.last_heartbeat_at + context.settings.report * 9 / 8
+    machine.last_heartbeat_at + context.settings.heartbeat_interval * 9 / 8
 }
 
 impl Region {
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -75,7 +75,9 @@
         // for sure only when every lease that a former owner granted has expired.
         if !context.replica.unreadable.is_empty()
             && context.now
-                < self.reconciliation.acquired_at + add_drift(context.settings.lease) + SECOND
+                < self.reconciliation.acquired_at
+                    + add_drift(context.settings.worker_lease)
+                    + SECOND
         {
             return;
         }
--- a/src/region/task_reports.rs
+++ b/src/region/task_reports.rs
@@ -44,7 +44,7 @@
         task: &ReportedTask,
         context: &SchedulingContext<'_>,
     ) -> TaskOutcome {
-        match task.stage {
+        match task.state {
             ReportedState::Ended(reason) => self.on_reported_end(machine, task, reason, context),
             _ => self.on_reported_running(machine, task, context),
         }
@@ -91,10 +91,10 @@
     ) -> TaskOutcome {
         let assignment = self.inventory.assignment_mut(machine, &task.job, task.task);
         if let Some(assignment) = assignment.filter(|current| current.attempt == task.attempt) {
-            let state = TaskState::Reported(task.stage);
+            let state = TaskState::Reported(task.state);
             if assignment.state != state {
                 assignment.state = state;
-                if task.stage == ReportedState::Running {
+                if task.state == ReportedState::Running {
                     assignment.running_since.get_or_insert(context.now);
                 }
             }
@@ -131,7 +131,7 @@
         self.transition(
             &task.job,
             task.task,
-            TaskState::Reported(task.stage),
+            TaskState::Reported(task.state),
             Some(AssignmentTarget {
                 machine,
                 attempt: task.attempt,
--- a/src/region/tests/fixture.rs
+++ b/src/region/tests/fixture.rs
@@ -120,7 +120,7 @@
                 job: Rc::from(*job),
                 task: *task,
                 attempt: *attempt,
-                stage: ReportedState::Running,
+                state: ReportedState::Running,
             })
             .collect(),
     }
--- a/src/region/tests/job_ends.rs
+++ b/src/region/tests/job_ends.rs
@@ -53,7 +53,7 @@
             region.on_progress("req-1", &fixture.context(2 * SECOND));
         } else {
             let mut report = heartbeat("m-1", 1, 7, &[("req-1", 2, 9)]);
-            report.tasks[0].stage = ReportedState::Ended(ExitReason::Done);
+            report.tasks[0].state = ReportedState::Ended(ExitReason::Done);
             region.on_heartbeat(&report, &fixture.context(2 * SECOND));
         }
         let finished = region
--- a/src/region/tests/placement.rs
+++ b/src/region/tests/placement.rs
@@ -58,7 +58,7 @@
                 job: "req-1".into(),
                 task: 0,
                 attempt,
-                stage: ReportedState::Ended(ExitReason::Done),
+                state: ReportedState::Ended(ExitReason::Done),
             });
         }
         if let HeartbeatOutcome::Accepted(commands) = region.on_heartbeat(&report, &context) {
--- a/src/region/tests/test_cluster.rs
+++ b/src/region/tests/test_cluster.rs
@@ -32,7 +32,7 @@
             job: Rc::from(self.job.as_str()),
             task: self.task,
             attempt: self.attempt,
-            stage,
+            state: stage,
         }
     }
 }
@@ -141,7 +141,7 @@
                 job: Rc::from(job.as_str()),
                 task: *task,
                 attempt: *attempt,
-                stage: ReportedState::Ended(ExitReason::Failed),
+                state: ReportedState::Ended(ExitReason::Failed),
             })
             .collect();
         let context = self.fixture.context(now);
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -116,7 +116,7 @@
 impl StateStore {
     /// A client that knows nothing yet.
     pub fn new(settings: &Settings) -> Self {
-        let request_rate = settings.store_rps / settings.size() as f64;
+        let request_rate = settings.store_request_rate / settings.region_count() as f64;
         StateStore {
             replica: Replica::default(),
             loader: Loader::new(),
--- a/src/state_store/commits.rs
+++ b/src/state_store/commits.rs
@@ -185,18 +185,18 @@
 
 impl CommitQueue {
     pub(super) fn new(settings: &Settings) -> Self {
-        let controllers = settings.size() as f64;
+        let controllers = settings.region_count() as f64;
         // More than an even share each, since not all have much to write at once;
         // when that is too much together, each comes down to its even share.
         let share = (USABLE_RATE / controllers).max(BURST_SHARE);
-        let max_rate = settings.store_writes * share;
+        let max_rate = settings.store_write_rate * share;
         CommitQueue {
             queues: Queues::default(),
             next_ticket: 1,
             in_flight: 0,
             changes: TokenBucket::new(max_rate),
             max_rate,
-            min_total_rate: settings.store_writes_least,
+            min_total_rate: settings.min_store_write_rate,
             controllers,
             latencies: Vec::new(),
         }
--- a/src/worker_protocol/tests.rs
+++ b/src/worker_protocol/tests.rs
@@ -1,6 +1,9 @@
-//! Tests of workers.
+//! Tests of the workers' protocol.
+
+use std::rc::Rc;
 
 use super::*;
+use salttiller_records::model::JobId;
 use serde_json::json;
 
 #[test]
@@ -22,9 +25,9 @@
             Some(2_500_000)
         )
     );
-    assert_eq!(r.tasks[1].stage, ReportedState::Running);
+    assert_eq!(r.tasks[1].state, ReportedState::Running);
     assert_eq!(
-        r.tasks[2].stage,
+        r.tasks[2].state,
         ReportedState::Ended(ExitReason::Stopped { saved: true })
     );
     for (field, value) in [
@@ -39,11 +42,15 @@
         let mut bad = good.clone();
         bad[field] = value;
         assert!(
-            parse_heartbeat(&rmp_serde::to_vec(&bad).unwrap()).is_none(),
+            parse_heartbeat(&rmp_serde::to_vec(&bad).unwrap()).is_err(),
             "{field}"
         );
     }
-    assert!(parse_heartbeat(b"\xc1nonsense").is_none());
+    let mut bad = good.clone();
+    bad["sheaves"][1]["sheaf"] = json!("odd");
+    let error = parse_heartbeat(&rmp_serde::to_vec(&bad).unwrap()).unwrap_err();
+    assert!(error.to_string().contains("sheaves.1.sheaf"), "{error}");
+    assert!(parse_heartbeat(b"\xc1nonsense").is_err());
 }
 
 #[test]
@@ -53,7 +60,7 @@
         .map(|i| Command::stop(job.clone(), 99_999 - i, u64::MAX, 10_000_000))
         .collect();
     // Limits are counted in JSON, which is longer than what is sent.
-    let v: serde_json::Value = rmp_serde::from_slice(&answer(u64::MAX, &cmds)).unwrap();
+    let v: serde_json::Value = rmp_serde::from_slice(&encode_commands(u64::MAX, &cmds)).unwrap();
     assert!(v.to_string().len() < 64 * 1024);
 }
 
@@ -65,7 +72,7 @@
         job: Rc::from(job),
         task,
         attempt,
-        stage,
+        state: stage,
     };
     let stages = [
         ReportedState::Fetching,
@@ -136,10 +143,10 @@
     };
     for (name, report) in [("full", full), ("least", least), ("nulls", nulls)] {
         let bytes = &files[name];
-        assert_eq!(parse_heartbeat(bytes), Some(report), "{name}");
+        assert_eq!(parse_heartbeat(bytes).ok(), Some(report), "{name}");
         for length in 0..bytes.len() {
             assert_eq!(
-                parse_heartbeat(&bytes[..length]),
+                parse_heartbeat(&bytes[..length]).ok(),
                 None,
                 "{name} cut to {length}"
             );
@@ -148,7 +155,7 @@
     let refused = files.iter().filter(|(n, _)| n.starts_with("refused "));
     assert_eq!(refused.clone().count(), 11);
     for (name, bytes) in refused {
-        assert_eq!(parse_heartbeat(bytes), None, "{name}");
+        assert_eq!(parse_heartbeat(bytes).ok(), None, "{name}");
     }
 }
 
@@ -164,10 +171,10 @@
         Command::reap(Rc::from("req-000412"), 99_999, 1 << 40),
     ];
     let cases = [
-        ("no command", answer(7, &[])),
-        ("every command", answer(1 << 40, &commands)),
-        ("elsewhere", elsewhere(Some("t-1"))),
-        ("elsewhere unknown", elsewhere(None)),
+        ("no command", encode_commands(7, &[])),
+        ("every command", encode_commands(1 << 40, &commands)),
+        ("elsewhere", encode_redirect(Some("t-1"))),
+        ("elsewhere unknown", encode_redirect(None)),
     ];
     assert_eq!(files.len(), cases.len());
     for (name, written) in cases {
