--- a/crates/records/src/history.rs
+++ b/crates/records/src/history.rs
@@ -1,11 +1,12 @@
-//! Recognising a history of the state service by its last changes.
+//! Identifying a history of the state service by its last changes.
 
 use serde::{Deserialize, Serialize};
 
-/// Changes that are kept to recognise a history by.
+/// Number of changes that are kept to identify a history; more if the last revision of them
+/// is only whole with more.
 pub const RECOGNISED_CHANGES: usize = 32;
 
-/// A change, short: enough to tell whether another history has the same one.
+/// A short form of a change: enough to tell whether another history has the same one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint {
     /// Revision of the change.
@@ -28,14 +29,17 @@
     }
 }
 
-/// The last [`RECOGNISED_CHANGES`] of changes in the order of their revisions. A revision is
-/// kept whole, since a comparison asks for whole revisions.
+/// The last [`RECOGNISED_CHANGES`] of `changes`, which are in the order of their revisions.
+/// A revision is kept whole, since a comparison asks for whole revisions.
+#[must_use]
 pub fn last_whole_revisions(mut changes: Vec<Fingerprint>) -> Vec<Fingerprint> {
     let Some(first) = changes.len().checked_sub(RECOGNISED_CHANGES) else {
         return changes;
     };
-    let oldest = changes[first].version;
-    let start = changes.partition_point(|c| c.version < oldest);
+    let Some(oldest) = changes.get(first).map(|change| change.version) else {
+        return changes;
+    };
+    let start = changes.partition_point(|change| change.version < oldest);
     changes.drain(..start);
     changes
 }
--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -1,7 +1,7 @@
-//! What salttiller keeps in the state service, below the daemon and every tool: keys, records,
-//! the model of a job, and the units that all of them count in.
+//! What salttiller stores in the state service: keys and records, the spec of a job, and the
+//! units of times and amounts. The controller and all tools build on it; it does no I/O.
 //!
-//! The forms of keys and records are published: other versions of the daemon read and write
+//! The forms of keys and records are published: controllers of other versions read and write
 //! the same store side by side.
 
 #![deny(unsafe_code)]
--- a/crates/records/src/model/job_spec.rs
+++ b/crates/records/src/model/job_spec.rs
@@ -23,7 +23,7 @@
     Service,
 }
 
-/// Priority; the order is that of importance, least first.
+/// Priority, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
     /// Lowest.
@@ -40,11 +40,13 @@
     Production,
 }
 
-fn is_false(b: &bool) -> bool {
-    !*b
+// Serde calls these with references.
+fn is_false(value: &bool) -> bool {
+    !*value
 }
-fn is_zero(n: &u64) -> bool {
-    *n == 0
+
+fn is_zero(value: &u64) -> bool {
+    *value == 0
 }
 
 /// A job as submitted, in whole units. The serde names are short since the size of records
@@ -125,6 +127,7 @@
 
 impl JobSpec {
     /// Processors and accelerators of one task.
+    #[must_use]
     pub fn quota_per_task(&self) -> QuotaAmount {
         QuotaAmount {
             cpus: self.cpus,
@@ -133,16 +136,19 @@
     }
 
     /// Whether a task may run on a machine of this type in this zone, spot or on-demand.
+    #[must_use]
     pub fn permits_machine(&self, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
         self.fits_machine_type(machine_type) && self.allows_zone_and_spot(zone, spot)
     }
 
     /// Whether an empty machine of this type could hold a task.
+    #[must_use]
     pub fn fits_machine_type(&self, machine_type: &MachineType) -> bool {
         self.allows_machine_type(&machine_type.name) && self.task_fits_in(machine_type.resources())
     }
 
     /// What one task needs of a machine.
+    #[must_use]
     pub fn resources_per_task(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -152,11 +158,13 @@
     }
 
     /// Whether one task fits into this free capacity.
+    #[must_use]
     pub fn task_fits_in(&self, free: Resources) -> bool {
         self.resources_per_task().fits_in(free)
     }
 
     /// How many tasks an empty machine of this type holds.
+    #[must_use]
     pub fn tasks_per_machine(&self, machine_type: &MachineType) -> u64 {
         if !self.fits_machine_type(machine_type) {
             return 0;
@@ -165,6 +173,7 @@
     }
 
     /// How many tasks fit into this free capacity, at most all of them.
+    #[must_use]
     pub fn tasks_fitting_in(&self, free: Resources) -> u64 {
         let fitting = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
         fitting(free.cpus, self.cpus)
@@ -175,6 +184,7 @@
 
     /// Whether tasks may run on machines of this type in this zone, spot or on-demand,
     /// whatever their size.
+    #[must_use]
     pub fn permits_placement(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         self.allows_zone_and_spot(zone, spot) && self.allows_machine_type(machine_type)
     }
--- a/crates/records/src/model/machine_type.rs
+++ b/crates/records/src/model/machine_type.rs
@@ -33,6 +33,7 @@
 
 impl MachineType {
     /// What an empty machine of this type offers.
+    #[must_use]
     pub fn resources(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -42,6 +43,7 @@
     }
 
     /// Price of a machine an hour, on-demand or spot, in millionths.
+    #[must_use]
     pub fn price_of(&self, spot: bool) -> u64 {
         if spot {
             self.spot_price
@@ -51,6 +53,7 @@
     }
 
     /// Price of one of its processors an hour: price by amount of processors.
+    #[must_use]
     pub fn price_per_cpu(&self, spot: bool) -> f64 {
         self.price_of(spot) as f64 / self.cpus.max(1) as f64
     }
--- a/crates/records/src/model/tests.rs
+++ b/crates/records/src/model/tests.rs
@@ -1,19 +1,19 @@
-//! Tests of model.
+//! Tests of names and range sets.
 
 use super::*;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
 #[test]
-fn names() {
-    for (s, ok) in [
+fn names_of_jobs_and_tasks() {
+    for (name, is_id) in [
         ("req-000412", true),
         ("req-", false),
         ("req-12a", false),
         ("job-1", false),
         ("req-123456789012345678901", false),
     ] {
-        assert_eq!(is_job_id(s), ok, "{s}");
+        assert_eq!(is_job_id(name), is_id, "{name}");
     }
     assert_eq!(parse_task("req-000412/3"), Some(("req-000412", 3)));
     for bad in [
@@ -29,28 +29,28 @@
 }
 
 proptest! {
-    /// Ranges behave as the plain set they stand for.
+    /// Ranges behave as a plain set of the same numbers.
     #[test]
     fn ranges_are_sets(ops in proptest::collection::vec((any::<bool>(), 0u32..40, 0u32..12), 0..40)) {
-        let mut r = RangeSet::default();
-        let mut s = BTreeSet::new();
+        let mut set = RangeSet::default();
+        let mut expected = BTreeSet::new();
         for (add, at, n) in ops {
             if add {
-                r.insert_range(at, at + n);
-                s.extend(at..at + n);
+                set.insert_range(at, at + n);
+                expected.extend(at..at + n);
             } else {
-                r.remove_range(at, at + n);
-                s.retain(|x| !(at..at + n).contains(x));
+                set.remove_range(at, at + n);
+                expected.retain(|x| !(at..at + n).contains(x));
             }
-            prop_assert_eq!(r.len() as usize, s.len());
-            prop_assert_eq!(r.iter().collect::<Vec<_>>(), s.iter().copied().collect::<Vec<_>>());
+            prop_assert_eq!(set.len() as usize, expected.len());
+            prop_assert_eq!(set.iter().collect::<Vec<_>>(), expected.iter().copied().collect::<Vec<_>>());
             let mut prev: Option<u32> = None;
-            for (a, b) in r.ranges() {
+            for (a, b) in set.ranges() {
                 prop_assert!(a < b && prev.is_none_or(|p| p < a));
                 prev = Some(b);
             }
         }
-        prop_assert_eq!(r.last_n(3).iter().collect::<Vec<_>>(),
-            s.iter().rev().take(3).rev().copied().collect::<Vec<_>>());
+        prop_assert_eq!(set.last_n(3).iter().collect::<Vec<_>>(),
+            expected.iter().rev().take(3).rev().copied().collect::<Vec<_>>());
     }
 }
--- a/crates/records/src/record.rs
+++ b/crates/records/src/record.rs
@@ -20,6 +20,7 @@
 pub use quota::QuotaRecord;
 
 /// A record as a value for the state service.
+#[must_use]
 pub fn value<T: Serialize>(record: &T) -> Value {
     // Our records are plain maps of text and numbers: this can't fail.
     serde_json::to_value(record).unwrap_or(Value::Null)
--- a/crates/records/src/record/job.rs
+++ b/crates/records/src/record/job.rs
@@ -35,6 +35,7 @@
 
 impl TaskRange {
     /// The tasks from `first` up to, not including, `end`, bound to a region.
+    #[must_use]
     pub fn new(first: u32, end: u32, region: impl Into<String>) -> Self {
         TaskRange {
             first,
@@ -44,6 +45,7 @@
     }
 
     /// Whether these tasks are bound to no region.
+    #[must_use]
     pub fn is_unbound(&self) -> bool {
         self.region.is_empty()
     }
@@ -129,6 +131,7 @@
 
 impl JobRecord {
     /// The record of the job once it is cancelled: bound to no region, the spec kept.
+    #[must_use]
     pub fn cancelled(&self) -> Self {
         JobRecord {
             stage: JobStage::Cancelled,
@@ -140,6 +143,7 @@
     }
 
     /// The tasks bound to a region.
+    #[must_use]
     pub fn tasks_of(&self, region: &str) -> RangeSet {
         let mut tasks = RangeSet::default();
         for range in self
@@ -153,6 +157,7 @@
     }
 
     /// The spec of a job that is not over.
+    #[must_use]
     pub fn open_spec(&self) -> Option<&Rc<JobSpec>> {
         if self.stage == JobStage::Open {
             self.spec.as_ref()
--- a/crates/records/src/record/ownership.rs
+++ b/crates/records/src/record/ownership.rs
@@ -24,5 +24,5 @@
     /// [`DataLossHoldRecord`](super::DataLossHoldRecord). Versions before 0.6 know no such
     /// field.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
-    pub held: Option<u64>,
+    pub data_loss_incident: Option<u64>,
 }
--- a/crates/records/src/tests.rs
+++ b/crates/records/src/tests.rs
@@ -299,7 +299,7 @@
         owner: "t-0".into(),
         run: 7,
         token: 9,
-        held,
+        data_loss_incident: held,
     };
     keeps(&region(None), r#"{"owner":"t-0","run":7,"token":9}"#);
     keeps(
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -116,7 +116,7 @@
         let regions = &self.registry.replica.regions;
         self.settings.regions().iter().all(|name| {
             let record = regions.get(name).map(|r| &r.value);
-            record.is_some_and(|r| r.owner == *name && r.held == Some(incident))
+            record.is_some_and(|r| r.owner == *name && r.data_loss_incident == Some(incident))
         })
     }
 
@@ -130,7 +130,13 @@
         if self.detection.is_none() || !self.registry.is_loaded() {
             return;
         }
-        let Some(record) = self.registry.replica.hold.as_ref().map(|v| &v.value) else {
+        let Some(record) = self
+            .registry
+            .replica
+            .data_loss_hold
+            .as_ref()
+            .map(|v| &v.value)
+        else {
             return;
         };
         let (incident, accepted) = (record.incident, record.accepted.is_some());
@@ -199,7 +205,7 @@
         }
         self.put_hold_on_record();
         self.drop_lost_regions();
-        let on_record = self.registry.replica.hold.as_ref();
+        let on_record = self.registry.replica.data_loss_hold.as_ref();
         if on_record.is_none_or(|r| r.value.accepted.is_some()) {
             return until;
         }
@@ -212,7 +218,7 @@
     fn put_hold_on_record(&mut self) {
         let replica = &self.registry.replica;
         let Some(held) = &mut self.held else { return };
-        let standing = replica.hold.as_ref();
+        let standing = replica.data_loss_hold.as_ref();
         let claim = held.record_claim;
         let is_pending = claim.is_some_and(|c| c.is_pending(replica.revision));
         if is_pending || standing.is_some_and(|r| r.value.accepted.is_none()) {
@@ -434,7 +440,7 @@
 
     /// Whether operators decided a short while ago to go on without what was lost.
     fn has_leftovers(&self) -> bool {
-        let hold = self.registry.replica.hold.as_ref();
+        let hold = self.registry.replica.data_loss_hold.as_ref();
         let accepted = hold.and_then(|h| h.value.accepted.as_ref());
         accepted.is_some_and(|a| self.reactor.wall() < a.at + LEFTOVERS)
     }
--- a/src/controller/regions.rs
+++ b/src/controller/regions.rs
@@ -105,7 +105,7 @@
             owner: self.settings.name.clone(),
             run: self.run,
             token,
-            held,
+            data_loss_incident: held,
         };
         Transaction {
             conditions: vec![
--- a/src/leader/binding.rs
+++ b/src/leader/binding.rs
@@ -25,12 +25,12 @@
     /// Binds every job that is not bound yet.
     pub fn bind(&mut self, context: &SchedulingContext<'_>) {
         self.write_cancelled_upstream(context);
-        if context.replica.unbound.is_empty() {
+        if context.replica.unbound_jobs.is_empty() {
             return;
         }
         let mut unbound: Vec<_> = context
             .replica
-            .unbound
+            .unbound_jobs
             .iter()
             .filter(|id| !self.writing.contains(&Key::Job((*id).clone())))
             .filter_map(|id| {
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -26,6 +26,7 @@
 mod long_poll;
 pub mod pipelines;
 mod rate_limiter;
+mod read_pacing;
 pub mod replica;
 mod transaction;
 mod versioned;
--- a/src/state_store/barrier.rs
+++ b/src/state_store/barrier.rs
@@ -6,6 +6,7 @@
 
 use super::calls::{Calls, Operation, WakeTime};
 use super::changes::Watch;
+use super::read_pacing::ReadPacing;
 
 /// How long after a complete read the next is sent without being asked for: keeps authority
 /// and readiness up.
@@ -18,59 +19,55 @@
 /// The barrier: at most one is outstanding.
 #[derive(Debug)]
 pub(super) struct ReadBarrier {
-    outstanding: bool,
-    /// When the next may be sent.
-    next_at: Micros,
-    /// Least time from one to the next.
-    interval: Micros,
+    pacing: ReadPacing,
     requested: bool,
 }
 
 impl ReadBarrier {
-    pub(super) fn new(interval: Micros) -> Self {
+    /// Barriers of which one is sent `interval` after another at the earliest.
+    pub fn new(interval: Micros) -> Self {
         ReadBarrier {
-            outstanding: false,
-            next_at: 0,
-            interval,
+            pacing: ReadPacing::new(interval),
             requested: false,
         }
     }
 
     /// Asks for a barrier that begins after now.
-    pub(super) fn request(&mut self) {
+    pub fn request(&mut self) {
         self.requested = true;
     }
 
     /// Whether a barrier is to be sent now; `read_at` is the send time of the last complete
     /// read. If not, and none is outstanding, `wake` is brought forward to when one is.
     #[must_use]
-    pub(super) fn is_due(
+    pub fn is_due(
         &self,
         read_at: Option<Micros>,
         now: Micros,
         calls: &Calls,
         wake: &mut WakeTime,
     ) -> bool {
-        if self.outstanding {
+        if self.pacing.is_outstanding() {
             return false;
         }
-        let due = if self.requested {
-            self.next_at
+        let next_at = self.pacing.next_at();
+        let due_at = if self.requested {
+            next_at
         } else {
-            (read_at.unwrap_or(0) + SYNC_INTERVAL).max(self.next_at)
+            next_at.max(read_at.unwrap_or(0) + SYNC_INTERVAL)
         };
-        if now >= due && calls.allow_another() {
+        if now >= due_at && calls.allow_another() {
             return true;
         }
-        wake.no_later_than(due.max(now + calls.time_until_allowed()));
+        wake.no_later_than(due_at.max(now + calls.time_until_allowed()));
         false
     }
 
     /// Sends a barrier.
-    pub(super) fn send(&mut self, watch: Watch, now: Micros, calls: &mut Calls) {
-        self.outstanding = true;
+    pub fn send(&mut self, watch: Watch, now: Micros, calls: &mut Calls) {
         self.requested = false;
-        self.next_at = now + self.interval;
+        self.pacing.sent();
+        self.pacing.start_interval(now);
         let target = format!("/follow?under={PREFIX}&from={}&waitMs=0", watch.from);
         let operation = Operation::Barrier {
             sent_at: now,
@@ -80,19 +77,18 @@
     }
 
     /// The outstanding barrier was answered.
-    pub(super) fn answered(&mut self) {
-        self.outstanding = false;
+    pub fn answered(&mut self) {
+        self.pacing.ended();
     }
 
     /// The outstanding barrier failed.
-    pub(super) fn failed(&mut self, now: Micros) {
-        self.outstanding = false;
-        self.next_at = now + RETRY;
+    pub fn failed(&mut self, now: Micros) {
+        self.pacing.ended();
+        self.pacing.set_next_at(now + RETRY);
     }
 
     /// Ignores the outstanding barrier; the next may be sent at once.
-    pub(super) fn reset(&mut self, now: Micros) {
-        self.outstanding = false;
-        self.next_at = now;
+    pub fn reset(&mut self, now: Micros) {
+        self.pacing.reset(now);
     }
 }
--- a/src/state_store/changes.rs
+++ b/src/state_store/changes.rs
@@ -17,9 +17,9 @@
 #[derive(Debug)]
 pub(super) struct Watch {
     /// Changes after this revision.
-    pub(super) from: u64,
+    pub from: u64,
     /// The changes that the answer must show, if the history is to be verified.
-    pub(super) verified: Option<RecentChanges>,
+    pub verified: Option<RecentChanges>,
 }
 
 /// Why an answer brought no changes.
--- a/src/state_store/commits.rs
+++ b/src/state_store/commits.rs
@@ -184,7 +184,7 @@
 }
 
 impl CommitQueue {
-    pub(super) fn new(settings: &Settings) -> Self {
+    pub fn new(settings: &Settings) -> Self {
         let controllers = settings.size() as f64;
         // More than an even share each, since not all have much to write at once;
         // when that is too much together, each comes down to its even share.
@@ -202,12 +202,12 @@
         }
     }
 
-    pub(super) fn refill(&mut self, now: Micros) {
+    pub fn refill(&mut self, now: Micros) {
         self.changes.refill(now);
     }
 
     /// Sends what may be sent, and ends what is past its deadline.
-    pub(super) fn pump(
+    pub fn pump(
         &mut self,
         now: Micros,
         calls: &mut Calls,
@@ -305,7 +305,7 @@
     }
 
     /// Ends all commits that wait to be sent as refused.
-    pub(super) fn refuse_all(&mut self, events: &mut Vec<StateStoreEvent>) {
+    pub fn refuse_all(&mut self, events: &mut Vec<StateStoreEvent>) {
         for priority in CommitPriority::ALL {
             for commit in std::mem::take(self.queues.queue(priority)) {
                 let outcome = CommitOutcome::Refused;
--- a/src/state_store/commits/tests.rs
+++ b/src/state_store/commits/tests.rs
@@ -6,7 +6,7 @@
 /// However often all controllers are refused, together they stay below the limit, and the
 /// leader keeps the greater part of it.
 #[test]
-fn the_least_rates_fit_under_the_limit() {
+fn minimum_rates_fit_under_the_limit() {
     for (limit, controllers) in [(18.0, 5.0), (25.0, 5.0), (50.0, 3.0), (10.0, 1.0)] {
         let leader = min_write_rate(limit, controllers, true);
         let other = min_write_rate(limit, controllers, false);
@@ -19,7 +19,7 @@
 /// A refusal for the rate brings a controller down to its least share and no further; the
 /// leader's is the greater.
 #[test]
-fn refusals_lower_the_rate_to_its_least() {
+fn refusals_lower_the_rate_to_its_minimum() {
     let settings = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
     let rate_after = |leads: bool| {
         let mut store = StateStore::new(&settings);
--- a/src/state_store/history/tests.rs
+++ b/src/state_store/history/tests.rs
@@ -9,7 +9,7 @@
 /// A full read that lacks a job is a finding, but not one whose record came after its first
 /// page; nor is an answer that was under way and is newer than that page.
 #[test]
-fn a_full_read_is_held_against_what_was_known_before_it() {
+fn a_full_read_is_compared_with_what_was_known_before_it() {
     let mut settings = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
     settings.operator.detect_lost_records = true;
     // Job's version, revision known before the read, revision of its first page: a finding?
--- a/src/state_store/loader.rs
+++ b/src/state_store/loader.rs
@@ -20,11 +20,11 @@
 /// A read of all pages that is complete.
 pub(super) struct CompleteRead {
     /// The records as read.
-    pub(super) replica: Replica,
+    pub replica: Replica,
     /// Send time of the first page.
-    pub(super) sent_at: Micros,
+    pub sent_at: Micros,
     /// The revision that was known before the first page was asked for.
-    pub(super) known_revision: u64,
+    pub known_revision: u64,
 }
 
 /// A read of which pages are missing.
@@ -53,7 +53,7 @@
 
 impl Loader {
     /// A loader that reads all records at the first pump.
-    pub(super) fn new() -> Self {
+    pub fn new() -> Self {
         Loader {
             state: LoadState::Needed { not_before: 0 },
         }
@@ -61,23 +61,23 @@
 
     /// A loader that is done.
     #[cfg(test)]
-    pub(super) fn done() -> Self {
+    pub fn done() -> Self {
         Loader {
             state: LoadState::Done,
         }
     }
 
-    pub(super) fn is_done(&self) -> bool {
+    pub fn is_done(&self) -> bool {
         matches!(self.state, LoadState::Done)
     }
 
     /// Reads all records again, not before this time.
-    pub(super) fn restart(&mut self, not_before: Micros) {
+    pub fn restart(&mut self, not_before: Micros) {
         self.state = LoadState::Needed { not_before };
     }
 
     /// Asks for the next page if none is outstanding.
-    pub(super) fn pump(
+    pub fn pump(
         &mut self,
         known_revision: u64,
         now: Micros,
@@ -99,7 +99,7 @@
     /// Adds a page to the read; `None` if the page couldn't be had. Returns the read when
     /// it is complete.
     #[must_use]
-    pub(super) fn on_page(&mut self, page: Option<Page>, now: Micros) -> Option<CompleteRead> {
+    pub fn on_page(&mut self, page: Option<Page>, now: Micros) -> Option<CompleteRead> {
         let LoadState::Reading(read) = &mut self.state else {
             return None;
         };
--- a/src/state_store/long_poll.rs
+++ b/src/state_store/long_poll.rs
@@ -4,6 +4,7 @@
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
 use super::calls::{Calls, Operation, WakeTime};
+use super::read_pacing::ReadPacing;
 
 /// How long the state service holds a poll back while nothing changes.
 const POLL_WAIT: Micros = 5 * SECOND;
@@ -15,38 +16,28 @@
 /// The long poll: at most one is outstanding.
 #[derive(Debug)]
 pub(super) struct LongPoll {
-    outstanding: bool,
-    /// When the next may be sent.
-    next_at: Micros,
-    /// Least time from the end of a poll to the next.
-    interval: Micros,
+    pacing: ReadPacing,
 }
 
 impl LongPoll {
-    pub(super) fn new(interval: Micros) -> Self {
+    /// Polls of which one begins `interval` after the end of another at the earliest.
+    pub fn new(interval: Micros) -> Self {
         LongPoll {
-            outstanding: false,
-            next_at: 0,
-            interval,
+            pacing: ReadPacing::new(interval),
         }
     }
 
     /// Asks for the changes after `revision` if no poll is outstanding.
-    pub(super) fn pump(
-        &mut self,
-        revision: u64,
-        now: Micros,
-        calls: &mut Calls,
-        wake: &mut WakeTime,
-    ) {
-        if self.outstanding {
+    pub fn pump(&mut self, revision: u64, now: Micros, calls: &mut Calls, wake: &mut WakeTime) {
+        if self.pacing.is_outstanding() {
             return;
         }
-        if now < self.next_at || !calls.allow_another() {
-            wake.no_later_than(self.next_at.max(now + calls.time_until_allowed()));
+        let next_at = self.pacing.next_at();
+        if now < next_at || !calls.allow_another() {
+            wake.no_later_than(next_at.max(now + calls.time_until_allowed()));
             return;
         }
-        self.outstanding = true;
+        self.pacing.sent();
         let wait_ms = POLL_WAIT / MILLISECOND;
         calls.get(
             Operation::LongPoll { from: revision },
@@ -56,20 +47,19 @@
     }
 
     /// The outstanding poll was answered.
-    pub(super) fn answered(&mut self, now: Micros) {
-        self.outstanding = false;
-        self.next_at = now + self.interval;
+    pub fn answered(&mut self, now: Micros) {
+        self.pacing.ended();
+        self.pacing.start_interval(now);
     }
 
     /// The outstanding poll brought no changes that could be used.
-    pub(super) fn failed(&mut self, now: Micros) {
-        self.outstanding = false;
-        self.next_at = now + RETRY;
+    pub fn failed(&mut self, now: Micros) {
+        self.pacing.ended();
+        self.pacing.set_next_at(now + RETRY);
     }
 
     /// Ignores the outstanding poll; the next may be sent at once.
-    pub(super) fn reset(&mut self, now: Micros) {
-        self.outstanding = false;
-        self.next_at = now;
+    pub fn reset(&mut self, now: Micros) {
+        self.pacing.reset(now);
     }
 }
--- a/src/state_store/pipelines/tests.rs
+++ b/src/state_store/pipelines/tests.rs
@@ -10,16 +10,16 @@
 /// A replica, written to as the state service's events would.
 #[derive(Default)]
 struct Records {
-    r: Replica,
-    rev: u64,
+    replica: Replica,
+    revision: u64,
 }
 
 impl Records {
     fn put(&mut self, id: &str, v: Value) {
-        self.rev += 1;
-        self.r
-            .apply_event(&format!("st/job/{id}"), Some(v), self.rev);
-        self.r.complete_up_to(self.rev);
+        self.revision += 1;
+        self.replica
+            .apply_event(&format!("st/job/{id}"), Some(v), self.revision);
+        self.replica.complete_up_to(self.revision);
     }
 
     fn open(&mut self, id: &str, needs: &[&str], more: Value) {
@@ -40,13 +40,13 @@
     }
 
     /// One letter a job: waits, ready (to be bound), cancelled, done, unknown.
-    fn stand(&self, ids: &[&str]) -> String {
-        let one = |id: &&str| match self.r.stage(id) {
+    fn states(&self, ids: &[&str]) -> String {
+        let one = |id: &&str| match self.replica.stage(id) {
             None => '-',
             Some(JobStage::Done) => 'd',
             Some(JobStage::Cancelled) => 'c',
-            Some(JobStage::Open) if self.r.pipelines.waiting().contains(*id) => 'w',
-            Some(JobStage::Open) if self.r.unbound.contains(*id) => 'r',
+            Some(JobStage::Open) if self.replica.pipelines.waiting().contains(*id) => 'w',
+            Some(JobStage::Open) if self.replica.unbound_jobs.contains(*id) => 'r',
             Some(JobStage::Open) => '?',
         };
         ids.iter().map(one).collect()
@@ -55,7 +55,7 @@
 
 /// Whatever the order in which the records are read, all controllers find the same.
 #[test]
-fn gates() {
+fn dependents_wait_are_ready_or_cancelled() {
     // What happens, by job; then how jobs 1 to 5 stand. 2 and 3 need 1, 4 both, 5 four.
     let cases: [(&[(&str, &str)], &str); 7] = [
         (&[], "rwwww"),
@@ -73,20 +73,20 @@
         ("4", &["2", "3"]),
         ("5", &["4"]),
     ];
-    for (events, stand) in cases {
+    for (events, states) in cases {
         for backwards in [false, true] {
             for events_first in [false, true] {
-                let mut f = Records::default();
-                let over = |f: &mut Records| {
+                let mut records = Records::default();
+                let over = |records: &mut Records| {
                     for (id, what) in events {
                         match *what {
-                            "d" => f.done(id, 200_000_000),
-                            _ => f.cancelled(id),
+                            "d" => records.done(id, 200_000_000),
+                            _ => records.cancelled(id),
                         }
                     }
                 };
                 if events_first {
-                    over(&mut f);
+                    over(&mut records);
                 }
                 let mut order: Vec<_> = needs.iter().collect();
                 if backwards {
@@ -94,18 +94,22 @@
                 }
                 for (id, n) in order {
                     if !(events_first && events.iter().any(|e| e.0 == *id)) {
-                        f.open(id, n, json!({}));
+                        records.open(id, n, json!({}));
                     }
                 }
                 if !events_first {
-                    over(&mut f);
+                    over(&mut records);
                 }
                 let case = format!("{events:?} backwards {backwards}, first {events_first}");
-                assert_eq!(f.stand(&["1", "2", "3", "4", "5"]), stand, "{case}");
+                assert_eq!(records.states(&["1", "2", "3", "4", "5"]), states, "{case}");
                 // What waits counts in no list of the team or the regions.
-                let ready = stand.matches('r').count();
-                assert_eq!(f.r.ready_jobs.len(), ready, "{case}");
-                assert_eq!(f.r.teams.get("red").map_or(0, |t| t.len()), ready, "{case}");
+                let ready = states.matches('r').count();
+                assert_eq!(records.replica.ready_jobs.len(), ready, "{case}");
+                assert_eq!(
+                    records.replica.teams.get("red").map_or(0, |t| t.len()),
+                    ready,
+                    "{case}"
+                );
             }
         }
     }
@@ -113,90 +117,90 @@
 
 /// A needed job with no record: it waits, and nothing starts.
 #[test]
-fn a_lost_record() {
-    let mut f = Records::default();
-    f.open("2", &["1"], json!({}));
-    assert_eq!(f.stand(&["1", "2"]), "-w");
-    assert_eq!(f.r.waiting_for_unknown(), ["2"]);
-    f.done("1", 5);
-    assert!(f.r.waiting_for_unknown().is_empty());
+fn a_job_waits_for_one_without_a_record() {
+    let mut records = Records::default();
+    records.open("2", &["1"], json!({}));
+    assert_eq!(records.states(&["1", "2"]), "-w");
+    assert_eq!(records.replica.waiting_for_unknown(), ["2"]);
+    records.done("1", 5);
+    assert!(records.replica.waiting_for_unknown().is_empty());
 }
 
 /// Priority and deadline flow back, times count from readiness, and none of it is ever
 /// written to the records.
 #[test]
-fn served_by_what_comes_after() {
-    let mut f = Records::default();
-    f.open("1", &[], json!({}));
-    f.open("2", &["1"], json!({"e": 20_000_000}));
-    f.open(
+fn priority_and_deadline_are_inherited_from_dependents() {
+    let mut records = Records::default();
+    records.open("1", &[], json!({}));
+    records.open("2", &["1"], json!({"e": 20_000_000}));
+    records.open(
         "3",
         &["2"],
         json!({"r": "2", "e": 5_000_000, "d": 300_000_000}),
     );
-    let spec = |f: &Records, id: &str| f.r.jobs[id].value.spec.clone().unwrap();
+    let spec = |records: &Records, id: &str| records.replica.jobs[id].value.spec.clone().unwrap();
     // From the submission 300 s, less 5 for the last; less 20 more for the second.
     for (id, deadline) in [("1", 275_000_000), ("2", 295_000_000), ("3", 300_000_000)] {
-        let s = spec(&f, id);
+        let s = spec(&records, id);
         assert_eq!(
             (s.priority, s.deadline),
             (Priority::High, Some(deadline)),
             "{id}"
         );
-        let written = value(&f.r.jobs[id].value);
+        let written = value(&records.replica.jobs[id].value);
         let own = if id == "3" { "2" } else { "0" };
         assert_eq!(written["j"]["r"], json!(own), "{id}: {written}");
         assert_eq!(written["j"]["a"], json!(100_000_000), "{id}");
         assert_eq!(written["j"]["d"].is_null(), id != "3", "{id}");
     }
-    f.done("1", 150_000_000);
-    let s = spec(&f, "2");
+    records.done("1", 150_000_000);
+    let s = spec(&records, "2");
     assert_eq!(
         (s.submitted_at, s.deadline),
         (150_000_000, Some(245_000_000))
     );
     // The last is cancelled: nobody presses any more.
-    f.cancelled("3");
-    let s = spec(&f, "2");
+    records.cancelled("3");
+    let s = spec(&records, "2");
     assert_eq!((s.priority, s.deadline), (Priority::Low, None));
 }
 
 /// Many ways to the same job, and a circle as only a damaged store could hold: each job
 /// is followed once.
 #[test]
-fn many_ways_and_circles() {
-    let mut f = Records::default();
-    f.open("0a", &[], json!({}));
-    f.open("0b", &[], json!({}));
+fn diamonds_and_cycles_are_followed_once() {
+    let mut records = Records::default();
+    records.open("0a", &[], json!({}));
+    records.open("0b", &[], json!({}));
     for i in 1..60 {
         let before = [format!("{}a", i - 1), format!("{}b", i - 1)];
         let before = [&*before[0], &*before[1]];
-        f.open(&format!("{i}a"), &before, json!({}));
-        f.open(&format!("{i}b"), &before, json!({"r": "2"}));
+        records.open(&format!("{i}a"), &before, json!({}));
+        records.open(&format!("{i}b"), &before, json!({"r": "2"}));
     }
-    f.open("x", &["y", "0a"], json!({}));
-    f.open("y", &["x"], json!({}));
-    assert_eq!(f.stand(&["0a", "59a", "59b", "x", "y"]), "rwwww");
-    f.cancelled("0a");
-    assert_eq!(f.stand(&["0b", "59a", "59b", "x", "y"]), "rcccc");
-    assert_eq!(f.r.pipelines.waiting().len(), 0);
+    records.open("x", &["y", "0a"], json!({}));
+    records.open("y", &["x"], json!({}));
+    assert_eq!(records.states(&["0a", "59a", "59b", "x", "y"]), "rwwww");
+    records.cancelled("0a");
+    assert_eq!(records.states(&["0b", "59a", "59b", "x", "y"]), "rcccc");
+    assert_eq!(records.replica.pipelines.waiting().len(), 0);
 }
 
 /// A chain of jobs, each needing the one before it: `0` first.
 fn chain(length: usize) -> Records {
-    let mut f = Records::default();
-    f.open("0", &[], json!({}));
+    let mut records = Records::default();
+    records.open("0", &[], json!({}));
     for i in 1..length {
-        f.open(&i.to_string(), &[&(i - 1).to_string()], json!({}));
+        records.open(&i.to_string(), &[&(i - 1).to_string()], json!({}));
     }
-    f
+    records
 }
 
 /// What an event makes the index look at.
-fn lookups(f: &mut Records, event: impl FnOnce(&mut Records)) -> u64 {
-    let before = f.r.pipelines.lookups();
-    event(f);
-    f.r.pipelines.lookups() - before
+fn lookups(records: &mut Records, event: impl FnOnce(&mut Records)) -> u64 {
+    let before = records.replica.pipelines.lookups();
+    event(records);
+    records.replica.pipelines.lookups() - before
 }
 
 /// A chain longer than one change is followed: the rest follows by bounded steps, and the
@@ -204,25 +208,30 @@
 #[test]
 fn a_long_chain_gets_priority_by_bounded_steps() {
     const LENGTH: usize = 3 * MAX_STEPS_PER_CHANGE;
-    let mut f = chain(LENGTH);
+    let mut records = chain(LENGTH);
     let last = LENGTH.to_string();
     let before = (LENGTH - 1).to_string();
     let urgent = json!({"r": "2", "e": 0, "d": 30_000_000_000u64});
-    let first = lookups(&mut f, |f| f.open(&last, &[&before], urgent));
+    let first = lookups(&mut records, |records| {
+        records.open(&last, &[&before], urgent)
+    });
     let bound = 4 * MAX_STEPS_PER_CHANGE as u64;
     assert!(first <= bound, "{first} lookups");
-    let priority = |f: &Records, id: &str| f.r.jobs[id].value.open_spec().unwrap().priority;
-    assert_eq!(priority(&f, &before), Priority::High);
-    assert_eq!(priority(&f, "0"), Priority::Low, "not yet");
+    let priority =
+        |records: &Records, id: &str| records.replica.jobs[id].value.open_spec().unwrap().priority;
+    assert_eq!(priority(&records, &before), Priority::High);
+    assert_eq!(priority(&records, "0"), Priority::Low, "not yet");
     let mut rounds = 0;
-    while f.r.has_unpropagated() {
-        let looked = lookups(&mut f, |f| f.r.continue_propagation());
+    while records.replica.has_unpropagated() {
+        let looked = lookups(&mut records, |records| {
+            records.replica.continue_propagation()
+        });
         assert!(looked <= bound, "{looked} lookups");
         rounds += 1;
     }
     assert!((2..=4).contains(&rounds), "{rounds}");
-    assert_eq!(priority(&f, "0"), Priority::High);
-    let spec = f.r.jobs["0"].value.open_spec().unwrap();
+    assert_eq!(priority(&records, "0"), Priority::High);
+    let spec = records.replica.jobs["0"].value.open_spec().unwrap();
     // The estimates, 10 s each, of all behind it but the last.
     let left = 30_000_000_000 - (LENGTH as u64 - 1) * 10_000_000;
     assert_eq!(spec.deadline, Some(left));
@@ -233,13 +242,20 @@
 #[test]
 fn a_long_chain_is_cancelled_at_once() {
     const LENGTH: usize = 3 * MAX_STEPS_PER_CHANGE;
-    let mut f = chain(LENGTH);
-    let looked = lookups(&mut f, |f| f.cancelled("0"));
+    let mut records = chain(LENGTH);
+    let looked = lookups(&mut records, |records| records.cancelled("0"));
     assert!(looked <= 8 * LENGTH as u64, "{looked} lookups");
     for i in 1..LENGTH {
-        assert_eq!(f.r.stage(&i.to_string()), Some(JobStage::Cancelled), "{i}");
+        assert_eq!(
+            records.replica.stage(&i.to_string()),
+            Some(JobStage::Cancelled),
+            "{i}"
+        );
     }
-    assert_eq!(f.r.pipelines.cancelled_upstream().len(), LENGTH - 1);
+    assert_eq!(
+        records.replica.pipelines.cancelled_upstream().len(),
+        LENGTH - 1
+    );
 }
 
 /// Hundreds of dependents of one job, hundreds of needs of one job, hundreds of steps: an
@@ -253,9 +269,9 @@
     for id in &names {
         fan_out.open(id, &["0"], json!({}));
     }
-    let looked = lookups(&mut fan_out, |f| f.done("0", 200_000_000));
+    let looked = lookups(&mut fan_out, |records| records.done("0", 200_000_000));
     assert!(looked <= 8 * MANY as u64, "fan out: {looked} lookups");
-    assert_eq!(fan_out.r.unbound.len(), MANY);
+    assert_eq!(fan_out.replica.unbound_jobs.len(), MANY);
 
     let mut fan_in = Records::default();
     for id in &names {
@@ -264,15 +280,17 @@
     let needs: Vec<&str> = names.iter().map(String::as_str).collect();
     fan_in.open("0", &needs, json!({}));
     for (i, id) in names.iter().enumerate() {
-        assert_eq!(fan_in.stand(&["0"]), "w", "{i} done");
-        let looked = lookups(&mut fan_in, |f| f.done(id, 200_000_000));
+        assert_eq!(fan_in.states(&["0"]), "w", "{i} done");
+        let looked = lookups(&mut fan_in, |records| records.done(id, 200_000_000));
         assert!(looked <= 8 * MANY as u64, "fan in: {looked} lookups");
     }
-    assert_eq!(fan_in.stand(&["0"]), "r");
+    assert_eq!(fan_in.states(&["0"]), "r");
 
     let mut steps = chain(MANY);
     for i in 0..MANY {
-        let looked = lookups(&mut steps, |f| f.done(&i.to_string(), 200_000_000));
+        let looked = lookups(&mut steps, |records| {
+            records.done(&i.to_string(), 200_000_000)
+        });
         assert!(looked <= 16, "step {i}: {looked} lookups");
     }
 }
@@ -281,13 +299,13 @@
 /// that presses most; none for a job that is no step of a pipeline.
 #[test]
 fn pipelines_end_with_a_deadline() {
-    let mut f = Records::default();
-    f.open("1", &[], json!({}));
-    f.open("2", &["1"], json!({}));
-    f.open("3", &["2"], json!({"d": 400_000_000}));
-    f.open("4", &["1"], json!({"d": 300_000_000}));
-    f.open("alone", &[], json!({"d": 300_000_000}));
-    f.open("x", &["alone"], json!({}));
+    let mut records = Records::default();
+    records.open("1", &[], json!({}));
+    records.open("2", &["1"], json!({}));
+    records.open("3", &["2"], json!({"d": 400_000_000}));
+    records.open("4", &["1"], json!({"d": 300_000_000}));
+    records.open("alone", &[], json!({"d": 300_000_000}));
+    records.open("x", &["alone"], json!({}));
     for (id, end) in [
         ("1", Some("4")),
         ("2", Some("3")),
@@ -297,8 +315,8 @@
         ("x", None),
         ("unknown", None),
     ] {
-        assert_eq!(f.r.pipeline_end(id).map(|e| e.id), end, "{id}");
+        assert_eq!(records.replica.pipeline_end(id).map(|e| e.id), end, "{id}");
     }
-    f.cancelled("4");
-    assert_eq!(f.r.pipeline_end("1").map(|e| e.id), Some("3"));
+    records.cancelled("4");
+    assert_eq!(records.replica.pipeline_end("1").map(|e| e.id), Some("3"));
 }
--- a/src/state_store/replica.rs
+++ b/src/state_store/replica.rs
@@ -79,7 +79,7 @@
     /// The last fencing token that was handed out.
     pub token: Option<Versioned<u64>>,
     /// That records were lost, and what operators decided.
-    pub hold: Option<Versioned<DataLossHoldRecord>>,
+    pub data_loss_hold: Option<Versioned<DataLossHoldRecord>>,
     /// Regions' owners.
     pub regions: BTreeMap<String, Versioned<RegionRecord>>,
     /// Machines, of batches and with records of their own.
@@ -95,7 +95,7 @@
     /// Names of the jobs that are not over and wait for no others.
     pub ready_jobs: BTreeSet<String>,
     /// Names of the ready jobs that are bound to no region.
-    pub unbound: BTreeSet<String>,
+    pub unbound_jobs: BTreeSet<String>,
     /// Number of ready jobs bound to each region.
     pub jobs_per_region: BTreeMap<String, u32>,
     /// Ready jobs of each team by time of submission, with the quota that they need.
@@ -149,7 +149,7 @@
             Key::Progress(job, region, chunk) => version_of(self.progress(job, region, *chunk)),
             Key::Quota(team) => version_of(self.quotas.get(team)),
             Key::MachineType(name) => version_of(self.machine_types.get(name)),
-            Key::DataLossHold => version_of(self.hold.as_ref()),
+            Key::DataLossHold => version_of(self.data_loss_hold.as_ref()),
         }
     }
 }
--- a/src/state_store/replica/apply.rs
+++ b/src/state_store/replica/apply.rs
@@ -113,7 +113,7 @@
         match key {
             Key::Leader => write_single(&mut self.leader, value, version),
             Key::Token => write_single(&mut self.token, value, version),
-            Key::DataLossHold => write_single(&mut self.hold, value, version),
+            Key::DataLossHold => write_single(&mut self.data_loss_hold, value, version),
             Key::Region(region) => write_entry(&mut self.regions, region.clone(), value, version),
             Key::Machine(machine) => {
                 self.set_machine(machine, parse(value)?, version);
--- a/src/state_store/replica/jobs.rs
+++ b/src/state_store/replica/jobs.rs
@@ -168,7 +168,7 @@
         team.insert(submission_key(id, spec), quota);
         self.ready_jobs.insert(id.to_owned());
         if record.task_ranges.is_empty() {
-            self.unbound.insert(id.to_owned());
+            self.unbound_jobs.insert(id.to_owned());
         }
         if record.multi_region.is_some() {
             self.multi_region_gangs.insert(id.to_owned());
@@ -189,7 +189,7 @@
         let team = self.teams.entry(spec.team.clone()).or_default();
         team.remove(&submission_key(id, spec));
         self.ready_jobs.remove(id);
-        self.unbound.remove(id);
+        self.unbound_jobs.remove(id);
         self.multi_region_gangs.remove(id);
     }
 }
