--- a/src/state_store/commits/tests.rs
+++ b/src/state_store/commits/tests.rs
@@ -1,5 +1,6 @@
 //! Tests of the rate of changes.
 
+use super::write_rate::min_write_rate;
 use super::*;
 use crate::state_store::lease::LeaseStep;
 
@@ -47,7 +48,7 @@
             let refused = Ok(Response::new(429, Vec::new()));
             store.on_commit_response(commit, refused, 0, &mut Vec::new());
         }
-        store.commits.changes.rate()
+        store.commits.write_rate.rate()
     };
     let (leader, other) = (rate_after(true), rate_after(false));
     assert!(
--- a/src/state_store/pipelines/tests.rs
+++ b/src/state_store/pipelines/tests.rs
@@ -7,7 +7,7 @@
 use salttiller_records::model::Priority;
 use salttiller_records::record::{value, JobStage};
 
-/// A replica, written to as the state service's events would.
+/// A replica to which changes of jobs' records are applied, as events of the state service.
 #[derive(Default)]
 struct Records {
     replica: Replica,
@@ -39,7 +39,7 @@
         self.put(id, json!({"st": "c"}));
     }
 
-    /// One letter a job: waits, ready (to be bound), cancelled, done, unknown.
+    /// The states of jobs, a letter each: w waiting, r ready, c cancelled, d done, - unknown.
     fn states(&self, ids: &[&str]) -> String {
         let one = |id: &&str| match self.replica.stage(id) {
             None => '-',
@@ -53,10 +53,10 @@
     }
 }
 
-/// Whatever the order in which the records are read, all controllers find the same.
+/// Whatever the order in which the records are read, all controllers derive the same states.
 #[test]
 fn dependents_wait_are_ready_or_cancelled() {
-    // What happens, by job; then how jobs 1 to 5 stand. 2 and 3 need 1, 4 both, 5 four.
+    // What happens, by job; then the states of jobs 1 to 5. 2 and 3 need 1, 4 both, 5 four.
     let cases: [(&[(&str, &str)], &str); 7] = [
         (&[], "rwwww"),
         (&[("1", "d")], "drrww"),
@@ -102,7 +102,7 @@
                 }
                 let case = format!("{events:?} backwards {backwards}, first {events_first}");
                 assert_eq!(records.states(&["1", "2", "3", "4", "5"]), states, "{case}");
-                // What waits counts in no list of the team or the regions.
+                // Waiting jobs are in no index by team or region.
                 let ready = states.matches('r').count();
                 assert_eq!(records.replica.ready_jobs.len(), ready, "{case}");
                 assert_eq!(
@@ -126,7 +126,7 @@
     assert!(records.replica.waiting_for_unknown().is_empty());
 }
 
-/// Priority and deadline flow back, times count from readiness, and none of it is ever
+/// Priority and deadline are inherited from dependents, times count from readiness, and none of it is ever
 /// written to the records.
 #[test]
 fn priority_and_deadline_are_inherited_from_dependents() {
@@ -159,14 +159,14 @@
         (s.submitted_at, s.deadline),
         (150_000_000, Some(245_000_000))
     );
-    // The last is cancelled: nobody presses any more.
+    // The last is cancelled: no job inherits from it any more.
     records.cancelled("3");
     let s = spec(&records, "2");
     assert_eq!((s.priority, s.deadline), (Priority::Low, None));
 }
 
-/// Many ways to the same job, and a circle as only a damaged store could hold: each job
-/// is followed once.
+/// Many paths to the same job, and a cycle as only a damaged store could hold: each job is
+/// visited once.
 #[test]
 fn diamonds_and_cycles_are_followed_once() {
     let mut records = Records::default();
@@ -196,7 +196,7 @@
     records
 }
 
-/// What an event makes the index look at.
+/// How many records an event makes the index read.
 fn lookups(records: &mut Records, event: impl FnOnce(&mut Records)) -> u64 {
     let before = records.replica.pipelines.lookups();
     event(records);
@@ -237,8 +237,8 @@
     assert_eq!(spec.deadline, Some(left));
 }
 
-/// Cancelling the first of a long chain cancels all of it at once, each job looked at a
-/// few times: a rest that came later would let two controllers answer differently.
+/// Cancelling the first of a long chain cancels all of it at once, each job read a few
+/// times: if some were cancelled later, two controllers could answer differently.
 #[test]
 fn a_long_chain_is_cancelled_at_once() {
     const LENGTH: usize = 3 * MAX_STEPS_PER_CHANGE;
@@ -259,7 +259,7 @@
 }
 
 /// Hundreds of dependents of one job, hundreds of needs of one job, hundreds of steps: an
-/// end costs in proportion to what hangs directly on it.
+/// end costs in proportion to the jobs that depend on it directly.
 #[test]
 fn the_work_of_an_end_is_bounded() {
     const MANY: usize = 400;
@@ -295,8 +295,8 @@
     }
 }
 
-/// The job whose deadline a step is judged by: the nearest with one of its own, on the way
-/// that presses most; none for a job that is no step of a pipeline.
+/// The job whose deadline a step is judged by: the nearest with one of its own, on the
+/// most urgent path; none for a job that is no step of a pipeline.
 #[test]
 fn pipelines_end_with_a_deadline() {
     let mut records = Records::default();
--- a/src/state_store/replica/apply.rs
+++ b/src/state_store/replica/apply.rs
@@ -48,7 +48,7 @@
     /// anything here.
     pub fn apply_event(&mut self, key: &str, value: Option<Value>, version: u64) -> Option<Key> {
         let Some(key) = Key::parse(key) else {
-            log::debug!("{key}: unknown kind of record, ignored");
+            log::debug!("key={key}: unknown kind of record, ignored");
             return None;
         };
         // Guards against an answer to an older read that comes in late: the copy is
@@ -90,7 +90,7 @@
         if let Err(error) = &written {
             // A record that can't be read is left as it was known: it was written by a
             // later version of this program, or is damaged.
-            log::error!("{}: record can't be read: {error}", key.text());
+            log::error!("key={}: record can't be read: {error}", key.text());
         }
         let is_of_machines = matches!(
             key,
