--- a/src/controller.rs
+++ b/src/controller.rs
@@ -508,18 +508,20 @@
             match ev {
                 StateStoreEvent::Loaded => self.on_loaded(),
                 StateStoreEvent::Changed(keys) => self.on_changed(keys),
-                StateStoreEvent::Barrier(sent) => {
+                StateStoreEvent::BarrierCompleted { sent_at: sent } => {
                     self.limiter.measured(self.now - sent, self.now);
                     self.on_barrier_for_detection(sent);
                     self.answer_waiting(sent);
                 }
-                StateStoreEvent::BarrierFailed(sent) => {
+                StateStoreEvent::BarrierFailed { sent_at: sent } => {
                     for w in self.waiting.take_until(sent) {
                         self.refuse(w.conn, 503, 1);
                     }
                     self.expire_waiting();
                 }
-                StateStoreEvent::Committed(ticket, outcome) => self.on_committed(ticket, outcome),
+                StateStoreEvent::CommitEnded { ticket, outcome } => {
+                    self.on_committed(ticket, outcome)
+                }
                 StateStoreEvent::OwnerLeaseLost => {
                     // Records of ours that the replica still shows are of the
                     // past: under another run's name they can only be taken
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -78,12 +78,23 @@
     Changed(Vec<Key>),
     /// The whole replica was read anew.
     Loaded,
-    /// A read sent at this time is complete.
-    Barrier(Micros),
-    /// A read sent at this time failed.
-    BarrierFailed(Micros),
-    /// The commit with this ticket ended.
-    Committed(u64, CommitOutcome),
+    /// A read barrier is complete: the replica shows all that was committed before it.
+    BarrierCompleted {
+        /// When it was sent.
+        sent_at: Micros,
+    },
+    /// A read barrier failed.
+    BarrierFailed {
+        /// When it was sent.
+        sent_at: Micros,
+    },
+    /// A commit ended.
+    CommitEnded {
+        /// The ticket that [`StateStore::commit`] returned.
+        ticket: u64,
+        /// How it ended.
+        outcome: CommitOutcome,
+    },
     /// The process's lease is gone, and all regions held under it.
     OwnerLeaseLost,
     /// The leader's lease is gone.
@@ -290,7 +301,7 @@
                 log::info!("state service reads succeed again");
             }
             self.freshness.read_completed(sent_at);
-            events.push(StateStoreEvent::Barrier(sent_at));
+            events.push(StateStoreEvent::BarrierCompleted { sent_at });
         } else {
             if !self.is_failing() && self.is_loaded() {
                 log::info!("state service read failed");
@@ -298,7 +309,7 @@
             self.freshness.read_failed();
             self.history.verify_at_next_barrier();
             self.barrier.failed(now);
-            events.push(StateStoreEvent::BarrierFailed(sent_at));
+            events.push(StateStoreEvent::BarrierFailed { sent_at });
         }
     }
 
--- a/src/state_store/commits.rs
+++ b/src/state_store/commits.rs
@@ -85,7 +85,7 @@
             for commit in std::mem::take(self.queues.queue(priority)) {
                 if commit.deadline.is_some_and(|deadline| now >= deadline) {
                     let outcome = commit.outcome_if_dropped();
-                    events.push(StateStoreEvent::Committed(commit.ticket, outcome));
+                    events.push(commit.ended(outcome));
                 } else if self.may_send(&commit, now, calls) {
                     self.send(commit, now, calls);
                 } else {
@@ -161,14 +161,14 @@
         for priority in CommitPriority::ALL {
             for commit in std::mem::take(self.queues.queue(priority)) {
                 let outcome = CommitOutcome::Refused;
-                events.push(StateStoreEvent::Committed(commit.ticket, outcome));
+                events.push(commit.ended(outcome));
             }
         }
     }
 }
 
 impl StateStore {
-    /// Queues a commit. Returns its ticket; its end comes as [`StateStoreEvent::Committed`]
+    /// Queues a commit. Returns its ticket; its end comes as [`StateStoreEvent::CommitEnded`]
     /// with the same ticket, at `deadline` at the latest if there is one.
     pub fn commit(
         &mut self,
@@ -219,7 +219,7 @@
                 if matches!(outcome, CommitOutcome::Conflict(_)) {
                     self.barrier.request();
                 }
-                events.push(StateStoreEvent::Committed(commit.ticket, outcome));
+                events.push(commit.ended(outcome));
             }
             None => self.commits.retry(commit, &result, now),
         }
@@ -235,13 +235,12 @@
     ) {
         self.commits.latencies.push(now - commit.sent_at);
         commit.log_committed(now, self.backlog());
+        events.push(commit.ended(CommitOutcome::Committed(revision)));
         let mut keys = Vec::new();
         for (key, value) in commit.transaction.changes {
             self.replica.apply_own(&key, value, revision);
             keys.push(key);
         }
-        let outcome = CommitOutcome::Committed(revision);
-        events.push(StateStoreEvent::Committed(commit.ticket, outcome));
         events.push(StateStoreEvent::Changed(keys));
     }
 }
--- a/src/state_store/commits/pending.rs
+++ b/src/state_store/commits/pending.rs
@@ -7,6 +7,7 @@
 use crate::reactor::CallError;
 use crate::state_store::answer::read_body;
 use crate::state_store::transaction::Transaction;
+use crate::state_store::StateStoreEvent;
 
 /// Most commits outstanding at once, for those of the highest priority.
 const MAX_IN_FLIGHT: usize = 6;
@@ -112,6 +113,14 @@
         }
     }
 
+    /// The event of its end.
+    pub(super) fn ended(&self, outcome: CommitOutcome) -> StateStoreEvent {
+        StateStoreEvent::CommitEnded {
+            ticket: self.ticket,
+            outcome,
+        }
+    }
+
     pub(super) fn log_committed(&self, now: Micros, backlog: usize) {
         log::debug!(
             "key={}: {} changes committed {} ms after the request, {backlog} commits queued",
--- a/src/state_store/tests.rs
+++ b/src/state_store/tests.rs
@@ -97,7 +97,7 @@
         let mut events = Vec::new();
         store.on_response(op, answer, now, &mut events);
         let ended = events.iter().any(
-            |e| matches!(e, StateStoreEvent::Committed(t, CommitOutcome::Committed(70_001)) if *t == ticket),
+            |e| matches!(e, StateStoreEvent::CommitEnded { ticket: ended, outcome: CommitOutcome::Committed(70_001) } if *ended == ticket),
         );
         assert!(ended, "{name}: {events:?}");
     }
