--- a/crates/salttillerctl/src/recover.rs
+++ b/crates/salttillerctl/src/recover.rs
@@ -74,7 +74,7 @@
     match command {
         Command::Status { config, json } => {
             let platform = Settings::load(config, None)?;
-            show_status(platform.store, *json)
+            show_status(platform.state_store_addr, *json)
         }
         Command::AcceptLoss {
             config,
@@ -88,7 +88,7 @@
                 at: wall_clock(),
                 why: why.clone(),
             };
-            accept_loss(platform.store, decision, *yes)
+            accept_loss(platform.state_store_addr, decision, *yes)
         }
     }
 }
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -118,7 +118,7 @@
         if self.data_loss.detection.is_none() || !self.cluster.state_store.is_loaded() {
             return;
         }
-        let Some(record) = &self.cluster.state_store.replica.hold else {
+        let Some(record) = &self.cluster.state_store.replica.data_loss_hold else {
             return;
         };
         let incident = record.value.incident;
@@ -192,7 +192,7 @@
 
     /// Whether there is a record of a hold that operators have not decided on.
     fn is_hold_on_record(&self) -> bool {
-        let record = self.cluster.state_store.replica.hold.as_ref();
+        let record = self.cluster.state_store.replica.data_loss_hold.as_ref();
         record.is_some_and(|record| record.value.accepted.is_none())
     }
 
--- a/src/controller/data_loss_hold/evidence.rs
+++ b/src/controller/data_loss_hold/evidence.rs
@@ -43,7 +43,7 @@
 
     /// Whether operators decided a short while ago to go on without what was lost.
     pub(super) fn is_decision_recent(&self) -> bool {
-        let hold = self.cluster.state_store.replica.hold.as_ref();
+        let hold = self.cluster.state_store.replica.data_loss_hold.as_ref();
         let accepted = hold.and_then(|hold| hold.value.accepted.as_ref());
         let wall = self.net.wall();
         accepted.is_some_and(|accepted| wall < accepted.at + UNRECORDED_JOBS_GRACE_PERIOD)
--- a/src/controller/data_loss_hold/requests.rs
+++ b/src/controller/data_loss_hold/requests.rs
@@ -65,7 +65,7 @@
         let records = &self.cluster.state_store.replica.regions;
         self.cluster.settings.regions().iter().all(|name| {
             let record = records.get(name).map(|r| &r.value);
-            record.is_some_and(|r| r.owner == *name && r.held == Some(incident))
+            record.is_some_and(|r| r.owner == *name && r.data_loss_incident == Some(incident))
         })
     }
 
--- a/src/controller/regions.rs
+++ b/src/controller/regions.rs
@@ -172,7 +172,7 @@
             owner: self.cluster.settings.name.clone(),
             run: self.cluster.incarnation(),
             token,
-            held: incident,
+            data_loss_incident: incident,
         };
         Transaction {
             conditions: vec![
--- a/src/controller/state_store_events.rs
+++ b/src/controller/state_store_events.rs
@@ -26,13 +26,13 @@
         match event {
             StateStoreEvent::Loaded => self.on_loaded(),
             StateStoreEvent::Changed(keys) => self.on_changed(keys),
-            StateStoreEvent::Barrier(sent) => {
+            StateStoreEvent::BarrierCompleted { sent_at: sent } => {
                 self.client_requests.record_latency(now - sent, now);
                 self.check_evidence_of_loss(sent);
                 self.answer_pending_requests(sent);
             }
-            StateStoreEvent::BarrierFailed(sent) => self.refuse_pending_requests(sent),
-            StateStoreEvent::Committed(ticket, outcome) => self.on_committed(ticket, &outcome),
+            StateStoreEvent::BarrierFailed { sent_at: sent } => self.refuse_pending_requests(sent),
+            StateStoreEvent::CommitEnded { ticket, outcome } => self.on_committed(ticket, &outcome),
             StateStoreEvent::OwnerLeaseLost => {
                 // Records of this controller that the replica still shows belong to the past:
                 // under another incarnation they can only be acquired anew, by
--- a/src/leader/binding.rs
+++ b/src/leader/binding.rs
@@ -56,7 +56,7 @@
     fn unbound_jobs<'a>(&self, context: &SchedulingContext<'a>) -> Vec<UnboundJob<'a>> {
         let replica = context.replica;
         let mut unbound: Vec<UnboundJob<'a>> = replica
-            .unbound
+            .unbound_jobs
             .iter()
             .filter(|id| !self.outbox.is_in_flight(&Key::Job((*id).clone())))
             .filter_map(|id| {
