--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -9,7 +9,7 @@
 
 /// Delayed commits are executed within this time.
 const LONGEST_COMMIT_DELAY: Micros = 12 * SECOND;
-/// For how long a fault without a duration counts as going on.
+/// How long a fault that happens at one moment excuses a lack of progress.
 const SETTLING_TIME: Micros = 5 * SECOND;
 
 /// A fault of a day's plan and when it happens.
@@ -19,6 +19,13 @@
     pub fault: Fault,
 }
 
+impl PlannedFault {
+    /// From then on invariants about progress hold, if there are no other faults.
+    pub fn settled_at(&self) -> Micros {
+        self.at + self.fault.duration() + self.fault.settling_time()
+    }
+}
+
 /// Plans a fault at a time in seconds since the day began.
 pub fn at(seconds: f64, fault: Fault) -> PlannedFault {
     PlannedFault {
@@ -132,7 +139,7 @@
         })
     }
 
-    /// How long the fault itself goes on; invariants about progress hold only afterwards.
+    /// How long the fault lasts; 0 if it happens at one moment.
     pub fn duration(&self) -> Micros {
         match self {
             Fault::AllControllersDown(duration)
@@ -150,13 +157,13 @@
             | Fault::StoreOutage(duration)
             | Fault::StoreRefusesLeader(duration)
             | Fault::SlowStore(duration)
+            | Fault::DelayCommits(duration)
             | Fault::CloudOutage(duration)
             | Fault::SlowProvisioning(duration)
             | Fault::PauseMachine(duration)
             | Fault::LoseResponsesToMachine(duration)
             | Fault::CancelOnCompletion(duration)
             | Fault::QueryBurst(duration) => *duration,
-            Fault::DelayCommits(duration) => *duration + LONGEST_COMMIT_DELAY,
             Fault::CancelRunningJobs(cancel) => cancel.machine_pause,
             Fault::CrashController(_)
             | Fault::RestartController(_)
@@ -165,7 +172,23 @@
             | Fault::BackUpStore
             | Fault::LoseRecords(_)
             | Fault::FailMachine
+            | Fault::RebootMachine => 0,
+        }
+    }
+
+    /// How long after its end the fault still has effects that excuse a lack of progress.
+    fn settling_time(&self) -> Micros {
+        match self {
+            Fault::DelayCommits(_) => LONGEST_COMMIT_DELAY,
+            Fault::CrashController(_)
+            | Fault::RestartController(_)
+            | Fault::RestartLeader
+            | Fault::LowerStoreLimits
+            | Fault::BackUpStore
+            | Fault::LoseRecords(_)
+            | Fault::FailMachine
             | Fault::RebootMachine => SETTLING_TIME,
+            _ => 0,
         }
     }
 }
--- a/src/simulation/faults/injection.rs
+++ b/src/simulation/faults/injection.rs
@@ -2,7 +2,7 @@
 
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
-use crate::simulation::controllers::ConnectionFailure;
+use crate::simulation::controllers::{ConnectionFailure, Partitions, SimulatedController};
 use crate::simulation::events::Event;
 use crate::simulation::users::UserAction;
 use crate::simulation::workers::{task_id, Worker, ZonePartition};
@@ -21,130 +21,86 @@
 impl World {
     /// Brings about a fault now.
     pub fn inject(&mut self, fault: Fault) {
-        match fault {
-            Fault::CrashController(_)
-            | Fault::RestartController(_)
-            | Fault::RestartLeader
-            | Fault::AllControllersDown(_)
-            | Fault::PauseController(..)
-            | Fault::PauseLeader(_) => self.inject_controller_fault(fault),
-            Fault::StoreOutage(_)
-            | Fault::StoreRefusesLeader(_)
-            | Fault::SlowStore(_)
-            | Fault::DelayCommits(_)
-            | Fault::LowerStoreLimits
-            | Fault::BackUpStore
-            | Fault::LoseRecords(_) => self.inject_store_fault(fault),
-            Fault::FailMachine
-            | Fault::PauseMachine(_)
-            | Fault::RebootMachine
-            | Fault::LoseResponsesToMachine(_) => self.inject_machine_fault(fault),
-            Fault::CloudOutage(duration) => self.cloud.begin_outage(self.now + duration),
-            Fault::SlowProvisioning(duration) => self.cloud.slow_provisioning(self.now + duration),
-            Fault::CancelRunningJobs(cancel) => self.cancel_running_jobs(cancel),
-            Fault::CancelOnCompletion(duration) => {
-                self.users.cancel_on_completion_until = self.now + duration;
-            }
-            Fault::QueryBurst(duration) => self.users.query_burst_until = self.now + duration,
-            partition => self.inject_network_fault(partition),
-        }
-    }
-
-    fn inject_controller_fault(&mut self, fault: Fault) {
+        let now = self.now;
+        let until = now + fault.duration();
         match fault {
             Fault::CrashController(index) => self.crash_controller(index),
             Fault::RestartController(index) => self.restart_controller(index),
             Fault::RestartLeader => self.restart_controller(self.leader()),
-            Fault::AllControllersDown(duration) => {
-                for index in 0..CONTROLLERS {
-                    self.controllers[index].down_until = self.now + duration;
-                    self.restart_controller(index);
-                }
-            }
-            Fault::PauseController(index, duration) => {
-                self.controllers[index].paused_until = self.now + duration;
-            }
-            Fault::PauseLeader(duration) => {
-                let leader = self.leader();
-                self.controllers[leader].paused_until = self.now + duration;
+            Fault::AllControllersDown(_) => self.take_all_controllers_down(until),
+            Fault::PauseController(index, _) => self.controllers[index].paused_until = until,
+            Fault::PauseLeader(_) => self.leading_controller().paused_until = until,
+
+            Fault::PartitionFromStore(index, _) => self.partitions(index).store_until = until,
+            Fault::PartitionFromWorkers(index, _) => self.partitions(index).workers_until = until,
+            Fault::PartitionFromPeers(index, _) => self.partitions(index).peers_until = until,
+            Fault::PartitionFromUsers(index, _) => self.partitions(index).users_until = until,
+            Fault::IsolateController(index, _, failure) => self.isolate(index, until, failure),
+            Fault::PartitionZone(index, _) => self.partition_zone(index, until),
+            Fault::PartitionWorkers(_) => self.partition_half_of_workers(until),
+            Fault::DuplicateHeartbeats(_) => self.network.heartbeats_duplicated_until = until,
+            Fault::DelayWorkerResponses(_) => self.network.worker_responses_delayed_until = until,
+
+            Fault::StoreOutage(_) => self.store.begin_outage(until),
+            Fault::StoreRefusesLeader(_) => self.leading_controller().refused_until = until,
+            Fault::SlowStore(_) => self.network.store_slow_until = until,
+            Fault::DelayCommits(_) => self.network.commits_delayed_until = until,
+            Fault::LowerStoreLimits => self.lower_store_limits(),
+            Fault::BackUpStore => self.store.back_up(),
+            Fault::LoseRecords(loss) => self.lose_records(loss),
+
+            Fault::CloudOutage(_) => self.cloud.begin_outage(until),
+            Fault::SlowProvisioning(_) => self.cloud.slow_provisioning(until),
+            Fault::FailMachine => self.change_any_worker(Worker::fail),
+            Fault::PauseMachine(_) => self.change_any_worker(|w| w.paused_until = until),
+            Fault::RebootMachine => self.change_any_worker(|w| w.reboot(now)),
+            Fault::LoseResponsesToMachine(_) => {
+                self.change_any_worker(|w| w.responses_lost_until = until);
             }
-            _ => unreachable!("{fault:?} is no fault of a controller"),
+
+            Fault::CancelRunningJobs(cancel) => self.cancel_running_jobs(cancel),
+            Fault::CancelOnCompletion(_) => self.users.cancel_on_completion_until = until,
+            Fault::QueryBurst(_) => self.users.query_burst_until = until,
         }
     }
 
-    fn inject_network_fault(&mut self, fault: Fault) {
-        let now = self.now;
-        match fault {
-            Fault::PartitionFromStore(index, duration) => {
-                self.controllers[index].partitions.store_until = now + duration;
-            }
-            Fault::PartitionFromWorkers(index, duration) => {
-                self.controllers[index].partitions.workers_until = now + duration;
-            }
-            Fault::PartitionFromPeers(index, duration) => {
-                self.controllers[index].partitions.peers_until = now + duration;
-            }
-            Fault::PartitionFromUsers(index, duration) => {
-                self.controllers[index].partitions.users_until = now + duration;
-            }
-            Fault::IsolateController(index, duration, failure) => {
-                self.isolate_controller(index, now + duration, failure);
-            }
-            Fault::PartitionZone(index, duration) => self.partition_zone(index, now + duration),
-            Fault::PartitionWorkers(duration) => {
-                for worker in self.workers.values_mut() {
-                    if self.rng.bool() {
-                        worker.unreachable_until = now + duration;
-                    }
-                }
-            }
-            Fault::DuplicateHeartbeats(duration) => {
-                self.network.heartbeats_duplicated_until = now + duration;
-            }
-            Fault::DelayWorkerResponses(duration) => {
-                self.network.worker_responses_delayed_until = now + duration;
-            }
-            _ => unreachable!("{fault:?} is no fault of the network"),
-        }
+    fn partitions(&mut self, index: usize) -> &mut Partitions {
+        &mut self.controllers[index].partitions
     }
 
-    fn inject_store_fault(&mut self, fault: Fault) {
-        let now = self.now;
-        match fault {
-            Fault::StoreOutage(duration) => self.store.begin_outage(now + duration),
-            Fault::StoreRefusesLeader(duration) => {
-                let leader = self.leader();
-                self.controllers[leader].refused_until = now + duration;
-            }
-            Fault::SlowStore(duration) => self.network.store_slow_until = now + duration,
-            Fault::DelayCommits(duration) => self.network.commits_delayed_until = now + duration,
-            Fault::LowerStoreLimits => self
-                .store
-                .set_limits(LOWERED_TRANSACTION_CHANGES, LOWERED_VALUE_BYTES),
-            Fault::BackUpStore => self.store.back_up(),
-            Fault::LoseRecords(loss) => self.lose_records(loss),
-            _ => unreachable!("{fault:?} is no fault of the state service"),
-        }
+    fn leading_controller(&mut self) -> &mut SimulatedController {
+        let leader = self.leader();
+        &mut self.controllers[leader]
     }
 
-    /// Brings about a fault of one machine, any of those there are.
-    fn inject_machine_fault(&mut self, fault: Fault) {
-        let now = self.now;
+    /// Changes the worker of one machine, any of those there are.
+    fn change_any_worker(&mut self, change: impl FnOnce(&mut Worker)) {
         if self.workers.is_empty() {
             return;
         }
         let index = self.rng.usize(0..self.workers.len());
-        let Some(worker) = self.workers.values_mut().nth(index) else {
-            return;
-        };
-        match fault {
-            Fault::FailMachine => worker.fail(),
-            Fault::PauseMachine(duration) => worker.paused_until = now + duration,
-            Fault::RebootMachine => worker.reboot(now),
-            Fault::LoseResponsesToMachine(duration) => {
-                worker.responses_lost_until = now + duration;
+        if let Some(worker) = self.workers.values_mut().nth(index) {
+            change(worker);
+        }
+    }
+
+    fn lower_store_limits(&mut self) {
+        self.store
+            .set_limits(LOWERED_TRANSACTION_CHANGES, LOWERED_VALUE_BYTES);
+    }
+
+    fn take_all_controllers_down(&mut self, until: Micros) {
+        for index in 0..CONTROLLERS {
+            self.controllers[index].down_until = until;
+            self.restart_controller(index);
+        }
+    }
+
+    fn partition_half_of_workers(&mut self, until: Micros) {
+        for worker in self.workers.values_mut() {
+            if self.rng.bool() {
+                worker.unreachable_until = until;
             }
-            _ => unreachable!("{fault:?} is no fault of a machine"),
         }
     }
 
@@ -174,15 +130,15 @@
         true
     }
 
-    fn isolate_controller(&mut self, index: usize, until: Micros, failure: ConnectionFailure) {
-        let partitions = &mut self.controllers[index].partitions;
+    fn isolate(&mut self, index: usize, until: Micros, failure: ConnectionFailure) {
+        let partitions = self.partitions(index);
         partitions.store_until = until;
         partitions.store_failure = failure;
         partitions.peers_until = until;
     }
 
     fn partition_zone(&mut self, index: usize, until: Micros) {
-        self.isolate_controller(index, until, ConnectionFailure::Hang);
+        self.isolate(index, until, ConnectionFailure::Hang);
         let inside = |worker: &&mut Worker| worker.controller == index;
         for worker in self.workers.values_mut().filter(inside) {
             worker.zone_partition = ZonePartition {
--- a/src/simulation/state_service.rs
+++ b/src/simulation/state_service.rs
@@ -1,18 +1,18 @@
 //! The stand-in for the state service, written from the protocol: records with versions and
-//! leases, compare-and-set commits, paged reads and watches.
+//! leases, compare-and-set commits, paged reads and watches. How calls reach it is in [`calls`].
+
+mod calls;
 
 use std::collections::BTreeMap;
 
-use crate::reactor::{Call, CallError};
 use salttiller_protocol::http::{query_value, Response};
 use salttiller_records::units::{Micros, MILLISECOND};
 use serde_json::{json, Value};
 
-use super::events::{Caller, Event};
+use super::events::Caller;
 use super::faults::RecordLoss;
-use super::network::{decode, response, CLOUD};
+use super::network::response;
 use super::observations::Observations;
-use super::world::World;
 
 /// Records on one page of a read.
 const PAGE_SIZE: usize = 20;
@@ -360,93 +360,3 @@
         unknown_lease.then(|| response(400, json!({"error": "no such lease"})))
     }
 }
-
-impl World {
-    /// A call reaches an outside service.
-    pub fn serve_call(&mut self, caller: Caller, call: &Call) {
-        let (path, query) = call.target.split_once('?').unwrap_or((&call.target, ""));
-        let body = decode(&call.body);
-        if call.dest == CLOUD {
-            let response = self.serve_cloud(path, &body);
-            return self.return_result(caller, Ok(response));
-        }
-        self.expire_store_leases();
-        if self.is_without_store(caller.controller) {
-            let unavailable = Response::new(503, Vec::new());
-            return self.return_result(caller, Ok(unavailable));
-        }
-        let response = match path {
-            "/store" => self.store.list(query),
-            "/follow" => match self.store.watch(caller, query) {
-                Ok(response) => response,
-                Err((watch, wait)) => {
-                    return self.schedule(self.now + wait, Event::WatchTimeout(watch));
-                }
-            },
-            "/commit" => self.commit(&body),
-            "/grants" => self.store.grant_lease(self.now, &body),
-            renewal => self.store.renew_lease(self.now, renewal),
-        };
-        self.return_result(caller, Ok(response));
-    }
-
-    /// Whether the state service refuses a controller now, alone or with all others.
-    pub fn is_without_store(&self, controller: usize) -> bool {
-        let refused_until = self.controllers[controller].refused_until;
-        self.now < self.store.outage_until || self.now < refused_until
-    }
-
-    /// Executes a transaction and tells those who watch.
-    pub fn commit(&mut self, body: &Value) -> Response {
-        let response = self.store.commit(body, &mut self.observations);
-        if response.status == 200 {
-            self.notify_watches();
-        }
-        response
-    }
-
-    /// A watch has waited as long as it asked for; in an outage it goes on to its end.
-    pub fn on_watch_timeout(&mut self, watch: u64) {
-        let Some(caller) = self.store.watches.get(&watch).map(|w| w.caller) else {
-            return;
-        };
-        if self.is_without_store(caller.controller) {
-            let refused_until = self.controllers[caller.controller].refused_until;
-            let until = self.store.outage_until.max(refused_until);
-            return self.schedule(until, Event::WatchTimeout(watch));
-        }
-        self.answer_watch(watch);
-    }
-
-    fn answer_watch(&mut self, watch: u64) {
-        if let Some((caller, response)) = self.store.end_watch(watch) {
-            self.return_result(caller, Ok(response));
-        }
-    }
-
-    fn notify_watches(&mut self) {
-        let is_refused = |w: &Watch| self.now < self.controllers[w.caller.controller].refused_until;
-        let watches = self.store.watches.iter().filter(|(_, w)| !is_refused(w));
-        let ready: Vec<u64> = watches.map(|(number, _)| *number).collect();
-        for watch in ready {
-            self.answer_watch(watch);
-        }
-    }
-
-    fn expire_store_leases(&mut self) {
-        for lease in self.store.expired_leases(self.now) {
-            if self.store.delete_lease(lease) {
-                self.notify_watches();
-            }
-        }
-    }
-
-    /// The state service loses records. It is another process from then on, so its connections
-    /// break.
-    pub fn lose_records(&mut self, loss: RecordLoss) {
-        self.store.lose_records(loss);
-        for watch in std::mem::take(&mut self.store.watches).into_values() {
-            self.return_result(watch.caller, Err(CallError::NoAnswer));
-        }
-    }
-}
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -85,8 +85,7 @@
 
     fn add_faults(&mut self, plan: &Plan) {
         for planned in &plan.faults {
-            let end = planned.at + planned.fault.duration();
-            self.faults_end = self.faults_end.max(end);
+            self.faults_end = self.faults_end.max(planned.settled_at());
             self.schedule(planned.at, Event::Fault(planned.fault));
         }
     }
