--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -184,14 +184,8 @@
     fn settling_time(&self) -> Micros {
         match self {
             Fault::DelayCommits(_) => LONGEST_COMMIT_DELAY,
-            Fault::CrashController(_)
-            | Fault::RestartController(_)
-            | Fault::RestartLeader
-            | Fault::LowerStoreLimits
-            | Fault::BackUpStore
-            | Fault::LoseRecords(_)
-            | Fault::FailMachine
-            | Fault::RebootMachine => SETTLING_TIME,
+            Fault::CancelRunningJobs(_) => 0,
+            momentary if momentary.duration() == 0 => SETTLING_TIME,
             _ => 0,
         }
     }
--- a/src/simulation/tests/pipelines.rs
+++ b/src/simulation/tests/pipelines.rs
@@ -1,192 +1,52 @@
 //! Jobs that need others: scripted days on which one thing happens at one moment, each played on
 //! several seeds.
 
+mod script;
+
+use script::{four_jobs, FIRST, FOURTH, LATE, SECOND_JOB, THIRD};
+
 use crate::fault_injection::{with_disabled, Safeguard};
-use crate::simulation::days::Plan;
-use crate::simulation::events::{Event, Requester};
 use crate::simulation::faults::Fault;
 use crate::simulation::invariants::Rule;
-use crate::simulation::network::request;
-use crate::simulation::runner::{log_if_requested, CHECK_INTERVAL};
-use crate::simulation::users::{Submission, UserAction};
-use crate::simulation::workload::Workload;
 use crate::simulation::world::World;
 use crate::simulation::{CANCEL_DEADLINE, CONTROLLERS};
-use salttiller_records::units::{Micros, MILLISECOND, SECOND};
-use serde_json::{json, Value};
+use salttiller_records::units::{MILLISECOND, SECOND};
+use serde_json::json;
 
 const SEEDS: u64 = 8;
 
-/// Jobs of the scripts. The second needs the first, the third the second, the fourth both.
-const FIRST: &str = "req-000001";
-const SECOND_JOB: &str = "req-000002";
-const THIRD: &str = "req-000003";
-const FOURTH: &str = "req-000004";
-/// Submitted by scripts of their own.
-const LATE: &str = "req-000009";
-
-fn submission(id: &str, tasks: u32, run_seconds: u64, dependencies: &[&str]) -> Submission {
-    let dependencies = dependencies.iter().map(|id| (*id).to_owned()).collect();
-    Submission {
-        tasks,
-        expected_seconds: run_seconds,
-        dependencies: Some(dependencies),
-        ..Submission::batch(id)
-    }
-}
-
-impl World {
-    /// A world on a day with no jobs and no faults of its own.
-    fn empty(seed: u64) -> World {
-        log_if_requested();
-        fastrand::seed(seed);
-        let mut world = World::new(&Plan {
-            jobs: 0,
-            end: 0,
-            workload: Workload::Pipelines,
-            ..Plan::quiet(seed)
-        });
-        world.run_for(5 * SECOND);
-        world
-    }
-
-    /// A user submits a job now.
-    fn submit(&mut self, id: &str, tasks: u32, run_seconds: u64, dependencies: &[&str]) {
-        let submission = submission(id, tasks, run_seconds, dependencies);
-        self.submit_job(self.now, &submission, run_seconds * SECOND);
-    }
-
-    /// A user cancels a job now.
-    fn cancel(&mut self, id: &str) {
-        self.schedule_user(self.now, id, UserAction::Cancel);
-    }
-
-    /// Goes on for so long, checking what is checked on every day.
-    fn run_for(&mut self, span: Micros) {
-        let end = self.now + span;
-        while self.now < end && self.violations.is_empty() {
-            let next = (self.now + CHECK_INTERVAL).min(end);
-            self.run(next);
-            self.now = next;
-            self.check_invariants();
-        }
-    }
-
-    /// Goes on until a condition holds; whether it does within a time.
-    fn run_until(&mut self, limit: Micros, condition: impl Fn(&World) -> bool) -> bool {
-        let end = self.now + limit;
-        while !condition(self) {
-            if self.now >= end || !self.violations.is_empty() {
-                return false;
-            }
-            let next = self.now + MILLISECOND;
-            self.run(next);
-            self.now = next;
-        }
-        true
-    }
-
-    /// Sends a request of the test's own to one controller; status and stage of the response.
-    fn probe(
-        &mut self,
-        controller: usize,
-        method: &str,
-        path: &str,
-        body: &Value,
-    ) -> (u16, String) {
-        let number = self.users.probe_responses.len() as u32;
-        let request = request(method, path, rmp_serde::to_vec(body).unwrap());
-        let event = Event::Request {
-            controller,
-            request,
-            requester: Requester::Probe(number),
-        };
-        self.schedule(self.now, event);
-        let is_answered = |world: &World| world.users.probe_responses.contains_key(&number);
-        assert!(self.run_until(10 * SECOND, is_answered));
-        let (status, body) = &self.users.probe_responses[&number];
-        let stage = body["stage"].as_str().unwrap_or("").to_owned();
-        (*status, stage)
-    }
-
-    fn probe_submission(&mut self, controller: usize, id: &str, needs: &[&str]) -> (u16, String) {
-        let body = submission(id, 1, 5, needs).body();
-        self.probe(controller, "POST", "/work", &body)
-    }
-
-    /// Whether a job's user was told that it is cancelled.
-    fn is_cancel_confirmed(&self, id: &str) -> bool {
-        self.users.jobs[id].cancel_confirmed_at.is_some()
-    }
-
-    fn stage_on_record(&self, id: &str) -> String {
-        let record = self.store.value(&format!("st/job/{id}")).unwrap();
-        record["st"].as_str().unwrap().to_owned()
-    }
-
-    /// A controller that owns a part of a job.
-    fn owner_of(&self, id: &str) -> usize {
-        let job = self.store.value(&format!("st/job/{id}")).unwrap();
-        let region = job["b"][0][2].as_str().unwrap();
-        let record = self.store.value(&format!("st/region/{region}")).unwrap();
-        let owner = record["owner"].as_str();
-        let mut names = self.settings.iter().map(|s| s.name.as_str());
-        names.position(|name| Some(name) == owner).unwrap()
-    }
-
-    /// Whether the users know of every job that it is done or cancelled.
-    fn are_all_jobs_final(&self) -> bool {
-        self.unfinished_jobs().is_empty()
-    }
-}
+/// Whether the moment has come at which a disturbance begins.
+type Moment = fn(&World) -> bool;
 
-/// A world with the four jobs accepted and the first running, for `run_seconds`.
-fn four_jobs(seed: u64, run_seconds: u64) -> World {
-    let mut world = World::empty(seed);
-    let jobs: [(&str, u64, &[&str]); 4] = [
-        (FIRST, run_seconds, &[]),
-        (SECOND_JOB, 5, &[FIRST]),
-        (THIRD, 5, &[SECOND_JOB]),
-        (FOURTH, 5, &[FIRST, SECOND_JOB]),
-    ];
-    for (id, run_seconds, needs) in jobs {
-        world.submit(id, 2, run_seconds, needs);
-        assert!(
-            world.run_until(20 * SECOND, |world| world.users.jobs[id].accepted),
-            "{id}"
-        );
-    }
-    let running = |world: &World| world.users.jobs[FIRST].starts == 2;
-    assert!(
-        world.run_until(60 * SECOND, running),
-        "seed {seed}: not begun"
-    );
-    world
+/// What befalls the world right after the first job is cancelled.
+pub struct Disturbance {
+    pub name: &'static str,
+    moment: Moment,
+    begin: fn(&mut World),
 }
 
-/// What is done to the world right after the first job is cancelled.
-type Disturbance = fn(&mut World);
-/// The moment at which that is done.
-type Moment = fn(&World) -> bool;
-
 const CONFIRMED: Moment = |world| world.is_cancel_confirmed(FIRST);
 const ON_RECORD: Moment = |world| world.stage_on_record(FIRST) == "c";
 
-/// Disturbances after a cancellation, by name, moment and what they do.
-pub const AFTER_A_CANCELLATION: [(&str, Moment, Disturbance); 4] = [
-    ("nothing else", CONFIRMED, |_| {}),
-    (
-        "the controller that confirmed it dies",
-        CONFIRMED,
-        |world| {
-            let by = world.users.last_cancel_answered_by;
-            world.inject(Fault::CrashController(by));
+/// All disturbances.
+pub const DISTURBANCES: [Disturbance; 4] = [
+    Disturbance {
+        name: "nothing else",
+        moment: CONFIRMED,
+        begin: |_| {},
+    },
+    Disturbance {
+        name: "the controller that confirmed it dies",
+        moment: CONFIRMED,
+        begin: |world| {
+            let controller = world.users.last_cancel_answered_by;
+            world.inject(Fault::CrashController(controller));
         },
-    ),
-    (
-        "the leader changes before it is tidied",
-        ON_RECORD,
-        |world| {
+    },
+    Disturbance {
+        name: "the leader changes before it is tidied",
+        moment: ON_RECORD,
+        begin: |world| {
             let dependent_open = world.stage_on_record(SECOND_JOB) == "o";
             assert!(dependent_open, "cascaded before the leader could change");
             for _ in 0..3 {
@@ -194,20 +54,22 @@
                 world.run_for(700 * MILLISECOND);
             }
         },
-    ),
-    ("the state service goes out", CONFIRMED, |world| {
-        world.inject(Fault::StoreOutage(30 * SECOND));
-    }),
+    },
+    Disturbance {
+        name: "the state service goes out",
+        moment: CONFIRMED,
+        begin: |world| world.inject(Fault::StoreOutage(30 * SECOND)),
+    },
 ];
 
 /// Plays a cancellation of the first job; the violations, and what else went wrong.
-pub fn cancellation(seed: u64, moment: Moment, disturb: Disturbance) -> Vec<String> {
+pub fn cancellation(seed: u64, disturbance: &Disturbance) -> Vec<String> {
     let mut world = four_jobs(seed, 100);
     world.cancel(FIRST);
-    if !world.run_until(10 * SECOND, moment) {
+    if !world.run_until(10 * SECOND, disturbance.moment) {
         return vec!["never cancelled".into()];
     }
-    disturb(&mut world);
+    (disturbance.begin)(&mut world);
     if !world.run_until(30 * SECOND, CONFIRMED) {
         return vec!["never confirmed".into()];
     }
@@ -238,9 +100,10 @@
 /// becomes of the controller that confirmed it, the leader and the state service.
 #[test]
 fn a_cancellation_reaches_all_dependents() {
-    for (name, moment, disturb) in AFTER_A_CANCELLATION {
+    for disturbance in &DISTURBANCES {
+        let name = disturbance.name;
         for seed in 1..=SEEDS {
-            let wrong = cancellation(seed, moment, disturb);
+            let wrong = cancellation(seed, disturbance);
             assert!(wrong.is_empty(), "{name}, seed {seed}: {wrong:?}");
         }
     }
@@ -249,9 +112,10 @@
 /// The tests above notice if cancellations don't reach dependents, or nothing waits.
 #[test]
 fn pipelines_without_their_safeguards_go_wrong() {
-    for (name, moment, disturb) in AFTER_A_CANCELLATION {
+    for disturbance in &DISTURBANCES {
+        let name = disturbance.name;
         let wrong = with_disabled(Safeguard::UpstreamCancellation, || {
-            cancellation(1, moment, disturb)
+            cancellation(1, disturbance)
         });
         assert!(!wrong.is_empty(), "{name}: not noticed");
     }
--- a/src/simulation/trace_digest.rs
+++ b/src/simulation/trace_digest.rs
@@ -12,7 +12,7 @@
 use super::runner::{environment_number, play};
 use super::tests;
 use super::tests::lost_records::{play_decision, play_loss, CancelAgain};
-use super::tests::pipelines::{cancellation, AFTER_A_CANCELLATION};
+use super::tests::pipelines::{cancellation, DISTURBANCES};
 
 /// 64-bit FNV-1a over the records that it is fed. Written out here because the digests must
 /// not depend on the release of the compiler, as `DefaultHasher` does.
@@ -212,9 +212,9 @@
     let mut report = Report(TraceDigest(TraceDigest::OFFSET_BASIS));
     report.days("compound failures", compound_failures::days());
     report.days("partial failures", partial_failures::days());
-    for (name, moment, disturb) in AFTER_A_CANCELLATION {
-        report.seeds("pipelines", name, |seed| {
-            drop(cancellation(seed, moment, disturb))
+    for disturbance in &DISTURBANCES {
+        report.seeds("pipelines", disturbance.name, |seed| {
+            drop(cancellation(seed, disturbance))
         });
     }
     for day in record_losses::days() {
