--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -1,157 +1,177 @@
-//! Action must hold in the simulated world beyond what each event is checked for.
+//! The rules that hold on every day. Those for starts ([`starts`]) and for responses to users
+//! are checked as these happen; [`World::check_invariants`] checks the others every few seconds.
+//!
+//! A violation is recorded with the rule's name and what was seen; the day ends there.
 
-use super::*;
+mod starts;
+mod waiting;
+
+pub use waiting::NeedlessWait;
+
+use std::collections::BTreeMap;
+use std::fmt;
+
+use salttiller_records::units::{Micros, SECOND};
+
+use super::users::Job;
+use super::workers::{task_id, Worker};
+use super::world::World;
+use super::CANCEL_DEADLINE;
+
+/// Once all faults are over, an accepted job has an answer at least this often.
+const LONGEST_SILENCE: Micros = 75 * SECOND;
+
+/// Tolerance of sums of processors and memory.
+const ROUNDING: f64 = 1e-6;
+
+/// A rule of the protocol.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Rule {
+    /// A task runs on one machine at a time.
+    RanTwice,
+    /// Nothing of a cancelled job runs after the deadline.
+    RanCancelled,
+    /// No task starts before all that its job needs is done.
+    TooEarly,
+    /// Tasks run on machines that will do.
+    WrongPlace,
+    /// No team uses more than its limit.
+    Quota,
+    /// What was accepted is known, and answered about.
+    Forgotten,
+    /// A refusal says when to try again.
+    NoRetryAfter,
+    /// A final stage stays.
+    WentBack,
+    /// A job is cancelled with those that it needs.
+    Orphaned,
+    /// A job is done only with every task's result.
+    NotDone,
+    /// No job waits for long beside free capacity.
+    Waits,
+}
+
+impl Rule {
+    /// The protocol's name for a violation of the rule.
+    pub fn name(self) -> &'static str {
+        match self {
+            Rule::RanTwice => "ran_twice",
+            Rule::RanCancelled => "ran_cancelled",
+            Rule::TooEarly => "too_early",
+            Rule::WrongPlace => "wrong_place",
+            Rule::Quota => "quota",
+            Rule::Forgotten => "forgotten",
+            Rule::NoRetryAfter => "no_retry_after",
+            Rule::WentBack => "went_back",
+            Rule::Orphaned => "orphaned",
+            Rule::NotDone => "not_done",
+            Rule::Waits => "waits",
+        }
+    }
+}
+
+/// A violation of a rule, and what was seen of it.
+#[derive(Clone)]
+pub struct Violation {
+    pub at: Micros,
+    pub rule: Rule,
+    pub seen: String,
+}
+
+impl fmt::Debug for Violation {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let seconds = self.at as f64 / SECOND as f64;
+        write!(out, "{seconds:.3} {}: {}", self.rule.name(), self.seen)
+    }
+}
 
 impl World {
-    /// All that is looked at every few seconds of a day.
-    pub(super) fn check_invariants(&mut self) {
+    /// Checks what is checked every few seconds of a day.
+    pub fn check_invariants(&mut self) {
         self.check_cancelled();
-        self.check_known();
+        self.check_answered();
         self.check_waiting();
     }
 
-    /// Whether users asked to cancel a job that this one needs, through others too, and
-    /// when the first was told that it is.
-    pub(super) fn ancestors_told(&self, id: &str) -> Option<Option<Micros>> {
-        let mut todo = self.jobs[id].needs.clone();
-        let mut found: Option<Option<Micros>> = None;
-        while let Some(n) = todo.pop() {
-            let j = &self.jobs[&n];
-            if j.cancel_asked {
-                let first = [found.flatten(), j.cancel_told].into_iter().flatten().min();
-                found = Some(first);
-            }
-            todo.extend(j.needs.iter().cloned());
-        }
-        found
+    /// Records the violation of a rule.
+    pub fn violate(&mut self, rule: Rule, seen: String) {
+        let at = self.now;
+        self.violations.push(Violation { at, rule, seen });
     }
 
-    /// Jobs that are not over, or not even accepted.
-    pub(super) fn left_open(&self) -> Vec<&String> {
-        let open = |j: &Job| !j.accepted || !(j.done_told || j.cancel_told.is_some());
-        let left = self.jobs.iter().filter(|(_, j)| open(j));
-        left.map(|(id, _)| id).collect()
+    /// Whether a rule was violated.
+    pub fn has_violated(&self, rule: Rule) -> bool {
+        self.violations.iter().any(|v| v.rule == rule)
     }
 
-    /// Who is on record as the leader.
-    pub(super) fn leads(&self) -> usize {
-        let holder = self.store.data.get("st/leader");
-        let name = holder.and_then(|(v, ..)| v["holder"].as_str().map(str::to_owned));
-        let mut names = self.settings.iter();
-        names
-            .position(|s| Some(&s.name) == name.as_ref())
-            .unwrap_or(0)
+    /// The job that a task is a part of.
+    fn job_of(&self, task: &str) -> &Job {
+        &self.users.jobs[task_id(task).0]
     }
 
-    /// Once all troubles are over, no accepted job is left without an answer for
-    /// 75 s, however the others fare, and whether it is over or not.
-    pub(super) fn check_known(&mut self) {
-        let now = self.now;
-        let left: Vec<String> = self
-            .jobs
-            .iter()
-            .filter(|(_, j)| j.accepted)
-            .filter(|(_, j)| now > j.answered.max(self.troubles_end) + 75 * SECOND)
-            .map(|(id, _)| id.clone())
-            .collect();
-        for id in left {
-            self.breaks("forgotten", format!("{id}: no answer for 75 s"));
-        }
+    /// A job that must be done before this one and isn't.
+    fn open_dependency<'a>(&self, job: &'a Job) -> Option<&'a String> {
+        let is_open = |id: &&String| !self.users.jobs[*id].has_all_results();
+        job.dependencies.iter().find(is_open)
     }
 
-    /// Once all troubles are over, no job waits for 90 s while machines have room for
-    /// what it lacks and its team is under its limit.
-    pub(super) fn check_waiting(&mut self) {
-        let now = self.now;
-        let mut used: BTreeMap<String, f64> = BTreeMap::new();
-        let mut free: Vec<(bool, f64, f64)> = Vec::new();
-        let mut on: BTreeMap<String, u32> = BTreeMap::new();
-        for w in self.workers.values() {
-            if self.lapsed(w) || w.token == 0 {
-                continue;
-            }
-            let (mut cpus, mut mem) = if w.machine_type == "box" {
-                (4.0, 16.0)
-            } else {
-                (8.0, 64.0)
-            };
-            for (t, s) in w.tasks.iter().filter(|(_, s)| s.stage != "ended") {
-                let id = salttiller_records::model::parse_task(t).unwrap().0;
-                let j = &self.jobs[id];
-                cpus -= j.cpus;
-                mem -= 1.0;
-                let team = j.spec["crew"].as_str().unwrap().to_owned();
-                *used.entry(team).or_default() += j.cpus;
-                *on.entry(id.to_owned()).or_default() += u32::from(s.stage != "ended");
+    /// Checks that no team's tasks use more than its limit.
+    pub fn check_quota(&mut self) {
+        let mut used: BTreeMap<&'static str, f64> = BTreeMap::new();
+        for (_, worker) in self.live_workers() {
+            for (task, _) in worker.active_tasks() {
+                let job = self.job_of(task);
+                *used.entry(job.team).or_default() += job.cpus;
             }
-            free.push((w.spot, cpus, mem));
         }
-        let mut stuck = Vec::new();
-        for (id, j) in &self.jobs {
-            let over = j.done_told || j.cancel_told.is_some() || j.cancel_asked;
-            let have = on.get(id).copied().unwrap_or(0) + j.done.len() as u32;
-            let undone = |n: &String| (self.jobs[n].done.len() as u32) < self.jobs[n].tasks;
-            let held = j.needs.iter().any(undone);
-            if !j.accepted || over || held || have >= j.tasks {
-                self.waits.remove(id);
-                continue;
-            }
-            let gang = j.spec["furrow"] != "batch";
-            let lack = if gang { j.tasks - have } else { 1 };
-            let fits = |(spot, cpus, mem): &(bool, f64, f64)| {
-                if *spot && !j.spec["fallow"].as_bool().unwrap() {
-                    return 0;
-                }
-                (cpus / j.cpus + 1e-6).min(*mem).max(0.0) as u32
-            };
-            let room: u32 = free.iter().map(fits).sum();
-            let team = j.spec["crew"].as_str().unwrap();
-            let limit = self.settings[0].team(team).unwrap().limit;
-            let limit = limit.map_or(f64::INFINITY, |l| l.cpus as f64 / 1e6);
-            let use_ = used.get(team).copied().unwrap_or(0.0);
-            self.seen.crowded += u32::from(room < lack);
-            if room < lack || use_ + lack as f64 * j.cpus > limit + 1e-6 {
-                self.waits.remove(id);
-                continue;
-            }
-            let begun = j.starts;
-            let e = self.waits.entry(id.clone()).or_insert((now, begun));
-            if e.1 != begun {
-                *e = (now, begun);
-            }
-            let since = e.0;
-            if now > since.max(self.troubles_end) + 90 * SECOND {
-                stuck.push(format!(
-                    "{id}: {} of {have} there, room for {room}, team uses {use_} of {limit}, {}",
-                    j.tasks, j.spec
-                ));
+        for (team, used) in used {
+            let limit = self.cpu_limit(team);
+            let peak = self.observations.peak_quota_use;
+            self.observations.peak_quota_use = peak.max(used / limit);
+            if used > limit + ROUNDING {
+                self.violate(Rule::Quota, format!("{team} uses {used} of {limit}"));
             }
         }
-        for what in stuck {
-            self.breaks("waits", what);
+    }
+
+    /// The processors that a team may use.
+    fn cpu_limit(&self, team: &str) -> f64 {
+        let limit = self.settings[0].team(team).unwrap().limit;
+        limit.map_or(f64::INFINITY, |l| l.cpus as f64 / 1e6)
+    }
+
+    /// Once all faults are over, no accepted job is left without an answer, however the others
+    /// fare, and whether it is done or not.
+    pub fn check_answered(&mut self) {
+        let is_silent = |job: &Job| {
+            let since = job.last_answered_at.max(self.faults_end);
+            job.accepted && self.now > since + LONGEST_SILENCE
+        };
+        let silent = self.users.jobs.iter().filter(|(_, job)| is_silent(job));
+        let silent: Vec<String> = silent.map(|(id, _)| id.clone()).collect();
+        for id in silent {
+            self.violate(Rule::Forgotten, format!("{id}: no answer for 75 s"));
         }
     }
 
-    /// Every cancelled job's tasks are gone in time, hanging machines included.
-    pub(super) fn check_cancelled(&mut self) {
-        let late: Vec<String> = self
-            .workers
-            .values()
-            .filter(|w| !self.lapsed(w))
-            .flat_map(|w| {
-                w.tasks
-                    .iter()
-                    .filter(|(_, s)| s.stage != "ended")
-                    .map(|(t, _)| t.clone())
-            })
-            .filter(|t| {
-                self.jobs[salttiller_records::model::parse_task(t).unwrap().0]
-                    .cancel_told
-                    .is_some_and(|c| self.now > c + 41 * SECOND)
-            })
-            .collect();
-        for t in late {
-            self.breaks("ran_cancelled", t);
+    /// Checks that every cancelled job's tasks are gone in time, those on paused machines
+    /// included.
+    pub fn check_cancelled(&mut self) {
+        let is_late = |task: &str| {
+            let confirmed_at = self.job_of(task).cancel_confirmed_at;
+            confirmed_at.is_some_and(|at| self.now > at + CANCEL_DEADLINE)
+        };
+        let active = self.live_workers().flat_map(|(_, w)| w.active_tasks());
+        let late = active.map(|(task, _)| task).filter(|task| is_late(task));
+        let late: Vec<String> = late.cloned().collect();
+        for task in late {
+            self.violate(Rule::RanCancelled, task);
         }
     }
+
+    /// Workers that have not lost their tasks.
+    pub fn live_workers(&self) -> impl Iterator<Item = (&String, &Worker)> {
+        let workers = self.workers.iter();
+        workers.filter(|(_, worker)| !worker.has_lost_tasks(self.now))
+    }
 }
