--- a/src/peer_protocol.rs
+++ b/src/peer_protocol.rs
@@ -11,7 +11,9 @@
 
 pub use codec::{decode, encode};
 pub use message::{Message, UNDERSTANDS_EXTENSIONS};
-pub use region_report::{PendingJob, PoolCapacity, ProvisioningHealth, RegionReport, RunningTasks};
+pub use region_report::{
+    FreeResources, PendingJob, PoolCapacity, ProvisioningHealth, RegionReport, RunningTasks,
+};
 pub use status::{ObjectiveStatus, RegionStatus, Status};
 
 #[cfg(test)]
--- a/src/peer_protocol/region_report.rs
+++ b/src/peer_protocol/region_report.rs
@@ -4,6 +4,8 @@
 
 use rkyv::{Archive, Deserialize, Serialize};
 
+use salttiller_records::Resources;
+
 /// State of a region as its owner sees it.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct RegionReport {
@@ -45,11 +47,42 @@
     /// Whether they are ready for placement; if not, they are being provisioned.
     pub available: bool,
     /// Free processors, cards and memory of each machine, rounded down.
-    pub free: (u64, u64, u64),
+    pub free: FreeResources,
     /// How many machines.
     pub machines: u32,
 }
 
+/// Free resources of a machine, in millionths; memory in those of a GB.
+#[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
+pub struct FreeResources {
+    /// Processors.
+    pub cpus: u64,
+    /// Accelerators.
+    pub gpus: u64,
+    /// Memory.
+    pub memory: u64,
+}
+
+impl From<Resources> for FreeResources {
+    fn from(free: Resources) -> Self {
+        FreeResources {
+            cpus: free.cpus,
+            gpus: free.gpus,
+            memory: free.memory,
+        }
+    }
+}
+
+impl From<FreeResources> for Resources {
+    fn from(free: FreeResources) -> Self {
+        Resources {
+            cpus: free.cpus,
+            gpus: free.gpus,
+            memory: free.memory,
+        }
+    }
+}
+
 /// A job with pending tasks in a region.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct PendingJob {
--- a/src/peer_protocol/tests.rs
+++ b/src/peer_protocol/tests.rs
@@ -18,7 +18,11 @@
                 zone: "a".into(),
                 spot: false,
                 available: true,
-                free: (1, 2, 3),
+                free: FreeResources {
+                    cpus: 1,
+                    gpus: 2,
+                    memory: 3,
+                },
                 machines: 4,
             }],
             pending_jobs: vec![PendingJob {
@@ -139,12 +143,12 @@
 /// kept in different places.
 fn every_kind() -> Vec<(&'static str, Message)> {
     let long = || "a-name-longer-than-eight-bytes".to_owned();
-    let room = |machine_type: &str, spot, live, free, machines| PoolCapacity {
+    let pool = |machine_type: &str, spot, available, (cpus, gpus, memory), machines| PoolCapacity {
         machine_type: machine_type.into(),
         zone: "b".into(),
         spot,
-        available: live,
-        free,
+        available,
+        free: FreeResources { cpus, gpus, memory },
         machines,
     };
     let wait = |job: String, waiting, since_us, stuck| PendingJob {
@@ -167,8 +171,8 @@
         token: 1 << 40,
         reconciled: true,
         capacity: vec![
-            room("g8", true, false, (1, 2, 3), 4),
-            room("h4", false, true, (5 << 33, 6 << 33, 7 << 33), 70_000),
+            pool("g8", true, false, (1, 2, 3), 4),
+            pool("h4", false, true, (5 << 33, 6 << 33, 7 << 33), 70_000),
         ],
         pending_jobs: vec![
             wait("req-1".into(), 5, 6, true),
