--- a/crates/records/src/record/job.rs
+++ b/crates/records/src/record/job.rs
@@ -93,6 +93,7 @@
 
 /// Writes a spec as submitted: what the replica derives from other records is never
 /// stored.
+#[expect(clippy::ref_option, reason = "serde passes the field's own type")]
 fn serialize_stored_spec<S: Serializer>(
     spec: &Option<Rc<JobSpec>>,
     serializer: S,
--- a/crates/records/src/tests/job_records.rs
+++ b/crates/records/src/tests/job_records.rs
@@ -114,7 +114,7 @@
     }
     refuses::<JobStage>(&[r#""Open""#, r#""x""#, r#""""#, "0", "null"]);
     keeps(&TaskRange::new(1, 2, "t-0"), r#"[1,2,"t-0"]"#);
-    refuses::<TaskRange>(&[r#"[1,2]"#, r#"[1,2,3]"#, r#"[-1,2,"t-0"]"#]);
+    refuses::<TaskRange>(&[r"[1,2]", r"[1,2,3]", r#"[-1,2,"t-0"]"#]);
     keeps(&MultiRegionAttempt::from((9, None)), "[9,null]");
     keeps(
         &MultiRegionAttempt::from((9, Some("a".into()))),
--- a/crates/records/src/tests/keys_and_bitmaps.rs
+++ b/crates/records/src/tests/keys_and_bitmaps.rs
@@ -111,7 +111,9 @@
 fn progress_keeps_its_text() {
     let ranges = |ranges: &[(u32, u32)]| {
         let mut set = RangeSet::default();
-        ranges.iter().for_each(|(s, e)| set.insert_range(*s, *e));
+        for (first, end) in ranges {
+            set.insert_range(*first, *end);
+        }
         set
     };
     for (done, chunk, text) in [
--- a/crates/salttillerctl/src/archive_settings.rs
+++ b/crates/salttillerctl/src/archive_settings.rs
@@ -56,8 +56,8 @@
         cause,
     })?;
     let mut settings = ArchiveSettings::default();
-    for (section, properties) in ini.iter() {
-        for (key, value) in properties.iter() {
+    for (section, properties) in &ini {
+        for (key, value) in properties {
             let property = Property {
                 file,
                 field: format!("{}.{key}", section.unwrap_or("")),
--- a/crates/salttillerctl/tests/archive_measurement.rs
+++ b/crates/salttillerctl/tests/archive_measurement.rs
@@ -1,6 +1,9 @@
 //! Measures an archive of a large store; long, so left out of CI:
 //! `cargo test --release --profile tools -p salttillerctl --test archive_measurement -- --ignored --nocapture`
 
+// Set-up of tests outside of test functions, which clippy.toml does not cover.
+#![allow(clippy::unwrap_used, clippy::expect_used, clippy::indexing_slicing)]
+
 use std::path::Path;
 use std::process::Command;
 use std::thread;
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -99,7 +99,7 @@
         }
         match stream.read(&mut chunk)? {
             0 => return Ok(None),
-            length => received.extend_from_slice(&chunk[..length]),
+            length => received.extend(chunk.iter().take(length)),
         }
     }
 }
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -84,6 +84,7 @@
 
 /// Calls to the cloud as they are sent, and its answers, as bytes.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn calls_to_the_cloud_keep_their_bytes() {
     let files = crate::fixtures::read(include_str!("fixtures/cloud.hex"));
     let offer = |machine_type: &str, zone: &str, spot| Offer {
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -68,7 +68,7 @@
                 let job = (*job).to_owned();
                 self.on_job_request(conn, ClientRequest::Cancel { job });
             }
-            (_, ["ready"] | ["v1", "report"] | ["work"] | ["work", _] | ["work", _, "abort"]) => {
+            (_, ["ready" | "work"] | ["v1", "report"] | ["work", _] | ["work", _, "abort"]) => {
                 self.respond(conn, METHOD_NOT_ALLOWED, Vec::new());
             }
             _ => self.respond(conn, NOT_FOUND, Vec::new()),
--- a/src/controller/client_requests/submissions.rs
+++ b/src/controller/client_requests/submissions.rs
@@ -63,7 +63,7 @@
                 log::info!("job={job}: submission refused: {refusal}");
                 self.respond(conn, BAD_REQUEST, refusal.to_string().into_bytes());
             }
-            _ => {
+            AdmissionError::Unsatisfiable(_) => {
                 // Another controller may have accepted it a moment ago: only the records can
                 // tell.
                 log::info!("job={job}: submission refused unless it is on record: {refusal}");
--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -25,7 +25,7 @@
     pub fn on_cloud_event(&mut self, event: &CloudEvent, context: &SchedulingContext<'_>) {
         match event {
             CloudEvent::MachineTypes(machine_types) => {
-                self.on_machine_types(machine_types, context)
+                self.on_machine_types(machine_types, context);
             }
             CloudEvent::Rented {
                 offer,
--- a/src/peer_protocol/tests.rs
+++ b/src/peer_protocol/tests.rs
@@ -141,6 +141,7 @@
 /// A message of each kind under the name of its bytes in `fixtures/messages.hex`: no field
 /// has its default, lists have two entries, and texts are both short and long, which are
 /// kept in different places.
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn every_kind() -> Vec<(&'static str, Message)> {
     let long = || "a-name-longer-than-eight-bytes".to_owned();
     let pool = |machine_type: &str, spot, available, (cpus, gpus, memory), machines| PoolCapacity {
--- a/src/region.rs
+++ b/src/region.rs
@@ -291,7 +291,11 @@
         for name in names {
             self.on_machine(&name, context);
         }
-        let mut ids: BTreeSet<String> = self.jobs.keys().map(|id| id.to_string()).collect();
+        let mut ids: BTreeSet<String> = self
+            .jobs
+            .keys()
+            .map(std::string::ToString::to_string)
+            .collect();
         ids.extend(context.replica.ready_jobs.iter().cloned());
         for id in ids {
             self.on_job(&id, context);
--- a/src/region/machine_checks.rs
+++ b/src/region/machine_checks.rs
@@ -176,7 +176,7 @@
         let was_interrupted = machine
             .interruption_at
             .is_some_and(|interruption_at| now > interruption_at + SECOND);
-        if now > self.lease_expires_at(machine, settings) {
+        if now > Self::lease_expires_at(machine, settings) {
             Silence::LeaseExpired
         } else if was_interrupted && silent_for(interrupted_silence_timeout(settings)) {
             Silence::Lost(CordonReason::Interrupted)
@@ -200,7 +200,7 @@
 
     /// When a machine that stays silent is certain to run no task. Nobody else can have
     /// answered it since the region was acquired, and any answer before is older than that.
-    fn lease_expires_at(&self, machine: &Machine, settings: &Settings) -> Micros {
+    fn lease_expires_at(machine: &Machine, settings: &Settings) -> Micros {
         machine.last_answered_at + lease_time(settings) + LEASE_MARGIN
     }
 
@@ -240,7 +240,7 @@
         if machine.record.activated && !is_booting {
             let silent_at =
                 machine.last_heartbeat_at + self.silence_timeout_of(name, context.settings);
-            let expires_at = self.lease_expires_at(machine, context.settings);
+            let expires_at = Self::lease_expires_at(machine, context.settings);
             return CheckOutcome::CheckAt((now + SECOND).max(silent_at.min(expires_at)));
         }
         let overdue_at = overdue_at(machine);
--- a/src/region/preemption.rs
+++ b/src/region/preemption.rs
@@ -155,7 +155,7 @@
             is_guaranteed: job
                 .queue_key
                 .as_ref()
-                .is_some_and(|key| key.is_guaranteed()),
+                .is_some_and(super::queue::QueueKey::is_guaranteed),
             tasks: match job.spec.kind {
                 JobKind::Gang => u64::from(job.tasks.bound().len()),
                 JobKind::Array | JobKind::Service => {
--- a/src/region/reassignment.rs
+++ b/src/region/reassignment.rs
@@ -96,7 +96,7 @@
             && is_place_kept
             && assignment.stop_grace.is_none()
             && self.may_take(task, job, name, to, context)
-            && self.starts_sooner(&job.spec, assignment, from, to, context);
+            && Self::starts_sooner(&job.spec, assignment, from, to, context);
         may_move.then(|| Reassignment {
             from: from_name.clone(),
             attempt: assignment.attempt,
@@ -124,7 +124,6 @@
 
     /// Whether a task would start sooner on the machine that reports now.
     fn starts_sooner(
-        &self,
         spec: &JobSpec,
         assignment: &Assignment,
         from: &Machine,
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -55,9 +55,9 @@
         cause,
     })?;
     let mut settings = base;
-    for (section, properties) in ini.iter() {
+    for (section, properties) in &ini {
         let section = section.unwrap_or("");
-        for (key, value) in properties.iter() {
+        for (key, value) in properties {
             settings
                 .set(section, key, value)
                 .map_err(|cause| SettingsError::Field {
--- a/src/simulation/days/compound_failures.rs
+++ b/src/simulation/days/compound_failures.rs
@@ -140,7 +140,7 @@
             let mut faults: Vec<PlannedFault> = (0..10)
                 .map(|i| {
                     at(
-                        15.0 + i as f64 * 11.0 + rng.f64() * 3.0,
+                        15.0 + f64::from(i) * 11.0 + rng.f64() * 3.0,
                         Fault::RestartLeader,
                     )
                 })
@@ -265,7 +265,7 @@
             let mut faults: Vec<PlannedFault> = (0..6)
                 .map(|i| {
                     at(
-                        20.0 + i as f64 * 17.0 + rng.f64() * 9.0,
+                        20.0 + f64::from(i) * 17.0 + rng.f64() * 9.0,
                         Fault::RestartLeader,
                     )
                 })
@@ -330,7 +330,7 @@
             let mut faults: Vec<PlannedFault> = (0..5)
                 .map(|i| {
                     at(
-                        25.0 + i as f64 * 23.0 + rng.f64() * 9.0,
+                        25.0 + f64::from(i) * 23.0 + rng.f64() * 9.0,
                         Fault::RestartLeader,
                     )
                 })
@@ -385,7 +385,7 @@
         faults: |rng| {
             let start = 25.0 + rng.f64() * 60.0;
             let mut faults: Vec<PlannedFault> = (0..5)
-                .map(|i| at(start + i as f64 * 2.0, Fault::FailMachine))
+                .map(|i| at(start + f64::from(i) * 2.0, Fault::FailMachine))
                 .collect();
             faults.push(at(start + 3.0, Fault::RestartLeader));
             faults.push(at(start + 30.0, Fault::RebootMachine));
--- a/src/simulation/invariants/waiting.rs
+++ b/src/simulation/invariants/waiting.rs
@@ -119,7 +119,7 @@
         }
         let used = usage.cpus_by_team.get(job.team).copied().unwrap_or(0.0);
         let limit = self.cpu_limit(job.team);
-        if used + lacking as f64 * job.cpus > limit + ROUNDING {
+        if used + f64::from(lacking) * job.cpus > limit + ROUNDING {
             return Outlook::OverLimit;
         }
         Outlook::CouldRun(format!(
--- a/src/simulation/tests/seeded.rs
+++ b/src/simulation/tests/seeded.rs
@@ -55,7 +55,7 @@
 fn days_with_faults_keep_the_rules() {
     let starts: u32 = seeds().map(|seed| check(&seeded::with_faults(seed))).sum();
     let least = 50 * seeds().end();
-    assert!(starts as u64 > least, "only {starts} starts");
+    assert!(u64::from(starts) > least, "only {starts} starts");
 }
 
 /// Lost responses, reboots, late duplicates, controllers isolated with their workers or restarted
--- a/src/simulation/trace_digest.rs
+++ b/src/simulation/trace_digest.rs
@@ -214,7 +214,7 @@
     report.days("partial failures", partial_failures::days());
     for disturbance in &DISTURBANCES {
         report.seeds("pipelines", disturbance.name, |seed| {
-            drop(cancellation(seed, disturbance))
+            drop(cancellation(seed, disturbance));
         });
     }
     for day in record_losses::days() {
@@ -223,14 +223,14 @@
     for day in record_losses::set_back_days() {
         let name = format!("{}, decided", day.name);
         report.seeds("lost records", &name, |seed| {
-            drop(play_decision(day, seed, CancelAgain::Yes))
+            drop(play_decision(day, seed, CancelAgain::Yes));
         });
     }
     report.seeds("scenarios", "plain", |seed| {
-        drop(play(&seeded::with_faults(seed)))
+        drop(play(&seeded::with_faults(seed)));
     });
     report.seeds("scenarios", "harder", |seed| {
-        drop(play(&seeded::with_more_faults(seed)))
+        drop(play(&seeded::with_more_faults(seed)));
     });
     for (suite, name, test) in TESTS_WITH_OWN_SEEDS {
         report.line(suite, name, "own seeds", digest_of(test));
--- a/src/simulation/users.rs
+++ b/src/simulation/users.rs
@@ -242,7 +242,10 @@
     }
 
     fn running_tasks_of(&self, job: &str) -> u32 {
-        let tasks = self.workers.values().flat_map(|w| w.active_tasks());
+        let tasks = self
+            .workers
+            .values()
+            .flat_map(super::workers::Worker::active_tasks);
         tasks.filter(|(id, _)| task_id(id).0 == job).count() as u32
     }
 
--- a/src/state_store/pipelines/tests.rs
+++ b/src/state_store/pipelines/tests.rs
@@ -106,7 +106,11 @@
                 let ready = states.matches('r').count();
                 assert_eq!(records.replica.ready_jobs.len(), ready, "{case}");
                 assert_eq!(
-                    records.replica.teams.get("red").map_or(0, |t| t.len()),
+                    records
+                        .replica
+                        .teams
+                        .get("red")
+                        .map_or(0, std::collections::BTreeMap::len),
                     ready,
                     "{case}"
                 );
@@ -213,7 +217,7 @@
     let before = (LENGTH - 1).to_string();
     let urgent = json!({"r": "2", "e": 0, "d": 30_000_000_000u64});
     let first = lookups(&mut records, |records| {
-        records.open(&last, &[&before], urgent)
+        records.open(&last, &[&before], urgent);
     });
     let bound = 4 * MAX_STEPS_PER_CHANGE as u64;
     assert!(first <= bound, "{first} lookups");
@@ -224,7 +228,7 @@
     let mut rounds = 0;
     while records.replica.has_unpropagated() {
         let looked = lookups(&mut records, |records| {
-            records.replica.continue_propagation()
+            records.replica.continue_propagation();
         });
         assert!(looked <= bound, "{looked} lookups");
         rounds += 1;
@@ -289,7 +293,7 @@
     let mut steps = chain(MANY);
     for i in 0..MANY {
         let looked = lookups(&mut steps, |records| {
-            records.done(&i.to_string(), 200_000_000)
+            records.done(&i.to_string(), 200_000_000);
         });
         assert!(looked <= 16, "step {i}: {looked} lookups");
     }
--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -1,5 +1,8 @@
 //! The program's commands: what they print, and the exit codes that scripts go by.
 
+// Set-up of tests outside of test functions, which clippy.toml does not cover.
+#![allow(clippy::unwrap_used, clippy::expect_used, clippy::indexing_slicing)]
+
 use std::net::TcpListener;
 use std::process::{Command, Output};
 
--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -1,5 +1,8 @@
 //! What the documents name exists: files, and types and constants of the code.
 
+// Set-up of tests outside of test functions, which clippy.toml does not cover.
+#![allow(clippy::unwrap_used, clippy::expect_used, clippy::indexing_slicing)]
+
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
