--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn submissions_good_and_bad() {
+fn submissions_are_validated() {
     let bytes = |v: &Value| rmp_serde::to_vec(v).unwrap();
     let (id, s) = parse_submission(&bytes(&good()), 7).unwrap();
     assert_eq!(id, "req-000412");
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn what_can_never_run() {
+fn unsatisfiable_jobs_are_refused() {
     let settings = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
     let mut r = Replica::default();
     let base = parse_submission(&rmp_serde::to_vec(&good()).unwrap(), 0)
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn the_limit_follows_measured_times() {
+fn the_limit_follows_latency() {
     let mut l = ConcurrencyLimiter::new(200);
     let start = l.limit();
     let mut now = 0;
@@ -257,9 +257,9 @@
     }
 }
 
-/// Answers to submissions, questions and cancellations as bytes.
+/// Job states as bytes, as submissions, polls and cancellations are answered.
 #[test]
-fn states_keep_their_bytes() {
+fn job_states_keep_their_bytes() {
     let files = crate::fixtures::read(include_str!("fixtures/states.hex"));
     let counted = |done, running| Some(TaskCounts { done, running });
     let cases = [
--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -4,8 +4,9 @@
 //! that matter though no objective may be breached yet. The controller shows it the open jobs
 //! and the conditions, and logs the alerts that it returns.
 
+mod condition_watch;
 pub mod conditions;
-pub mod pipelines;
+mod pipelines;
 pub mod poll_rate;
 
 use std::collections::VecDeque;
@@ -14,7 +15,8 @@
 use crate::peer_protocol::Status;
 use crate::settings::{Objective, OperatorSettings};
 use crate::slo::{ObjectiveState, ObservedJob, SloTracker, Transition};
-use conditions::{Condition, ConditionWatch};
+use condition_watch::ConditionWatch;
+use conditions::Condition;
 use pipelines::{expected_end, PipelineWatch, Step};
 use salttiller_records::units::Micros;
 
--- a/src/alerts/pipelines.rs
+++ b/src/alerts/pipelines.rs
@@ -58,18 +58,11 @@
         is_open: impl Fn(&str) -> bool,
         cause: &str,
     ) -> Vec<Alert> {
-        let mut slowest: BTreeMap<&str, Step<'a>> = BTreeMap::new();
-        for step in steps {
-            let known = slowest.entry(step.last).or_insert(step);
-            if lateness(&step) > lateness(known) {
-                *known = step;
-            }
-        }
         // One that is over is judged by its class's objective.
         self.late.retain(|last| is_open(last));
         let mut alerts = Vec::new();
         let mut unnamed = 0;
-        for step in slowest.into_values() {
+        for step in slowest_steps(steps) {
             let delay = lateness(&step);
             let spare = (step.deadline as f64 * self.margin) as i64;
             if self.late.contains(step.last) {
@@ -93,6 +86,18 @@
     }
 }
 
+/// The step of each pipeline that will be latest, by the pipeline's last job.
+fn slowest_steps<'a>(steps: impl Iterator<Item = Step<'a>>) -> impl Iterator<Item = Step<'a>> {
+    let mut slowest: BTreeMap<&str, Step<'a>> = BTreeMap::new();
+    for step in steps {
+        let known = slowest.entry(step.last).or_insert(step);
+        if lateness(&step) > lateness(known) {
+            *known = step;
+        }
+    }
+    slowest.into_values()
+}
+
 /// How much later than it must be a step will be done; negative if it has time to spare.
 fn lateness(step: &Step<'_>) -> i64 {
     step.expected as i64 - step.due as i64
--- a/src/alerts/poll_rate/tests.rs
+++ b/src/alerts/poll_rate/tests.rs
@@ -5,7 +5,7 @@
 
 /// Many times the usual rate of polls is a storm, a slow rise and a few more are not.
 #[test]
-fn storms_are_told_from_a_rise() {
+fn a_storm_differs_from_a_rise() {
     let mut rate = PollRate::default();
     let mut now = 0;
     let mut second = |polls: u32| {
--- a/src/alerts/tests.rs
+++ b/src/alerts/tests.rs
@@ -45,7 +45,7 @@
 /// One alert when an objective is breached, none while it stays so, one when it has
 /// recovered; what is older than the window no longer counts.
 #[test]
-fn alerts_come_once() {
+fn a_breach_and_its_end_are_alerted_once() {
     let mut a = monitor(0.1);
     let t0 = 1000 * SECOND;
     let mut jobs: Vec<(String, JobSpec, bool)> = Vec::new();
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_return_is_asked_once_until_gone() {
+fn a_machine_is_released_once() {
     let mut f = cloud_client();
     f.release(vec!["m-1".into()]);
     f.release(vec!["m-1".into()]);
--- a/src/peer_protocol/tests.rs
+++ b/src/peer_protocol/tests.rs
@@ -205,12 +205,12 @@
         ready_machines: 14,
         pending_tasks: 15,
     };
-    let aim = |aim: String, behind| ObjectiveStatus {
-        objective: aim,
+    let objective = |objective: String, breached| ObjectiveStatus {
+        objective,
         met: 16,
         total: 17,
         target: 0.75,
-        breached: behind,
+        breached,
     };
     let status = Status {
         name: "t-0".into(),
@@ -223,7 +223,7 @@
             status_region("t-1", None, false),
         ],
         pending_tasks: vec![("x".into(), 19), (long(), 20)],
-        objectives: vec![aim("wait".into(), true), aim(long(), false)],
+        objectives: vec![objective("wait".into(), true), objective(long(), false)],
         alerts: vec!["aim".into(), long()],
     };
     vec![
--- a/src/reactor/lifecycle.rs
+++ b/src/reactor/lifecycle.rs
@@ -66,8 +66,8 @@
     }
 
     /// Closes the connection of a user or worker that has been idle the longest, to make room
-    /// for another. Guards against workers that are never heard, for as long as there are more
-    /// of them than connections. Whether there was one.
+    /// for another. Guards against workers whose heartbeats never arrive, for as long as there
+    /// are more of them than connections. Whether there was one.
     fn close_idle_served(&mut self) -> bool {
         // The order of deadlines is that of the last use; connections of other roles are
         // among them.
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of settings, and settings for other tests.
+//! Tests of settings, and settings for tests of other modules.
 
 use super::*;
 
-/// Settings for tests of other slices: three controllers, one zone.
+/// Settings for tests of other modules: three controllers, one zone.
 pub fn sample() -> String {
     serde_json::json!({
         "host_name": "t-0", "area": "a", "front": "127.0.0.1:7000", "mesh_addr": "127.0.0.1:7001",
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn platform_file() {
+fn the_platform_file_is_validated() {
     let s = Settings::parse("f", &sample()).unwrap();
     assert_eq!(s.regions(), ["t-0", "t-1", "t-2"]);
     assert!(s.owner_lease_life() + s.worker_lease + 2 * units::SECOND < s.cancellation_deadline);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn operators_ini() {
+fn the_operators_file_is_validated() {
     let ok = parse_operator_settings(
         "i",
         "[classes]\nprecedence = a, b\n[renting]\nidle_s = 30\n",
--- a/src/slo/tests.rs
+++ b/src/slo/tests.rs
@@ -1,9 +1,10 @@
 //! Tests of objectives.
 
+use super::objective::judge;
 use super::*;
 
 #[test]
-fn jobs_count_where_they_should() {
+fn jobs_count_for_the_objectives_that_they_should() {
     let t = |class: &str, guaranteed, started| TrackedJob {
         submitted: 0,
         deadline: Some(30 * SECOND),
--- a/src/status/tests.rs
+++ b/src/status/tests.rs
@@ -14,12 +14,12 @@
         ready_machines: 2,
         pending_tasks: 1,
     };
-    let aim = |aim: &str, share, behind| ObjectiveStatus {
-        objective: aim.into(),
+    let objective = |objective: &str, target, breached| ObjectiveStatus {
+        objective: objective.into(),
         met: 4,
         total: 5,
-        target: share,
-        breached: behind,
+        target,
+        breached,
     };
     let full = Status {
         name: "t-0".into(),
@@ -30,8 +30,8 @@
         regions: vec![region("t-0", Some("t-0"), true), region("t-1", None, false)],
         pending_tasks: vec![("train".into(), 6), ("web".into(), 0)],
         objectives: vec![
-            aim("train, wait within 10 s", 0.95, true),
-            aim("guarantee", 1.0, false),
+            objective("train, wait within 10 s", 0.95, true),
+            objective("guarantee", 1.0, false),
         ],
         alerts: vec!["aim behind".into()],
     };
--- a/src/worker_protocol/tests.rs
+++ b/src/worker_protocol/tests.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 #[test]
-fn reports_good_and_bad() {
+fn heartbeats_are_validated() {
     let good = json!({"tiller":"m-1","address":"x","plot":"g8","field":"a","fallow":true,
         "season":1,"tally":8,"brand":4,"reclaimS":2.5,"new":1,
         "sheaves":[{"sheaf":"req-1/3","sowing":2,"stage":"running"},
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_full_answer_stays_small() {
+fn a_response_with_the_most_commands_stays_small() {
     let job: JobId = Rc::from("req-12345678901234567890");
     let cmds: Vec<_> = (0..MAX_COMMANDS as u32)
         .map(|i| Command::stop(job.clone(), 99_999 - i, u64::MAX, 10_000_000))
@@ -64,9 +64,9 @@
     assert!(v.to_string().len() < 64 * 1024);
 }
 
-/// Reports as bytes: every stage and reason, what may be left out, and what is refused.
+/// Heartbeats as bytes: every state and exit reason, what may be left out, and what is refused.
 #[test]
-fn reports_keep_their_bytes() {
+fn heartbeats_keep_their_bytes() {
     let files = crate::fixtures::read(include_str!("fixtures/reports.hex"));
     let task = |job: &str, task, attempt, stage| ReportedTask {
         job: Rc::from(job),
@@ -159,9 +159,9 @@
     }
 }
 
-/// Answers to reports as bytes, with each command, and where to turn instead.
+/// Responses to heartbeats as bytes: with each command, and redirects.
 #[test]
-fn answers_keep_their_bytes() {
+fn responses_keep_their_bytes() {
     let files = crate::fixtures::read(include_str!("fixtures/answers.hex"));
     let job: JobId = Rc::from("req-1");
     let commands = [
