--- a/crates/archive/src/digest.rs
+++ b/crates/archive/src/digest.rs
@@ -6,7 +6,7 @@
 
 /// Number of records and SHA-256 over them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DigestedRecords {
+pub(crate) struct DigestedRecords {
     /// Number of records.
     pub records: u64,
     /// Digest over all keys, versions and values.
@@ -15,7 +15,7 @@
 
 /// Computes the digest of records, which must be added in ascending order of their keys.
 #[derive(Default)]
-pub struct RecordDigest {
+pub(crate) struct RecordDigest {
     hash: Sha256,
     records: u64,
 }
@@ -23,7 +23,7 @@
 impl RecordDigest {
     /// Adds the next record. Lengths go before variable parts, so that no two lists of records
     /// hash the same bytes.
-    pub fn add(&mut self, key: &str, record: &StoredRecord) {
+    pub(crate) fn add(&mut self, key: &str, record: &StoredRecord) {
         self.hash.update((key.len() as u64).to_le_bytes());
         self.hash.update(key.as_bytes());
         self.hash.update(record.version.to_le_bytes());
@@ -34,7 +34,7 @@
 
     /// The number of records and their digest.
     #[must_use]
-    pub fn finish(self) -> DigestedRecords {
+    pub(crate) fn finish(self) -> DigestedRecords {
         DigestedRecords {
             records: self.records,
             digest: self.hash.finalize().to_vec(),
--- a/crates/salttillerctl/src/archive.rs
+++ b/crates/salttillerctl/src/archive.rs
@@ -21,7 +21,7 @@
 
 /// Commands of `salttillerctl archive`.
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Records all changes, and a snapshot from time to time, until it is ended.
     Run {
         #[command(flatten)]
@@ -75,7 +75,7 @@
 
 /// Where records come from and go to.
 #[derive(clap::Args)]
-pub struct Source {
+pub(crate) struct Source {
     /// The archive; created if there is none.
     archive: PathBuf,
     /// The platform's settings (JSON), those of any controller.
@@ -91,7 +91,7 @@
 
 /// A document with a published schema.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum Document {
+pub(crate) enum Document {
     /// What `archive export` writes.
     ArchiveExport,
     /// What `archive list --json` prints.
@@ -102,7 +102,7 @@
 ///
 /// # Errors
 /// Why the command failed.
-pub fn run(command: &Command) -> Result<(), Failure> {
+pub(crate) fn run(command: &Command) -> Result<(), Failure> {
     match command {
         Command::Run { source, max_s } => {
             let limits = SessionLimits {
@@ -144,7 +144,7 @@
 ///
 /// # Errors
 /// Standard output can't be written.
-pub fn print_schema(document: Document) -> Result<(), Failure> {
+pub(crate) fn print_schema(document: Document) -> Result<(), Failure> {
     let schema = match document {
         Document::ArchiveExport => schema_for!(ExportDocument),
         Document::ArchiveList => schema_for!(ListDocument),
--- a/crates/salttillerctl/src/archive_settings.rs
+++ b/crates/salttillerctl/src/archive_settings.rs
@@ -10,7 +10,7 @@
 
 /// How the archive is kept.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ArchiveSettings {
+pub(crate) struct ArchiveSettings {
     /// Share of the state service's requests a second that the recorder uses at most.
     pub request_share: f64,
     /// Least time between two requests for changes, in seconds.
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// The file can't be read, has an unknown section or key, or a value out of its range.
-pub fn read_archive_settings(path: Option<&Path>) -> Result<ArchiveSettings, SettingsError> {
+pub(crate) fn read_archive_settings(path: Option<&Path>) -> Result<ArchiveSettings, SettingsError> {
     let Some(path) = path else {
         return Ok(ArchiveSettings::default());
     };
--- a/crates/salttillerctl/src/failure.rs
+++ b/crates/salttillerctl/src/failure.rs
@@ -12,7 +12,7 @@
 
 /// Why a command failed; the message is one line.
 #[derive(Debug, Error)]
-pub enum Failure {
+pub(crate) enum Failure {
     /// The platform's settings or the INI can't be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -40,7 +40,7 @@
     /// The exit code, by which scripts tell failures apart; docs/operators/recovery.md lists
     /// them. 2 is clap's, for a wrong call.
     #[must_use]
-    pub fn exit_code(&self) -> ExitCode {
+    pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Failure::StandardOutput(_) => 1,
             Failure::Settings(_) => 3,
--- a/crates/salttillerctl/src/output.rs
+++ b/crates/salttillerctl/src/output.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 /// The file, or the temporary one next to it, can't be written.
-pub fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
+pub(crate) fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut temporary_name = path.as_os_str().to_owned();
     temporary_name.push(format!(".new-{}", std::process::id()));
     let temporary = PathBuf::from(temporary_name);
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 /// Standard output can't be written.
-pub fn print_json<T: Serialize>(document: &T) -> Result<(), Failure> {
+pub(crate) fn print_json<T: Serialize>(document: &T) -> Result<(), Failure> {
     serde_json::to_string_pretty(document)
         .map_err(io::Error::from)
         .and_then(|text| writeln!(io::stdout().lock(), "{text}"))
--- a/crates/salttillerctl/src/recover.rs
+++ b/crates/salttillerctl/src/recover.rs
@@ -22,7 +22,7 @@
 
 /// Commands of `salttillerctl recover`.
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Shows whether controllers hold because the state service lost records.
     Status {
         /// The platform's settings (JSON), those of any controller.
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// Why the command failed.
-pub fn run(command: &Command) -> Result<(), Failure> {
+pub(crate) fn run(command: &Command) -> Result<(), Failure> {
     match command {
         Command::Status { config, json } => {
             let platform = Settings::load(config, None)?;
--- a/crates/salttillerctl/src/state_service.rs
+++ b/crates/salttillerctl/src/state_service.rs
@@ -16,7 +16,7 @@
 
 /// Why the state service gave no usable answer.
 #[derive(Debug, Error)]
-pub enum StateServiceError {
+pub(crate) enum StateServiceError {
     /// There was no answer.
     #[error(transparent)]
     Client(#[from] ClientError),
@@ -33,7 +33,7 @@
 
 /// The record of a hold, with its version for conditional changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct VersionedHold {
+pub(crate) struct VersionedHold {
     /// The record.
     pub record: DataLossHoldRecord,
     /// Revision of its last change.
@@ -43,7 +43,7 @@
 /// How a conditional change ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
-pub enum CompareAndSwap {
+pub(crate) enum CompareAndSwap {
     /// The change is committed.
     Committed,
     /// The record had changed in between; nothing was written.
@@ -54,7 +54,9 @@
 ///
 /// # Errors
 /// There was no usable answer, or the record is not a hold's.
-pub fn read_hold(state_service: SocketAddr) -> Result<Option<VersionedHold>, StateServiceError> {
+pub(crate) fn read_hold(
+    state_service: SocketAddr,
+) -> Result<Option<VersionedHold>, StateServiceError> {
     let target = format!("/store/{}", Key::DataLossHold.text());
     let response = call(state_service, "GET", &target, &[])?;
     match response.status {
@@ -76,7 +78,7 @@
 ///
 /// # Errors
 /// There was no usable answer: the change may be committed or not.
-pub fn replace_hold(
+pub(crate) fn replace_hold(
     state_service: SocketAddr,
     hold: &VersionedHold,
 ) -> Result<CompareAndSwap, StateServiceError> {
--- a/crates/salttillerctl/tests/cli/common.rs
+++ b/crates/salttillerctl/tests/cli/common.rs
@@ -4,28 +4,28 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-pub const CTL: &str = env!("CARGO_BIN_EXE_salttillerctl");
+pub(crate) const CTL: &str = env!("CARGO_BIN_EXE_salttillerctl");
 
 /// Time between two looks at a condition that is waited for.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-pub fn ctl(args: &[&str]) -> Command {
+pub(crate) fn ctl(args: &[&str]) -> Command {
     let mut command = Command::new(CTL);
     command.args(args).env("LOG_LEVEL", "error");
     command
 }
 
 /// A path as an argument.
-pub fn arg(path: &Path) -> &str {
+pub(crate) fn arg(path: &Path) -> &str {
     path.to_str().unwrap()
 }
 
-pub fn output(command: &mut Command) -> Output {
+pub(crate) fn output(command: &mut Command) -> Output {
     command.output().unwrap()
 }
 
 /// Runs a command that must succeed; its standard output.
-pub fn succeed(command: &mut Command) -> String {
+pub(crate) fn succeed(command: &mut Command) -> String {
     let done = output(command);
     let errors = String::from_utf8_lossy(&done.stderr);
     assert!(
@@ -37,14 +37,14 @@
 }
 
 /// Runs a command that must fail with this exit code; its standard error.
-pub fn fail(name: &str, command: &mut Command, exit_code: i32) -> String {
+pub(crate) fn fail(name: &str, command: &mut Command, exit_code: i32) -> String {
     let done = output(command);
     let errors = String::from_utf8_lossy(&done.stderr).into_owned();
     assert_eq!(done.status.code(), Some(exit_code), "{name}: {errors}");
     errors
 }
 
-pub fn wait_for(what: &str, limit: Duration, mut holds: impl FnMut() -> bool) {
+pub(crate) fn wait_for(what: &str, limit: Duration, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
         assert!(start.elapsed() < limit, "not within {limit:?}: {what}");
--- a/crates/salttillerctl/tests/cli/deployment.rs
+++ b/crates/salttillerctl/tests/cli/deployment.rs
@@ -18,7 +18,7 @@
 /// How long the first snapshot may take.
 const FIRST_SNAPSHOT_LIMIT: Duration = Duration::from_secs(20);
 
-pub struct Deployment {
+pub(crate) struct Deployment {
     pub folder: TempFolder,
     pub service: StateService,
     pub config: PathBuf,
@@ -28,7 +28,7 @@
 impl Deployment {
     /// A deployment whose state service has records of so many jobs. `name` must be unique
     /// among the tests.
-    pub fn new(name: &str, jobs: u32) -> Self {
+    pub(crate) fn new(name: &str, jobs: u32) -> Self {
         let folder = TempFolder::new(name).unwrap();
         let service = StateService::start().unwrap();
         let settings = PlatformSettings::new(service.address()).to_json();
@@ -45,7 +45,7 @@
     }
 
     /// Commits one transaction for each job.
-    pub fn commit_jobs(&self, jobs: u32) {
+    pub(crate) fn commit_jobs(&self, jobs: u32) {
         for n in 0..jobs {
             let key = format!("st/job/req-{n}");
             self.service.commit(&[(&key, Some(json!({"n": n})))]);
@@ -53,7 +53,7 @@
     }
 
     /// Commits small changes until told to stop.
-    pub fn write_steadily(&self, stop: &AtomicBool, seed: u64) {
+    pub(crate) fn write_steadily(&self, stop: &AtomicBool, seed: u64) {
         let mut random = fastrand::Rng::with_seed(seed);
         while !stop.load(Ordering::Relaxed) {
             let key = format!("st/job/req-{}", random.u32(0..400));
@@ -65,16 +65,16 @@
     }
 
     /// `salttillerctl archive SUBCOMMAND ARCHIVE`.
-    pub fn archive_command(&self, subcommand: &str) -> Command {
+    pub(crate) fn archive_command(&self, subcommand: &str) -> Command {
         ctl(&["archive", subcommand, arg(&self.archive)])
     }
 
-    pub fn snapshot_command(&self) -> Command {
+    pub(crate) fn snapshot_command(&self) -> Command {
         self.with_config(self.archive_command("snapshot"))
     }
 
     /// `archive run` with settings of the archive.
-    pub fn run_command(&self, ini: &str) -> Command {
+    pub(crate) fn run_command(&self, ini: &str) -> Command {
         let ini = self.folder.write("archive.ini", ini).unwrap();
         let mut command = self.with_config(self.archive_command("run"));
         command.args(["--ini", arg(&ini)]);
@@ -82,42 +82,42 @@
     }
 
     /// Adds the platform's settings to a command.
-    pub fn with_config(&self, mut command: Command) -> Command {
+    pub(crate) fn with_config(&self, mut command: Command) -> Command {
         command.args(["--config", arg(&self.config)]);
         command
     }
 
     /// Starts a process that records fast.
-    pub fn start_recording(&self) -> RecordingProcess {
+    pub(crate) fn start_recording(&self) -> RecordingProcess {
         let mut command = self.run_command(FAST);
         command.stdout(Stdio::null()).stderr(Stdio::null());
         RecordingProcess(command.spawn().unwrap())
     }
 
-    pub fn wait_for_snapshot(&self) {
+    pub(crate) fn wait_for_snapshot(&self) {
         wait_for("the first snapshot", FIRST_SNAPSHOT_LIMIT, || {
             self.archive.exists() && !self.snapshot_revisions().is_empty()
         });
     }
 
-    pub fn verify(&self) {
+    pub(crate) fn verify(&self) {
         succeed(&mut self.archive_command("verify"));
     }
 
-    pub fn list(&self) -> ListDocument {
+    pub(crate) fn list(&self) -> ListDocument {
         serde_json::from_value(self.list_json()).unwrap()
     }
 
-    pub fn list_json(&self) -> Value {
+    pub(crate) fn list_json(&self) -> Value {
         let list = succeed(self.archive_command("list").arg("--json"));
         serde_json::from_str(&list).unwrap()
     }
 
-    pub fn export(&self, revision: Option<u64>, segment: Option<u64>) -> ExportDocument {
+    pub(crate) fn export(&self, revision: Option<u64>, segment: Option<u64>) -> ExportDocument {
         serde_json::from_value(self.export_json(revision, segment)).unwrap()
     }
 
-    pub fn export_json(&self, revision: Option<u64>, segment: Option<u64>) -> Value {
+    pub(crate) fn export_json(&self, revision: Option<u64>, segment: Option<u64>) -> Value {
         let mut command = self.archive_command("export");
         for (flag, value) in [("--revision", revision), ("--segment", segment)] {
             if let Some(value) = value {
@@ -128,7 +128,7 @@
     }
 
     /// Revisions of all snapshots, oldest first.
-    pub fn snapshot_revisions(&self) -> Vec<u64> {
+    pub(crate) fn snapshot_revisions(&self) -> Vec<u64> {
         let segments = self.list().segments.into_iter();
         let snapshots = segments.flat_map(|segment| segment.snapshots);
         snapshots.map(|snapshot| snapshot.revision).collect()
@@ -136,7 +136,7 @@
 }
 
 /// The records of an export, as the stand-in has them.
-pub fn records_of(export: ExportDocument) -> Records {
+pub(crate) fn records_of(export: ExportDocument) -> Records {
     let records = export.records.into_iter();
     records
         .map(|record| {
@@ -147,10 +147,10 @@
 }
 
 /// A recording process; it is killed when the test ends.
-pub struct RecordingProcess(Child);
+pub(crate) struct RecordingProcess(Child);
 
 impl RecordingProcess {
-    pub fn kill(mut self) {
+    pub(crate) fn kill(mut self) {
         self.0.kill().unwrap();
         self.0.wait().unwrap();
     }
--- a/src/alerts/condition_watch.rs
+++ b/src/alerts/condition_watch.rs
@@ -36,13 +36,13 @@
 
 /// Tracks conditions by their subject.
 #[derive(Debug, Default)]
-pub struct ConditionWatch {
+pub(super) struct ConditionWatch {
     tracked: BTreeMap<String, TrackedCondition>,
 }
 
 impl ConditionWatch {
     /// Takes the conditions that there are just now. Returns the alerts to give.
-    pub fn observe(&mut self, current: Vec<Condition>, now: Micros) -> Vec<Alert> {
+    pub(super) fn observe(&mut self, current: Vec<Condition>, now: Micros) -> Vec<Alert> {
         let mut alerts = Vec::new();
         let mut unnamed = 0;
         for condition in current {
--- a/src/alerts/pipelines.rs
+++ b/src/alerts/pipelines.rs
@@ -13,7 +13,7 @@
 
 /// A step of a pipeline that is next to run, or runs.
 #[derive(Debug, Clone, Copy)]
-pub struct Step<'a> {
+pub(super) struct Step<'a> {
     /// The step's job.
     pub id: &'a str,
     /// The job that ends the pipeline, with a deadline of its own.
@@ -30,7 +30,7 @@
 
 /// Tracks which pipelines will miss their deadline.
 #[derive(Debug)]
-pub struct PipelineWatch {
+pub(super) struct PipelineWatch {
     /// How far ahead of its deadline a late pipeline must be to recover, as a share of it.
     margin: f64,
     late: BTreeSet<String>,
@@ -39,7 +39,7 @@
 impl PipelineWatch {
     /// No pipeline is late yet. `margin` is the share of its deadline that one must be ahead
     /// of it to count as recovered.
-    pub fn new(margin: f64) -> Self {
+    pub(super) fn new(margin: f64) -> Self {
         PipelineWatch {
             margin,
             late: BTreeSet::new(),
@@ -47,12 +47,12 @@
     }
 
     /// How many pipelines are late.
-    pub fn late_count(&self) -> usize {
+    pub(super) fn late_count(&self) -> usize {
         self.late.len()
     }
 
     /// Takes the steps that are next in all pipelines. Returns the alerts to give.
-    pub fn observe<'a>(
+    pub(super) fn observe<'a>(
         &mut self,
         steps: impl Iterator<Item = Step<'a>>,
         is_open: impl Fn(&str) -> bool,
@@ -120,7 +120,7 @@
 
 /// When a step will be done by its estimate: one that runs has that less before it, but
 /// is not taken for done because it should be.
-pub fn expected_end(started: Option<Micros>, estimate: Micros, now: Micros) -> Micros {
+pub(super) fn expected_end(started: Option<Micros>, estimate: Micros, now: Micros) -> Micros {
     match started {
         Some(at) => (at + estimate).max(now + SECOND),
         None => now + estimate,
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -1,9 +1,9 @@
 //! The program's commands, a file each; what they have in common: the settings' files, the
 //! errors and the exit codes.
 
-pub mod check;
-pub mod serve;
-pub mod status;
+pub(crate) mod check;
+pub(crate) mod serve;
+pub(crate) mod status;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 
 /// Files with the settings of a controller.
 #[derive(Args)]
-pub struct SettingsFiles {
+pub(crate) struct SettingsFiles {
     /// Operators' own settings (INI).
     #[arg(long, value_name = "FILE")]
     ini: Option<PathBuf>,
@@ -25,14 +25,14 @@
 
 impl SettingsFiles {
     /// Reads and validates both files.
-    pub fn load(&self) -> Result<Settings, SettingsError> {
+    pub(crate) fn load(&self) -> Result<Settings, SettingsError> {
         Settings::load(&self.config, self.ini.as_deref())
     }
 }
 
 /// Why a command failed.
 #[derive(Debug, Error)]
-pub enum CommandError {
+pub(crate) enum CommandError {
     /// Neither settings nor a command were given.
     #[error("--config FILE or a command is needed, see --help")]
     NothingToDo,
@@ -54,7 +54,7 @@
 
 impl CommandError {
     /// The exit code that scripts go by.
-    pub fn exit_code(&self) -> ExitCode {
+    pub(crate) fn exit_code(&self) -> ExitCode {
         match self {
             CommandError::NothingToDo => ExitCode::from(USAGE),
             CommandError::Settings(_) | CommandError::Serve(_) | CommandError::Status(_) => {
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -8,7 +8,7 @@
 use super::{CommandError, SettingsFiles};
 
 /// Prints what a controller would go by.
-pub fn run(files: &SettingsFiles, json: bool) -> Result<ExitCode, CommandError> {
+pub(crate) fn run(files: &SettingsFiles, json: bool) -> Result<ExitCode, CommandError> {
     let settings = files.load()?;
     if json {
         print_json(&settings);
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -16,7 +16,7 @@
 const CRATE_PREFIX: &str = "salttiller::";
 
 /// Serves until killed; returns only with an error.
-pub fn run(files: &SettingsFiles) -> Result<ExitCode, CommandError> {
+pub(crate) fn run(files: &SettingsFiles) -> Result<ExitCode, CommandError> {
     init_logging();
     let settings = files.load()?;
     Controller::open(settings)
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -18,7 +18,7 @@
 
 /// Why a controller's status page could not be had.
 #[derive(Debug, Error)]
-pub enum StatusError {
+pub(crate) enum StatusError {
     /// The connection failed or timed out.
     #[error("{addr}: {source}")]
     Connection {
@@ -36,7 +36,7 @@
 }
 
 /// Prints the status page; the exit code tells whether an objective is breached.
-pub fn run(addr: SocketAddr, json: bool) -> Result<ExitCode, CommandError> {
+pub(crate) fn run(addr: SocketAddr, json: bool) -> Result<ExitCode, CommandError> {
     let page = fetch(addr)?;
     if json {
         println!("{}", serde_json::to_string(&page).unwrap_or_default());
--- a/src/controller/broadcasts.rs
+++ b/src/controller/broadcasts.rs
@@ -24,7 +24,7 @@
 
 impl Broadcasts {
     /// Has a cancellation that was committed here announced at the next step.
-    pub fn announce_cancellation(&mut self, job: String) {
+    pub(super) fn announce_cancellation(&mut self, job: String) {
         self.cancelled_jobs.push(job);
     }
 }
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -36,7 +36,7 @@
 
 impl ClientRequests {
     /// No requests yet; at most `max_submissions` are to be in progress at once.
-    pub fn new(max_submissions: usize) -> Self {
+    pub(super) fn new(max_submissions: usize) -> Self {
         ClientRequests {
             limiter: ConcurrencyLimiter::new(max_submissions),
             pending: PendingRequests::default(),
@@ -45,7 +45,7 @@
     }
 
     /// Feeds the limiter the latency of a request to the state service.
-    pub fn record_latency(&mut self, latency: Micros, now: Micros) {
+    pub(super) fn record_latency(&mut self, latency: Micros, now: Micros) {
         self.limiter.record_latency(latency, now);
     }
 }
--- a/src/controller/cluster_state.rs
+++ b/src/controller/cluster_state.rs
@@ -59,7 +59,7 @@
 
 impl ClusterState {
     /// The state at the start of the process, with nothing read yet.
-    pub fn new(settings: Settings, state_store: StateStore) -> Self {
+    pub(super) fn new(settings: Settings, state_store: StateStore) -> Self {
         ClusterState {
             incarnation: random_incarnation(),
             state_store,
@@ -73,7 +73,7 @@
     }
 
     /// What a step of a region or of the leader may read; `wall` is the time of day.
-    pub fn scheduling_context(&self, wall: Micros) -> SchedulingContext<'_> {
+    pub(super) fn scheduling_context(&self, wall: Micros) -> SchedulingContext<'_> {
         SchedulingContext {
             replica: &self.state_store.replica,
             settings: &self.settings,
@@ -86,18 +86,18 @@
     }
 
     /// The number of this incarnation.
-    pub fn incarnation(&self) -> u64 {
+    pub(super) fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
     /// Draws a new incarnation number. Records under the former one can from then on only be
     /// replaced by compare-and-swap, never resumed.
-    pub fn renew_incarnation(&mut self) {
+    pub(super) fn renew_incarnation(&mut self) {
         self.incarnation = random_incarnation();
     }
 
     /// Whom a record with this controller name and incarnation number names.
-    pub fn holder(&self, name: &str, incarnation: u64) -> RecordedHolder {
+    pub(super) fn holder(&self, name: &str, incarnation: u64) -> RecordedHolder {
         if name != self.settings.name {
             RecordedHolder::OtherController
         } else if incarnation == self.incarnation || is_disabled(Safeguard::RunNumber) {
@@ -108,36 +108,36 @@
     }
 
     /// The controller that the replica shows as leader, this one included.
-    pub fn recorded_leader(&self) -> Option<&str> {
+    pub(super) fn recorded_leader(&self) -> Option<&str> {
         let leader = self.state_store.replica.leader.as_ref();
         leader.map(|record| record.value.holder.as_str())
     }
 
     /// The controller that the replica shows as owner of a region, this one included.
-    pub fn recorded_owner(&self, region: &str) -> Option<&str> {
+    pub(super) fn recorded_owner(&self, region: &str) -> Option<&str> {
         let owner = self.state_store.replica.regions.get(region);
         owner.map(|record| record.value.owner.as_str())
     }
 
     /// The last fencing token that was drawn; 0 if none was.
-    pub fn recorded_token(&self) -> u64 {
+    pub(super) fn recorded_token(&self) -> u64 {
         let token = self.state_store.replica.token.as_ref();
         token.map_or(0, |record| record.value)
     }
 
     /// A peer's index in the settings, which is also its index in the network layer.
-    pub fn peer_index(&self, name: &str) -> Option<usize> {
+    pub(super) fn peer_index(&self, name: &str) -> Option<usize> {
         self.settings.peers.iter().position(|p| p.name == name)
     }
 
     /// The same for a peer that understands the messages that were added in 0.5.
-    pub fn peer_with_extensions(&self, name: &str) -> Option<usize> {
+    pub(super) fn peer_with_extensions(&self, name: &str) -> Option<usize> {
         self.peer_index(name)
             .filter(|_| self.peers.supports_extensions(name))
     }
 
     /// Whether this controller may act as an owner: answer heartbeats, send commands, write.
-    pub fn has_authority(&self) -> bool {
+    pub(super) fn has_authority(&self) -> bool {
         if is_disabled(Safeguard::AuthorityDeadline) {
             return true;
         }
@@ -148,7 +148,7 @@
     /// out for everybody, so that nobody can confirm a cancellation: every peer is reachable
     /// and lost the state service when this controller did. What peers report may be wrong, so
     /// no deadline that safety depends on is extended by it; those are the longer deadline's.
-    pub fn may_start(&self) -> bool {
+    pub(super) fn may_start(&self) -> bool {
         if is_disabled(Safeguard::AuthorityDeadline) || is_disabled(Safeguard::StartDeadline) {
             return self.has_authority();
         }
@@ -176,20 +176,20 @@
     }
 
     /// Whether the replica was up to date a moment ago.
-    pub fn is_fresh(&self) -> bool {
+    pub(super) fn is_fresh(&self) -> bool {
         let fresh_at = self.state_store.fresh_at();
         fresh_at.is_some_and(|at| self.now < at + FRESH_FOR)
     }
 
     /// Whether users should send requests here. While the state service is out for everybody
     /// another controller would serve them no better.
-    pub fn is_ready(&self) -> bool {
+    pub(super) fn is_ready(&self) -> bool {
         self.state_store.is_loaded()
             && (self.is_fresh() || self.peers.none_reaches_state_store(self.now))
     }
 
     /// How many machines of a region are on record.
-    pub fn recorded_machines(&self, region: &str) -> u32 {
+    pub(super) fn recorded_machines(&self, region: &str) -> u32 {
         let pools = self.state_store.replica.machine_counts.get(region);
         pools.map_or(0, |pools| pools.values().sum())
     }
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -61,17 +61,17 @@
 
 impl DataLossProtection {
     /// Starts the detection of lost records; `heartbeat_interval` is that of the workers.
-    pub fn start_detection(&mut self, now: Micros, heartbeat_interval: Micros) {
+    pub(super) fn start_detection(&mut self, now: Micros, heartbeat_interval: Micros) {
         self.detection = Some(Detection::starting(now, heartbeat_interval));
     }
 
     /// Whether a hold is in force.
-    pub fn is_held(&self) -> bool {
+    pub(super) fn is_held(&self) -> bool {
         self.hold.is_some()
     }
 
     /// The condition that operators are alerted to, if a hold is in force.
-    pub fn condition(&self) -> Option<Condition> {
+    pub(super) fn condition(&self) -> Option<Condition> {
         let hold = self.hold.as_ref()?;
         let seen = hold.finding.to_string();
         Some(Condition::DataLoss { seen })
--- a/src/controller/data_loss_hold/kept_regions.rs
+++ b/src/controller/data_loss_hold/kept_regions.rs
@@ -36,7 +36,7 @@
 
 impl KeptRegions {
     /// No regions yet; the highest token known is `token`.
-    pub fn new(token: u64) -> Self {
+    pub(super) fn new(token: u64) -> Self {
         KeptRegions {
             regions: BTreeMap::new(),
             acquisitions: BTreeMap::new(),
@@ -46,22 +46,22 @@
     }
 
     /// Keeps no region any more.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.regions.clear();
     }
 
     /// A kept region.
-    pub fn get(&self, region: &str) -> Option<KeptRegion> {
+    pub(super) fn get(&self, region: &str) -> Option<KeptRegion> {
         self.regions.get(region).copied()
     }
 
     /// Keeps a region no more, so that it is acquired again.
-    pub fn remove(&mut self, region: &str) {
+    pub(super) fn remove(&mut self, region: &str) {
         self.regions.remove(region);
     }
 
     /// A worker has seen this token.
-    pub fn on_token_seen(&mut self, token: u64) {
+    pub(super) fn on_token_seen(&mut self, token: u64) {
         self.highest_token = self.highest_token.max(token);
     }
 
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -39,27 +39,32 @@
 
 impl Leadership {
     /// Whether this controller leads.
-    pub fn is_leading(&self) -> bool {
+    pub(super) fn is_leading(&self) -> bool {
         self.leader.is_some()
     }
 
     /// The leader, if this controller is it.
-    pub fn leader(&self) -> Option<&Leader> {
+    pub(super) fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
 
     /// The leader, if this controller is it.
-    pub fn leader_mut(&mut self) -> Option<&mut Leader> {
+    pub(super) fn leader_mut(&mut self) -> Option<&mut Leader> {
         self.leader.as_mut()
     }
 
     /// The commit of the leader's record ended.
-    pub fn on_acquisition_committed(&mut self, outcome: &CommitOutcome) {
+    pub(super) fn on_acquisition_committed(&mut self, outcome: &CommitOutcome) {
         self.acquisition = Some(Acquisition::after(outcome));
     }
 
     /// The commit of something that the leader decided ended; the keys name what it concerns.
-    pub fn on_decision_committed(&mut self, keys: &[Key], outcome: &CommitOutcome, now: Micros) {
+    pub(super) fn on_decision_committed(
+        &mut self,
+        keys: &[Key],
+        outcome: &CommitOutcome,
+        now: Micros,
+    ) {
         let is_committed = matches!(outcome, CommitOutcome::Committed(_));
         if let Some(leader) = &mut self.leader {
             leader.on_commit_finished(keys, is_committed, now);
--- a/src/controller/monitoring.rs
+++ b/src/controller/monitoring.rs
@@ -34,7 +34,7 @@
 
 impl Monitoring {
     /// The objectives and thresholds of the settings, with nothing evaluated yet.
-    pub fn new(settings: &Settings) -> Self {
+    pub(super) fn new(settings: &Settings) -> Self {
         Monitoring {
             objectives: AlertMonitor::new(&settings.objectives, &settings.operator),
             question_rate: PollRate::default(),
@@ -44,12 +44,12 @@
     }
 
     /// Counts a question about a job.
-    pub fn record_question(&mut self) {
+    pub(super) fn record_question(&mut self) {
         self.question_rate.record();
     }
 
     /// Fills in the objectives' part of the status page; `wall` is the time of day.
-    pub fn fill_status_page(&mut self, page: &mut Status, wall: Micros) {
+    pub(super) fn fill_status_page(&mut self, page: &mut Status, wall: Micros) {
         self.objectives.fill_status(page, wall);
     }
 }
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -161,22 +161,22 @@
 
 impl OwnerReachability {
     /// A machine of another owner's region was redirected to it.
-    pub fn record_redirect(&mut self, region: &str, machine: &str, now: Micros) {
+    pub(super) fn record_redirect(&mut self, region: &str, machine: &str, now: Micros) {
         self.redirects.record(region, machine, now);
     }
 
     /// Whether a region that this controller released is left to its peers for now.
-    pub fn is_left_to_peers(&self, region: &str, now: Micros) -> bool {
+    pub(super) fn is_left_to_peers(&self, region: &str, now: Micros) -> bool {
         self.releases.is_left_to_peers(region, now)
     }
 
     /// Whether a region is not released to its home for now, since its machines didn't reach that.
-    pub fn is_failback_suspended(&self, region: &str, now: Micros) -> bool {
+    pub(super) fn is_failback_suspended(&self, region: &str, now: Micros) -> bool {
         self.releases.is_failback_suspended(region, now)
     }
 
     /// A region was acquired although its home was healthy: failback is suspended for a while.
-    pub fn suspend_failback(&mut self, region: &str, now: Micros) {
+    pub(super) fn suspend_failback(&mut self, region: &str, now: Micros) {
         self.releases.suspend_failback(region, now);
     }
 }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -62,7 +62,7 @@
 
 impl Peers {
     /// The peers of the settings, without a state message yet.
-    pub fn new(settings: &[PeerSettings]) -> Self {
+    pub(super) fn new(settings: &[PeerSettings]) -> Self {
         let peers = settings.iter();
         Peers {
             peers: peers.map(|p| (p.name.clone(), Peer::default())).collect(),
@@ -72,7 +72,7 @@
     /// Records a state message; `false` if its sender is not in the settings. `run` is the
     /// sender's incarnation with its protocol flags.
     #[must_use]
-    pub fn on_state(&mut self, from: &str, run: u64, is_fresh: bool, now: Micros) -> bool {
+    pub(super) fn on_state(&mut self, from: &str, run: u64, is_fresh: bool, now: Micros) -> bool {
         let Some(peer) = self.peers.get_mut(from) else {
             return false;
         };
@@ -82,17 +82,17 @@
     }
 
     /// Whether a peer understands the messages that were added in 0.5.
-    pub fn supports_extensions(&self, name: &str) -> bool {
+    pub(super) fn supports_extensions(&self, name: &str) -> bool {
         self.peers.get(name).is_some_and(|p| p.supports_extensions)
     }
 
     /// Whether a peer has just sent a state message and reaches the state service.
-    pub fn is_healthy(&self, name: &str, now: Micros) -> bool {
+    pub(super) fn is_healthy(&self, name: &str, now: Micros) -> bool {
         self.peers.get(name).is_some_and(|p| p.is_healthy(now))
     }
 
     /// Whether a peer is healthy and has been for longer than `span` without a break.
-    pub fn is_healthy_for(&self, name: &str, span: Micros, now: Micros) -> bool {
+    pub(super) fn is_healthy_for(&self, name: &str, span: Micros, now: Micros) -> bool {
         self.peers.get(name).is_some_and(|p| {
             p.is_healthy(now) && p.healthy_since.is_some_and(|since| now > since + span)
         })
@@ -100,7 +100,7 @@
 
     /// Whether every peer is reachable and lost the state service no later than shortly after
     /// `since`, when this controller did.
-    pub fn all_lost_state_store_at(&self, since: Micros, now: Micros) -> bool {
+    pub(super) fn all_lost_state_store_at(&self, since: Micros, now: Micros) -> bool {
         self.peers.values().all(|p| {
             p.has_sent_state_within(OUTAGE_ONSET_TOLERANCE, now)
                 && p.stale_since
@@ -110,7 +110,7 @@
 
     /// Whether every peer is reachable and none of them reaches the state service. `false` if
     /// there are no peers.
-    pub fn none_reaches_state_store(&self, now: Micros) -> bool {
+    pub(super) fn none_reaches_state_store(&self, now: Micros) -> bool {
         !self.peers.is_empty()
             && self
                 .peers
--- a/src/controller/pending_requests.rs
+++ b/src/controller/pending_requests.rs
@@ -21,7 +21,7 @@
 
 impl ClientRequest {
     /// The job that it is about.
-    pub fn job(&self) -> &str {
+    pub(super) fn job(&self) -> &str {
         match self {
             ClientRequest::JobState { job, .. }
             | ClientRequest::Cancel { job }
@@ -50,24 +50,24 @@
 
 impl PendingRequests {
     /// Adds a request that was just received.
-    pub fn push(&mut self, request: PendingRequest) {
+    pub(super) fn push(&mut self, request: PendingRequest) {
         let expiry = self.next_expiry.unwrap_or(Micros::MAX);
         self.next_expiry = Some(expiry.min(request.deadline));
         self.requests.push_back(request);
     }
 
     /// How many there are.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
 
     /// When the first may expire.
-    pub fn next_expiry(&self) -> Option<Micros> {
+    pub(super) fn next_expiry(&self) -> Option<Micros> {
         self.next_expiry
     }
 
     /// Takes those that were received no later than a read was sent.
-    pub fn take_until(&mut self, sent: Micros) -> VecDeque<PendingRequest> {
+    pub(super) fn take_until(&mut self, sent: Micros) -> VecDeque<PendingRequest> {
         let count = self.requests.partition_point(|r| r.received_at <= sent);
         let rest = self.requests.split_off(count);
         let taken = std::mem::replace(&mut self.requests, rest);
@@ -78,7 +78,7 @@
     }
 
     /// Takes the connections of those that have expired.
-    pub fn take_expired(&mut self, now: Micros) -> Vec<ConnectionId> {
+    pub(super) fn take_expired(&mut self, now: Micros) -> Vec<ConnectionId> {
         if self.next_expiry.is_none_or(|at| now < at) {
             return Vec::new();
         }
--- a/src/controller/region_ownership.rs
+++ b/src/controller/region_ownership.rs
@@ -32,7 +32,7 @@
 
 impl Acquisition {
     /// The state after the commit ended with this outcome.
-    pub fn after(outcome: &CommitOutcome) -> Self {
+    pub(super) fn after(outcome: &CommitOutcome) -> Self {
         match outcome {
             CommitOutcome::Conflict(revision) => Acquisition::CatchingUp(*revision),
             _ => Acquisition::CatchingUp(0),
@@ -40,7 +40,7 @@
     }
 
     /// Whether it is still in progress, now that the replica has reached `revision`.
-    pub fn is_pending(self, revision: u64) -> bool {
+    pub(super) fn is_pending(self, revision: u64) -> bool {
         match self {
             Acquisition::Committing => true,
             Acquisition::CatchingUp(awaited) => revision < awaited,
@@ -69,58 +69,58 @@
 
 impl RegionOwnership {
     /// Whether a region is owned.
-    pub fn owns(&self, region: &str) -> bool {
+    pub(super) fn owns(&self, region: &str) -> bool {
         self.owned.contains_key(region)
     }
 
     /// An owned region.
-    pub fn get(&self, region: &str) -> Option<&Region> {
+    pub(super) fn get(&self, region: &str) -> Option<&Region> {
         self.owned.get(region)
     }
 
     /// An owned region.
-    pub fn get_mut(&mut self, region: &str) -> Option<&mut Region> {
+    pub(super) fn get_mut(&mut self, region: &str) -> Option<&mut Region> {
         self.owned.get_mut(region)
     }
 
     /// The owned regions by name.
-    pub fn regions(&self) -> impl Iterator<Item = &Region> {
+    pub(super) fn regions(&self) -> impl Iterator<Item = &Region> {
         self.owned.values()
     }
 
     /// The owned regions by name.
-    pub fn regions_mut(&mut self) -> impl Iterator<Item = &mut Region> {
+    pub(super) fn regions_mut(&mut self) -> impl Iterator<Item = &mut Region> {
         self.owned.values_mut()
     }
 
     /// Whether a transaction on a region's record is in progress, at this replica revision.
-    pub fn is_pending(&self, region: &str, revision: u64) -> bool {
+    pub(super) fn is_pending(&self, region: &str, revision: u64) -> bool {
         let acquisition = self.acquisitions.get(region);
         acquisition.is_some_and(|a| a.is_pending(revision))
     }
 
     /// Whether a region is to be acquired under a new token although it is owned on record.
-    pub fn is_to_be_reacquired(&self, region: &str) -> bool {
+    pub(super) fn is_to_be_reacquired(&self, region: &str) -> bool {
         self.to_reacquire.contains(region)
     }
 
     /// Has a region acquired again under a new token.
-    pub fn reacquire(&mut self, region: &str) {
+    pub(super) fn reacquire(&mut self, region: &str) {
         self.to_reacquire.insert(region.to_owned());
     }
 
     /// Since when a region has had no owner on record; from now on if it was not known.
-    pub fn unowned_since(&mut self, region: &str, now: Micros) -> Micros {
+    pub(super) fn unowned_since(&mut self, region: &str, now: Micros) -> Micros {
         *self.unowned_since.entry(region.to_owned()).or_insert(now)
     }
 
     /// A region has an owner on record.
-    pub fn on_owner_recorded(&mut self, region: &str) {
+    pub(super) fn on_owner_recorded(&mut self, region: &str) {
         self.unowned_since.remove(region);
     }
 
     /// The acquisition of a region was sent to be committed.
-    pub fn on_acquisition_sent(&mut self, region: &str) {
+    pub(super) fn on_acquisition_sent(&mut self, region: &str) {
         self.to_reacquire.remove(region);
         self.owned.remove(region);
         self.acquisitions
@@ -128,27 +128,27 @@
     }
 
     /// The commit of an acquisition ended.
-    pub fn on_acquisition_committed(&mut self, region: String, outcome: &CommitOutcome) {
+    pub(super) fn on_acquisition_committed(&mut self, region: String, outcome: &CommitOutcome) {
         self.acquisitions
             .insert(region, Acquisition::after(outcome));
     }
 
     /// The acquisition shows on record: the region is owned.
-    pub fn on_acquired(&mut self, region: Region) {
+    pub(super) fn on_acquired(&mut self, region: Region) {
         self.acquisitions.remove(&region.name);
         self.owned.insert(region.name.clone(), region);
     }
 
     /// The release of a region was sent to be committed. From here on nothing is commanded for
     /// it, whatever becomes of the commit.
-    pub fn on_release_sent(&mut self, region: &str) {
+    pub(super) fn on_release_sent(&mut self, region: &str) {
         self.owned.remove(region);
         self.acquisitions
             .insert(region.to_owned(), Acquisition::Committing);
     }
 
     /// The commit of a release ended.
-    pub fn on_release_committed(&mut self, region: String, outcome: &CommitOutcome) {
+    pub(super) fn on_release_committed(&mut self, region: String, outcome: &CommitOutcome) {
         if !matches!(outcome, CommitOutcome::Committed(_)) {
             // If it is still owned on record, then only under another token from now on.
             self.to_reacquire.insert(region.clone());
@@ -158,12 +158,12 @@
     }
 
     /// A region is no longer owned on record.
-    pub fn on_lost(&mut self, region: &str) {
+    pub(super) fn on_lost(&mut self, region: &str) {
         self.owned.remove(region);
     }
 
     /// The owner lease is lost, and with it all regions.
-    pub fn on_lease_lost(&mut self, now: Micros) {
+    pub(super) fn on_lease_lost(&mut self, now: Micros) {
         self.lost_with_lease = Some(LostWithLease {
             noticed_at: now,
             regions: self.owned.keys().cloned().collect(),
@@ -175,7 +175,7 @@
 
     /// Takes the names of the regions that were owned until records were lost. The first sign
     /// of that may have been that the lease was lost with the rest.
-    pub fn take_owned_before_loss(&mut self, now: Micros) -> BTreeSet<String> {
+    pub(super) fn take_owned_before_loss(&mut self, now: Micros) -> BTreeSet<String> {
         let mut regions: BTreeSet<String> = self.owned.keys().cloned().collect();
         if let Some(lost) = self.lost_with_lease.take() {
             if now < lost.noticed_at + LEASE_LOST_WITH_RECORDS {
@@ -186,7 +186,7 @@
     }
 
     /// A hold began after records were lost: nothing is owned or acquired outside it.
-    pub fn on_hold_began(&mut self) {
+    pub(super) fn on_hold_began(&mut self) {
         self.owned.clear();
         self.acquisitions.clear();
         self.to_reacquire.clear();
@@ -194,7 +194,7 @@
 
     /// A hold ended. Regions that it kept are owned on record and are reconciled as after a
     /// takeover.
-    pub fn on_hold_ended(&mut self) {
+    pub(super) fn on_hold_ended(&mut self) {
         self.acquisitions.clear();
     }
 }
--- a/src/controller/region_reports.rs
+++ b/src/controller/region_reports.rs
@@ -21,43 +21,43 @@
 
 impl RegionReports {
     /// Reports by region, with the time at which each was made or received.
-    pub fn latest(&self) -> &Reports {
+    pub(super) fn latest(&self) -> &Reports {
         &self.latest
     }
 
     /// Each region with its report.
-    pub fn iter(&self) -> impl Iterator<Item = (&String, &RegionReport)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&String, &RegionReport)> {
         let latest = self.latest.iter();
         latest.map(|(name, received)| (name, &received.report))
     }
 
     /// A region's report.
-    pub fn get(&self, region: &str) -> Option<&RegionReport> {
+    pub(super) fn get(&self, region: &str) -> Option<&RegionReport> {
         self.latest.get(region).map(|received| &received.report)
     }
 
     /// Pending jobs of all regions.
-    pub fn pending_jobs(&self) -> impl Iterator<Item = &PendingJob> {
+    pub(super) fn pending_jobs(&self) -> impl Iterator<Item = &PendingJob> {
         self.iter().flat_map(|(_, report)| &report.pending_jobs)
     }
 
     /// Running tasks by job, of all regions.
-    pub fn running_tasks(&self) -> impl Iterator<Item = &RunningTasks> {
+    pub(super) fn running_tasks(&self) -> impl Iterator<Item = &RunningTasks> {
         self.iter().flat_map(|(_, report)| &report.running_tasks)
     }
 
     /// Whether `regions` regions report, each of them reconciled.
-    pub fn are_all_reconciled(&self, regions: usize) -> bool {
+    pub(super) fn are_all_reconciled(&self, regions: usize) -> bool {
         self.latest.len() >= regions && self.iter().all(|(_, report)| report.reconciled)
     }
 
     /// Teams whose limit other owners' regions find used up.
-    pub fn quota_blocked_teams(&self) -> &BTreeMap<String, u64> {
+    pub(super) fn quota_blocked_teams(&self) -> &BTreeMap<String, u64> {
         &self.quota_blocked_teams
     }
 
     /// Records a report of one of this controller's regions.
-    pub fn record_own(&mut self, report: RegionReport, now: Micros) {
+    pub(super) fn record_own(&mut self, report: RegionReport, now: Micros) {
         let received = ReceivedReport {
             received_at: now,
             report,
@@ -66,7 +66,7 @@
     }
 
     /// Records a peer's report, unless one of a later owner is known.
-    pub fn record_from_peer(&mut self, report: RegionReport, now: Micros) {
+    pub(super) fn record_from_peer(&mut self, report: RegionReport, now: Micros) {
         let known = self.latest.get(&report.region);
         if known.is_none_or(|known| report.token >= known.report.token) {
             self.record_own(report, now);
@@ -74,13 +74,13 @@
     }
 
     /// Drops reports that are too old.
-    pub fn expire(&mut self, now: Micros) {
+    pub(super) fn expire(&mut self, now: Micros) {
         self.latest
             .retain(|_, received| now < received.received_at + REPORT_RETENTION);
     }
 
     /// Collects the quota-blocked teams anew, from the regions of other owners.
-    pub fn update_quota_blocked_teams(&mut self, is_own: impl Fn(&str) -> bool) {
+    pub(super) fn update_quota_blocked_teams(&mut self, is_own: impl Fn(&str) -> bool) {
         self.quota_blocked_teams.clear();
         for (name, received) in &self.latest {
             if is_own(name) {
--- a/src/controller/reported_cancellations.rs
+++ b/src/controller/reported_cancellations.rs
@@ -18,18 +18,18 @@
 
 impl ReportedCancellations {
     /// The jobs by name.
-    pub fn jobs(&self) -> &BTreeSet<String> {
+    pub(super) fn jobs(&self) -> &BTreeSet<String> {
         &self.jobs
     }
 
     /// Whether a job was reported as cancelled.
-    pub fn contains(&self, job: &str) -> bool {
+    pub(super) fn contains(&self, job: &str) -> bool {
         self.jobs.contains(job)
     }
 
     /// Remembers a job; `false` if there are too many already.
     #[must_use]
-    pub fn record(&mut self, job: &str) -> bool {
+    pub(super) fn record(&mut self, job: &str) -> bool {
         if self.jobs.len() >= MAX_REPORTED_CANCELLATIONS {
             return false;
         }
@@ -38,12 +38,12 @@
     }
 
     /// Forgets a job whose end the replica now shows.
-    pub fn remove(&mut self, job: &str) {
+    pub(super) fn remove(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
     /// Forgets all jobs whose end the replica shows, after it was read anew.
-    pub fn retain_unrecorded(&mut self, replica: &Replica) {
+    pub(super) fn retain_unrecorded(&mut self, replica: &Replica) {
         self.jobs.retain(|job| {
             let record = replica.jobs.get(job);
             record.is_none_or(|r| r.value.stage == JobStage::Open)
--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -7,7 +7,7 @@
 
 /// A part of the safety argument that a test may disable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Safeguard {
+pub(crate) enum Safeguard {
     /// A new owner reconciles every machine before it restarts tasks.
     Recovery,
     /// An owner's authority ends by its own clock.
@@ -58,14 +58,14 @@
 
 /// Disables one safeguard on this thread from now on, and enables all others.
 #[cfg(test)]
-pub fn disable(safeguard: Option<Safeguard>) {
+pub(crate) fn disable(safeguard: Option<Safeguard>) {
     DISABLED.set(safeguard);
 }
 
 /// Runs something on this thread with one safeguard disabled. All are enabled again afterwards,
 /// also if it panics.
 #[cfg(test)]
-pub fn with_disabled<T>(safeguard: Safeguard, run: impl FnOnce() -> T) -> T {
+pub(crate) fn with_disabled<T>(safeguard: Safeguard, run: impl FnOnce() -> T) -> T {
     struct EnableAll;
     impl Drop for EnableAll {
         fn drop(&mut self) {
@@ -79,12 +79,12 @@
 
 /// Whether a test has disabled this safeguard.
 #[cfg(test)]
-pub fn is_disabled(safeguard: Safeguard) -> bool {
+pub(crate) fn is_disabled(safeguard: Safeguard) -> bool {
     DISABLED.get() == Some(safeguard)
 }
 
 /// Whether a test has disabled this safeguard: never outside tests.
 #[cfg(not(test))]
-pub const fn is_disabled(_safeguard: Safeguard) -> bool {
+pub(crate) const fn is_disabled(_safeguard: Safeguard) -> bool {
     false
 }
--- a/src/fixtures.rs
+++ b/src/fixtures.rs
@@ -5,7 +5,7 @@
 
 /// The entries of a fixture file: a line with a name, then indented lines with its bytes in
 /// hexadecimal. Lines that begin with `#` are comments.
-pub fn read(text: &str) -> BTreeMap<&str, Vec<u8>> {
+pub(crate) fn read(text: &str) -> BTreeMap<&str, Vec<u8>> {
     let mut entries: BTreeMap<&str, Vec<u8>> = BTreeMap::new();
     let mut name = "";
     for line in text.lines().filter(|line| !line.starts_with('#')) {
@@ -22,7 +22,7 @@
 }
 
 /// The bytes that an even number of hexadecimal digits stands for.
-pub fn bytes_of(hex: &str) -> Vec<u8> {
+pub(crate) fn bytes_of(hex: &str) -> Vec<u8> {
     let digit = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
     (0..hex.len()).step_by(2).map(digit).collect()
 }
--- a/src/region/failure_attribution.rs
+++ b/src/region/failure_attribution.rs
@@ -72,17 +72,17 @@
     }
 
     /// A task of the job is done: whatever failed before, the job isn't at fault.
-    pub fn succeeded(&mut self) {
+    pub(super) fn succeeded(&mut self) {
         *self = JobFailures::default();
     }
 
     /// Whether the job itself seems to be at fault.
-    pub fn is_suspect(&self) -> bool {
+    pub(super) fn is_suspect(&self) -> bool {
         self.health == JobHealth::Suspect
     }
 
     /// Whether it failed on this machine since its last result.
-    pub fn failed_on(&self, machine: &str) -> bool {
+    pub(super) fn failed_on(&self, machine: &str) -> bool {
         self.machines.contains(machine)
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// A task was done on the machine.
-    pub fn succeeded(&mut self) {
+    pub(super) fn succeeded(&mut self) {
         self.jobs.clear();
     }
 
--- a/src/region/machine.rs
+++ b/src/region/machine.rs
@@ -36,7 +36,7 @@
 
 /// Why a machine gets no more tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CordonReason {
+pub(super) enum CordonReason {
     /// Not needed: drained, then released. The only reason that is taken back.
     Surplus,
     /// Idle for longer than its idle timeout.
--- a/src/region/machine_index.rs
+++ b/src/region/machine_index.rs
@@ -46,7 +46,7 @@
 
 /// How the index lists a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum IndexEntry {
+pub(super) enum IndexEntry {
     /// Not at all.
     #[default]
     Unlisted,
@@ -65,7 +65,7 @@
 
 impl IndexEntry {
     /// Free capacity of an available machine for flexible or constrained tasks.
-    pub fn free_for(self, flexible: bool) -> Option<Resources> {
+    pub(super) fn free_for(self, flexible: bool) -> Option<Resources> {
         match self {
             IndexEntry::Available {
                 free_for_flexible, ..
@@ -98,7 +98,7 @@
 
 /// The machines of one pool.
 #[derive(Debug, Default)]
-pub struct PoolIndex {
+pub(super) struct PoolIndex {
     /// What each machine provides.
     pub capacity: Resources,
     /// What is reserved on each machine for tasks that fit on no other type.
@@ -122,13 +122,13 @@
     }
 
     /// For each step with available machines the least free capacity and their number.
-    pub fn free_capacity_steps(&self) -> impl Iterator<Item = (Resources, u32)> + '_ {
+    pub(super) fn free_capacity_steps(&self) -> impl Iterator<Item = (Resources, u32)> + '_ {
         let steps = self.by_free_capacity.0.iter();
         steps.map(|(step, machines)| (least_free(*step, self.capacity), machines.len() as u32))
     }
 
     /// How many available machines hold no task.
-    pub fn idle_count(&self) -> usize {
+    pub(super) fn idle_count(&self) -> usize {
         let all_free = step_of(self.capacity, self.capacity);
         let machines = self.by_free_capacity.0.get(&all_free).into_iter().flatten();
         machines
@@ -137,7 +137,7 @@
     }
 
     /// All available machines, those with the fewest tasks of each step first.
-    pub fn available_machines(&self) -> impl Iterator<Item = &Rc<str>> + '_ {
+    pub(super) fn available_machines(&self) -> impl Iterator<Item = &Rc<str>> + '_ {
         let machines = self.by_free_capacity.0.values().flatten();
         machines.map(|(_, name)| name)
     }
@@ -197,23 +197,23 @@
 
 /// The index of all pools.
 #[derive(Debug, Default)]
-pub struct MachineIndex {
+pub(super) struct MachineIndex {
     pools: BTreeMap<MachinePool, PoolIndex>,
 }
 
 impl MachineIndex {
     /// All pools that machines were ever listed in, in their order.
-    pub fn pools(&self) -> impl Iterator<Item = (&MachinePool, &PoolIndex)> + '_ {
+    pub(super) fn pools(&self) -> impl Iterator<Item = (&MachinePool, &PoolIndex)> + '_ {
         self.pools.iter()
     }
 
     /// The machines of a pool.
-    pub fn pool(&self, key: &MachinePool) -> Option<&PoolIndex> {
+    pub(super) fn pool(&self, key: &MachinePool) -> Option<&PoolIndex> {
         self.pools.get(key)
     }
 
     /// The index's own copy of a pool's key, so that machines of a pool share its names.
-    pub fn shared_key(&self, key: MachinePool) -> MachinePool {
+    pub(super) fn shared_key(&self, key: MachinePool) -> MachinePool {
         match self.pools.get_key_value(&key) {
             Some((shared, _)) => shared.clone(),
             None => key,
@@ -221,7 +221,7 @@
     }
 
     /// All processors and GPUs of machines that are available or expected to boot.
-    pub fn total_quota(&self) -> QuotaAmount {
+    pub(super) fn total_quota(&self) -> QuotaAmount {
         let mut total = QuotaAmount::default();
         for pool in self.pools.values() {
             let each = QuotaAmount {
@@ -234,14 +234,18 @@
     }
 
     /// What is reserved on each machine of a pool for tasks that fit on no other type.
-    pub fn reserved(&self, key: &MachinePool) -> Option<Resources> {
+    pub(super) fn reserved(&self, key: &MachinePool) -> Option<Resources> {
         self.pools.get(key)?.reserved
     }
 
     /// Sets what is reserved on each machine of a pool. Returns the available machines, whose
     /// entries the caller must update.
     #[must_use]
-    pub fn set_reserved(&mut self, key: &MachinePool, reserved: Option<Resources>) -> Vec<Rc<str>> {
+    pub(super) fn set_reserved(
+        &mut self,
+        key: &MachinePool,
+        reserved: Option<Resources>,
+    ) -> Vec<Rc<str>> {
         let Some(pool) = self.pools.get_mut(key) else {
             return Vec::new();
         };
@@ -250,7 +254,7 @@
     }
 
     /// Replaces a machine's entry.
-    pub fn update(
+    pub(super) fn update(
         &mut self,
         key: &MachinePool,
         capacity: Resources,
@@ -270,7 +274,7 @@
     /// The fitting machine of the lowest rank. Searched are the pools that `allowed` selects;
     /// `rank` orders their machines (`None`: does not fit). Of each step only the machines
     /// with the fewest tasks are compared.
-    pub fn best_machine<K: Ord>(
+    pub(super) fn best_machine<K: Ord>(
         &self,
         spec: &JobSpec,
         flexible: bool,
@@ -297,7 +301,7 @@
 
     /// How many tasks of a job the available machines of the allowed pools take now, at
     /// least; counted up to `limit`.
-    pub fn tasks_fitting_now(
+    pub(super) fn tasks_fitting_now(
         &self,
         spec: &JobSpec,
         flexible: bool,
@@ -328,7 +332,7 @@
 
     /// How many tasks of a job the machines of the allowed pools would take with nothing else
     /// on them, those that are expected to boot included.
-    pub fn tasks_fitting_when_empty(
+    pub(super) fn tasks_fitting_when_empty(
         &self,
         spec: &JobSpec,
         flexible: bool,
--- a/src/region/objectives.rs
+++ b/src/region/objectives.rs
@@ -36,7 +36,7 @@
 /// The time of day by which a job must be started to meet the nearest of its
 /// objectives that can still be met: its own deadline, or what its class is expected.
 /// `None` if there was one and it is past; far off if there never was one.
-pub fn latest_start(spec: &JobSpec, context: &SchedulingContext<'_>) -> Option<Micros> {
+pub(super) fn latest_start(spec: &JobSpec, context: &SchedulingContext<'_>) -> Option<Micros> {
     let mut starts = start_windows(spec, context.settings)
         .map(|window| spec.submitted_at + window)
         .peekable();
--- a/src/simulation/cloud.rs
+++ b/src/simulation/cloud.rs
@@ -25,7 +25,7 @@
 }
 
 /// The cloud's own records and troubles.
-pub struct CloudProvider {
+pub(super) struct CloudProvider {
     /// Machines by the idempotency key of the call that rented them.
     rentals: BTreeMap<String, Vec<String>>,
     /// Every machine there ever was.
@@ -50,22 +50,22 @@
 
 impl CloudProvider {
     /// How many machines were ever rented.
-    pub fn machines_rented(&self) -> usize {
+    pub(super) fn machines_rented(&self) -> usize {
         self.machines.len()
     }
 
     /// Changes how many machines can be rented at a time.
-    pub fn set_capacity(&mut self, machines: usize) {
+    pub(super) fn set_capacity(&mut self, machines: usize) {
         self.capacity = machines;
     }
 
     /// Refuses all calls until then.
-    pub fn begin_outage(&mut self, until: Micros) {
+    pub(super) fn begin_outage(&mut self, until: Micros) {
         self.outage_until = until;
     }
 
     /// Machines that are rented until then come up late, and a third of them never.
-    pub fn slow_provisioning(&mut self, until: Micros) {
+    pub(super) fn slow_provisioning(&mut self, until: Micros) {
         self.slow_provisioning_until = until;
     }
 
@@ -83,7 +83,7 @@
 
 impl World {
     /// The response to a call to the cloud.
-    pub fn serve_cloud(&mut self, path: &str, body: &Value) -> Response {
+    pub(super) fn serve_cloud(&mut self, path: &str, body: &Value) -> Response {
         if self.now < self.cloud.outage_until {
             return response(503, json!({"error": "trouble"}));
         }
--- a/src/simulation/controllers.rs
+++ b/src/simulation/controllers.rs
@@ -16,7 +16,7 @@
 use super::world::World;
 
 /// Wall-clock time at the beginning of every simulated day.
-pub const WALL_CLOCK_EPOCH: Micros = 1_000_000_000_000;
+pub(super) const WALL_CLOCK_EPOCH: Micros = 1_000_000_000_000;
 
 /// Calls of each run of a process are numbered from a multiple of this.
 const CALLS_PER_RUN: u64 = 1_000_000;
@@ -26,7 +26,7 @@
 
 /// How calls over a partitioned connection fail.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ConnectionFailure {
+pub(super) enum ConnectionFailure {
     /// They get no answer, and some are executed after the partition.
     #[default]
     Hang,
@@ -36,7 +36,7 @@
 
 /// Until when one controller is partitioned from each kind of other party.
 #[derive(Default)]
-pub struct Partitions {
+pub(super) struct Partitions {
     pub store_until: Micros,
     pub store_failure: ConnectionFailure,
     pub workers_until: Micros,
@@ -46,7 +46,7 @@
 
 /// One controller and what its surroundings do to it.
 #[derive(Default)]
-pub struct SimulatedController {
+pub(super) struct SimulatedController {
     process: Option<Controller<SimNet>>,
     net: SimNet,
     started_at: Micros,
@@ -68,22 +68,22 @@
 
 impl SimulatedController {
     /// The process, if it runs.
-    pub fn process(&self) -> Option<&Controller<SimNet>> {
+    pub(super) fn process(&self) -> Option<&Controller<SimNet>> {
         self.process.as_ref()
     }
 
     /// The number of the current run of the process.
-    pub fn run(&self) -> u64 {
+    pub(super) fn run(&self) -> u64 {
         self.run
     }
 
     /// Forgets the requester on a connection and returns it.
-    pub fn take_requester(&mut self, id: ConnectionId) -> Option<Requester> {
+    pub(super) fn take_requester(&mut self, id: ConnectionId) -> Option<Requester> {
         self.requesters.remove(&id.generation)
     }
 
     /// Ends the process, if it runs, and returns the requesters whose connections break.
-    pub fn kill(&mut self) -> Option<Vec<Requester>> {
+    pub(super) fn kill(&mut self) -> Option<Vec<Requester>> {
         self.process.take()?;
         let requesters = std::mem::take(&mut self.requesters);
         Some(requesters.into_values().collect())
@@ -121,7 +121,7 @@
 
 impl World {
     /// Starts a controller's process.
-    pub fn start_controller(&mut self, index: usize) {
+    pub(super) fn start_controller(&mut self, index: usize) {
         let settings = self.settings[index].clone();
         let controller = &mut self.controllers[index];
         controller.start(self.now, settings);
@@ -133,7 +133,7 @@
     }
 
     /// Hands a request to a controller, or fails it if the process doesn't run.
-    pub fn receive_request(&mut self, index: usize, request: Request, requester: Requester) {
+    pub(super) fn receive_request(&mut self, index: usize, request: Request, requester: Requester) {
         if self.controllers[index].process.is_none() {
             return self.fail_request(requester);
         }
@@ -142,7 +142,7 @@
     }
 
     /// Hands a message to a controller.
-    pub fn receive_peer_message(&mut self, index: usize, payload: Vec<u8>) {
+    pub(super) fn receive_peer_message(&mut self, index: usize, payload: Vec<u8>) {
         let id = ConnectionId {
             slot: 0,
             generation: 0,
@@ -151,7 +151,7 @@
     }
 
     /// A controller's timer has run out.
-    pub fn on_controller_timer(&mut self, index: usize, timer: u64) {
+    pub(super) fn on_controller_timer(&mut self, index: usize, timer: u64) {
         if self.controllers[index].timer == timer {
             self.step_controller(index, None);
         }
@@ -159,7 +159,7 @@
 
     /// Lets a controller handle an event, delivers what it sends and sets its next timer.
     /// Does nothing while the process doesn't run.
-    pub fn step_controller(&mut self, index: usize, event: Option<NetEvent>) {
+    pub(super) fn step_controller(&mut self, index: usize, event: Option<NetEvent>) {
         set_log_position(self.now, index);
         let now = self.now;
         let controller = &mut self.controllers[index];
--- a/src/simulation/days.rs
+++ b/src/simulation/days.rs
@@ -1,9 +1,9 @@
 //! Days: what a simulated day is made of, and the tables of days that tests play.
 
-pub mod compound_failures;
-pub mod partial_failures;
-pub mod record_losses;
-pub mod seeded;
+pub(super) mod compound_failures;
+pub(super) mod partial_failures;
+pub(super) mod record_losses;
+pub(super) mod seeded;
 
 use salttiller_records::units::{Micros, SECOND};
 
@@ -12,13 +12,13 @@
 use super::observations::Observations;
 use super::workload::Workload;
 
-pub use super::faults::at;
+pub(super) use super::faults::at;
 
 /// Mixed into a seed for the draws of a day's faults.
 const FAULTS_SEED: u64 = 0x3ee7;
 
 /// Everything that is set about a day before it begins.
-pub struct Plan {
+pub(super) struct Plan {
     pub seed: u64,
     pub faults: Vec<PlannedFault>,
     /// How many jobs are drawn.
@@ -30,7 +30,7 @@
 
 impl Plan {
     /// A day of four minutes with 24 jobs of all kinds and no faults; set what differs.
-    pub fn quiet(seed: u64) -> Self {
+    pub(super) fn quiet(seed: u64) -> Self {
         Plan {
             seed,
             faults: Vec::new(),
@@ -43,7 +43,7 @@
 
 /// A day of a table. A day that can't bring about its faults proves nothing, so each says how
 /// it is known that it did.
-pub struct Day {
+pub(super) struct Day {
     pub name: &'static str,
     /// Draws the faults.
     pub faults: fn(&mut fastrand::Rng) -> Vec<PlannedFault>,
@@ -54,7 +54,7 @@
 
 impl Day {
     /// The day of one seed.
-    pub fn plan(&self, seed: u64) -> Plan {
+    pub(super) fn plan(&self, seed: u64) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed ^ FAULTS_SEED);
         let jobs = match self.workload {
             Workload::Overload => 60,
@@ -71,12 +71,12 @@
 }
 
 /// The days of both tables of failures.
-pub fn all() -> impl Iterator<Item = &'static Day> {
+pub(super) fn all() -> impl Iterator<Item = &'static Day> {
     compound_failures::days().chain(partial_failures::days())
 }
 
 /// The day of that name.
-pub fn named(name: &str) -> &'static Day {
+pub(super) fn named(name: &str) -> &'static Day {
     let found = all().find(|day| day.name == name);
     found.unwrap_or_else(|| panic!("no day is named {name}"))
 }
--- a/src/simulation/days/compound_failures.rs
+++ b/src/simulation/days/compound_failures.rs
@@ -7,7 +7,7 @@
 use salttiller_records::units::{Micros, SECOND};
 
 /// All days of compound failures.
-pub fn days() -> impl Iterator<Item = &'static Day> {
+pub(crate) fn days() -> impl Iterator<Item = &'static Day> {
     let tables = [CANCELLATIONS, LEADER_CHANGES, NETWORK, CAPACITY, PIPELINES];
     tables.into_iter().flatten()
 }
--- a/src/simulation/days/partial_failures.rs
+++ b/src/simulation/days/partial_failures.rs
@@ -7,7 +7,7 @@
 use salttiller_records::units::SECOND;
 
 /// All days of partial failures.
-pub fn days() -> impl Iterator<Item = &'static Day> {
+pub(crate) fn days() -> impl Iterator<Item = &'static Day> {
     [PARTITIONS, PAUSES, PROVISIONING_AND_JOBS]
         .into_iter()
         .flatten()
--- a/src/simulation/days/record_losses.rs
+++ b/src/simulation/days/record_losses.rs
@@ -6,15 +6,15 @@
 use salttiller_records::units::{Micros, SECOND};
 
 /// When the records are backed up.
-pub const BACKUP_AT: Micros = 75 * SECOND;
+pub(crate) const BACKUP_AT: Micros = 75 * SECOND;
 /// When they are lost.
-pub const LOSS_AT: Micros = 90 * SECOND;
+pub(crate) const LOSS_AT: Micros = 90 * SECOND;
 
 /// Mixed into a seed for the draws of a day's faults.
 const FAULTS_SEED: u64 = 0x105e;
 
 /// A day on which records are lost at [`LOSS_AT`].
-pub struct LossDay {
+pub(crate) struct LossDay {
     pub name: &'static str,
     pub loss: RecordLoss,
     /// Draws the other faults.
@@ -23,7 +23,7 @@
 
 impl LossDay {
     /// The day of one seed.
-    pub fn plan(&self, seed: u64) -> Plan {
+    pub(crate) fn plan(&self, seed: u64) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed ^ FAULTS_SEED);
         let mut faults = vec![
             PlannedFault {
@@ -42,13 +42,13 @@
     }
 
     /// Whether no controller remembers what was lost before the loss can be noticed.
-    pub fn forgets_everything(&self) -> bool {
+    pub(crate) fn forgets_everything(&self) -> bool {
         self.name.contains("all restart")
     }
 
     /// Whether cancellations since the backup are known to nobody any more: neither on record
     /// nor to a controller that was there. They can't be kept, see docs/recovery.md.
-    pub fn forgets_cancellations(&self) -> bool {
+    pub(crate) fn forgets_cancellations(&self) -> bool {
         self.forgets_everything() || self.name.contains("all end later")
     }
 }
@@ -77,19 +77,19 @@
 }
 
 /// All days of lost records.
-pub fn days() -> impl Iterator<Item = &'static LossDay> {
+pub(crate) fn days() -> impl Iterator<Item = &'static LossDay> {
     [AT_THE_LOSS, AFTER_THE_LOSS, BESIDE_THE_LOSS]
         .into_iter()
         .flatten()
 }
 
 /// The days on which the records are set back to the backup.
-pub fn set_back_days() -> impl Iterator<Item = &'static LossDay> {
+pub(crate) fn set_back_days() -> impl Iterator<Item = &'static LossDay> {
     days().filter(|day| day.loss == RecordLoss::SinceBackup)
 }
 
 /// The day of that name.
-pub fn named(name: &str) -> &'static LossDay {
+pub(crate) fn named(name: &str) -> &'static LossDay {
     let found = days().find(|day| day.name == name);
     found.unwrap_or_else(|| panic!("no day is named {name}"))
 }
--- a/src/simulation/days/seeded.rs
+++ b/src/simulation/days/seeded.rs
@@ -12,7 +12,7 @@
 const MORE_FAULTS_SEED: u64 = 0x5eed;
 
 /// A day with crashes, outages, partitions and machines that fail or are paused.
-pub fn with_faults(seed: u64) -> Plan {
+pub(crate) fn with_faults(seed: u64) -> Plan {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut faults = Vec::new();
     for _ in 0..rng.u32(2..9) {
@@ -45,7 +45,7 @@
 
 /// The same day with lost and duplicated messages, reboots, isolated controllers and quick
 /// restarts on top.
-pub fn with_more_faults(seed: u64) -> Plan {
+pub(crate) fn with_more_faults(seed: u64) -> Plan {
     let mut plan = with_faults(seed);
     let mut rng = fastrand::Rng::with_seed(seed ^ MORE_FAULTS_SEED);
     for _ in 0..rng.u32(2..7) {
@@ -72,7 +72,7 @@
 }
 
 /// The same day, with duplicates of heartbeats and an isolated controller for a long time.
-pub fn with_long_isolation(seed: u64) -> Plan {
+pub(crate) fn with_long_isolation(seed: u64) -> Plan {
     let mut plan = with_more_faults(seed);
     let isolation = Fault::IsolateController(0, 60 * SECOND, ConnectionFailure::Reset);
     plan.faults.push(PlannedFault {
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -12,7 +12,7 @@
 
 /// Whoever sent a request to a controller, and so gets its response.
 #[derive(Clone)]
-pub enum Requester {
+pub(super) enum Requester {
     /// A worker that sent a heartbeat.
     Worker(Heartbeat),
     /// The user of a job.
@@ -29,7 +29,7 @@
 
 /// The process of a controller that made a call to an outside service.
 #[derive(Clone, Copy)]
-pub struct Caller {
+pub(super) struct Caller {
     pub controller: usize,
     /// Which run of the controller's process it was; responses to earlier runs are dropped.
     pub run: u64,
@@ -42,7 +42,7 @@
 
     /// The same caller after its time-out: the call may still be executed, but the response
     /// goes nowhere.
-    pub fn given_up(self) -> Self {
+    pub(super) fn given_up(self) -> Self {
         Caller {
             run: Self::GIVEN_UP,
             ..self
@@ -51,7 +51,7 @@
 }
 
 /// Something that happens at one simulated time.
-pub enum Event {
+pub(super) enum Event {
     /// A controller's process starts.
     StartController(usize),
     /// A controller asked to be called again by now; outdated timers are ignored.
@@ -86,7 +86,7 @@
 
 impl Event {
     /// The controller whose process has to run for this event.
-    pub fn receiver(&self) -> Option<usize> {
+    pub(super) fn receiver(&self) -> Option<usize> {
         match self {
             Event::ControllerTimer { controller, .. }
             | Event::Request { controller, .. }
@@ -99,20 +99,20 @@
 
 /// Events by time; those of one time in the order in which they were scheduled.
 #[derive(Default)]
-pub struct EventQueue {
+pub(super) struct EventQueue {
     events: BTreeMap<(Micros, u64), Event>,
     last_sequence: u64,
 }
 
 impl EventQueue {
     /// Adds an event.
-    pub fn push(&mut self, at: Micros, event: Event) {
+    pub(super) fn push(&mut self, at: Micros, event: Event) {
         self.last_sequence += 1;
         self.events.insert((at, self.last_sequence), event);
     }
 
     /// Takes the next event if it happens no later than `end`.
-    pub fn pop_until(&mut self, end: Micros) -> Option<(Micros, Event)> {
+    pub(super) fn pop_until(&mut self, end: Micros) -> Option<(Micros, Event)> {
         let (&(at, _), _) = self.events.first_key_value()?;
         if at > end {
             return None;
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -14,20 +14,20 @@
 
 /// A fault of a day's plan and when it happens.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlannedFault {
+pub(super) struct PlannedFault {
     pub at: Micros,
     pub fault: Fault,
 }
 
 impl PlannedFault {
     /// From then on invariants about progress hold, if there are no other faults.
-    pub fn settled_at(&self) -> Micros {
+    pub(super) fn settled_at(&self) -> Micros {
         self.at + self.fault.duration() + self.fault.settling_time()
     }
 }
 
 /// Plans a fault at a time in seconds since the day began.
-pub fn at(seconds: f64, fault: Fault) -> PlannedFault {
+pub(super) fn at(seconds: f64, fault: Fault) -> PlannedFault {
     PlannedFault {
         at: (seconds * SECOND as f64) as Micros,
         fault,
@@ -36,7 +36,7 @@
 
 /// A fault; a `usize` is the index of a controller, a time how long the fault lasts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub(super) enum Fault {
     /// A controller's process ends, and starts again after 0.2 s or 5 s.
     CrashController(usize),
     /// A controller's process ends, and starts again within a second.
@@ -109,7 +109,7 @@
 
 /// Which running jobs are cancelled, and what else befalls their machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CancelRunning {
+pub(super) struct CancelRunning {
     /// Most jobs to cancel.
     pub jobs: usize,
     /// The machines on which they run are paused for so long.
@@ -118,7 +118,7 @@
 
 /// What the state service loses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RecordLoss {
+pub(super) enum RecordLoss {
     /// Everything.
     All,
     /// What came after the backup.
@@ -131,12 +131,12 @@
 
 impl Fault {
     /// Cancels up to `jobs` running jobs.
-    pub fn cancel_running(jobs: usize) -> Self {
+    pub(super) fn cancel_running(jobs: usize) -> Self {
         Self::cancel_running_and_pause(jobs, 0)
     }
 
     /// Cancels up to `jobs` running jobs, and pauses the machines on which they run.
-    pub fn cancel_running_and_pause(jobs: usize, machine_pause: Micros) -> Self {
+    pub(super) fn cancel_running_and_pause(jobs: usize, machine_pause: Micros) -> Self {
         Fault::CancelRunningJobs(CancelRunning {
             jobs,
             machine_pause,
@@ -144,7 +144,7 @@
     }
 
     /// How long the fault lasts; 0 if it happens at one moment.
-    pub fn duration(&self) -> Micros {
+    pub(super) fn duration(&self) -> Micros {
         match self {
             Fault::AllControllersDown(duration)
             | Fault::PauseController(_, duration)
--- a/src/simulation/faults/injection.rs
+++ b/src/simulation/faults/injection.rs
@@ -20,7 +20,7 @@
 
 impl World {
     /// Brings about a fault now.
-    pub fn inject(&mut self, fault: Fault) {
+    pub(crate) fn inject(&mut self, fault: Fault) {
         let now = self.now;
         let until = now + fault.duration();
         match fault {
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -6,7 +6,7 @@
 mod starts;
 mod waiting;
 
-pub use waiting::NeedlessWait;
+pub(super) use waiting::NeedlessWait;
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -26,7 +26,7 @@
 
 /// A rule of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
+pub(super) enum Rule {
     /// A task runs on one machine at a time.
     RanTwice,
     /// Nothing of a cancelled job runs after the deadline.
@@ -53,7 +53,7 @@
 
 impl Rule {
     /// The protocol's name for a violation of the rule.
-    pub fn name(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             Rule::RanTwice => "ran_twice",
             Rule::RanCancelled => "ran_cancelled",
@@ -72,7 +72,7 @@
 
 /// A violation of a rule, and what was seen of it.
 #[derive(Clone)]
-pub struct Violation {
+pub(super) struct Violation {
     pub at: Micros,
     pub rule: Rule,
     pub seen: String,
@@ -87,20 +87,20 @@
 
 impl World {
     /// Checks what is checked every few seconds of a day.
-    pub fn check_invariants(&mut self) {
+    pub(super) fn check_invariants(&mut self) {
         self.check_cancelled();
         self.check_answered();
         self.check_waiting();
     }
 
     /// Records the violation of a rule.
-    pub fn violate(&mut self, rule: Rule, seen: String) {
+    pub(super) fn violate(&mut self, rule: Rule, seen: String) {
         let at = self.now;
         self.violations.push(Violation { at, rule, seen });
     }
 
     /// Whether a rule was violated.
-    pub fn has_violated(&self, rule: Rule) -> bool {
+    pub(super) fn has_violated(&self, rule: Rule) -> bool {
         self.violations.iter().any(|v| v.rule == rule)
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Checks that no team's tasks use more than its limit.
-    pub fn check_quota(&mut self) {
+    pub(super) fn check_quota(&mut self) {
         let mut used: BTreeMap<&'static str, f64> = BTreeMap::new();
         for (_, worker) in self.live_workers() {
             for (task, _) in worker.active_tasks() {
@@ -142,7 +142,7 @@
 
     /// Once all faults are over, no accepted job is left without an answer, however the others
     /// fare, and whether it is done or not.
-    pub fn check_answered(&mut self) {
+    pub(super) fn check_answered(&mut self) {
         let is_silent = |job: &Job| {
             let since = job.last_answered_at.max(self.faults_end);
             job.accepted && self.now > since + LONGEST_SILENCE
@@ -156,7 +156,7 @@
 
     /// Checks that every cancelled job's tasks are gone in time, those on paused machines
     /// included.
-    pub fn check_cancelled(&mut self) {
+    pub(super) fn check_cancelled(&mut self) {
         let is_late = |task: &str| {
             let confirmed_at = self.job_of(task).cancel_confirmed_at;
             confirmed_at.is_some_and(|at| self.now > at + CANCEL_DEADLINE)
@@ -170,7 +170,7 @@
     }
 
     /// Workers that have not lost their tasks.
-    pub fn live_workers(&self) -> impl Iterator<Item = (&String, &Worker)> {
+    pub(super) fn live_workers(&self) -> impl Iterator<Item = (&String, &Worker)> {
         let workers = self.workers.iter();
         workers.filter(|(_, worker)| !worker.has_lost_tasks(self.now))
     }
--- a/src/simulation/invariants/starts.rs
+++ b/src/simulation/invariants/starts.rs
@@ -17,7 +17,7 @@
 
 impl World {
     /// Checks the rules for starts; false if one is violated.
-    pub fn check_start(&mut self, machine: &str, task: &str) -> bool {
+    pub(crate) fn check_start(&mut self, machine: &str, task: &str) -> bool {
         if let Some(other) = self.other_machine_with(machine, task) {
             let seen = format!("{task} starts on {machine} while on {other}");
             self.violate(Rule::RanTwice, seen);
--- a/src/simulation/invariants/waiting.rs
+++ b/src/simulation/invariants/waiting.rs
@@ -40,7 +40,7 @@
 impl World {
     /// Once all faults are over, no job waits for long while machines have capacity for what
     /// it lacks and its team is under its limit.
-    pub fn check_waiting(&mut self) {
+    pub(crate) fn check_waiting(&mut self) {
         let usage = self.cluster_usage();
         let jobs = self.users.jobs.iter();
         let outlooks: Vec<(String, Outlook)> = jobs
@@ -131,7 +131,7 @@
 
 /// Since when a job could run more tasks, and how many starts it had then.
 #[derive(Clone, Copy)]
-pub struct NeedlessWait {
+pub(crate) struct NeedlessWait {
     since: Micros,
     starts: u32,
 }
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -28,12 +28,12 @@
 const LOST_RESPONSE_NOTICED: Micros = 2 * SECOND;
 
 /// [`Call::dest`] of the state service.
-pub const STATE_SERVICE: usize = 0;
+pub(super) const STATE_SERVICE: usize = 0;
 /// [`Call::dest`] of the cloud.
-pub const CLOUD: usize = 1;
+pub(super) const CLOUD: usize = 1;
 
 /// What a controller hands to its network.
-pub enum Outgoing {
+pub(super) enum Outgoing {
     /// The response to a request on a connection.
     Respond(ConnectionId, Response),
     /// A call to an outside service.
@@ -48,7 +48,7 @@
 
 /// The network as one run of a controller's process sees it.
 #[derive(Clone, Default)]
-pub struct SimNet {
+pub(super) struct SimNet {
     state: Rc<RefCell<NetState>>,
 }
 
@@ -62,25 +62,25 @@
 
 impl SimNet {
     /// A network whose calls are numbered upwards from `first_call`.
-    pub fn new(first_call: CallId) -> Self {
+    pub(super) fn new(first_call: CallId) -> Self {
         let net = SimNet::default();
         net.state.borrow_mut().last_call = first_call;
         net
     }
 
     /// Sets the steady clock and the wall clock that the controller reads.
-    pub fn set_clocks(&self, clock: Micros, wall: Micros) {
+    pub(super) fn set_clocks(&self, clock: Micros, wall: Micros) {
         let mut state = self.state.borrow_mut();
         (state.clock, state.wall) = (clock, wall);
     }
 
     /// The steady clock that the controller reads.
-    pub fn steady_clock(&self) -> Micros {
+    pub(super) fn steady_clock(&self) -> Micros {
         self.state.borrow().clock
     }
 
     /// Takes all that the controller has handed over since the last time.
-    pub fn take_outgoing(&self) -> Vec<Outgoing> {
+    pub(super) fn take_outgoing(&self) -> Vec<Outgoing> {
         std::mem::take(&mut self.state.borrow_mut().outgoing)
     }
 
@@ -127,7 +127,7 @@
 
 /// Until when each fault of the whole network lasts; 0: there was none.
 #[derive(Default)]
-pub struct NetworkFaults {
+pub(super) struct NetworkFaults {
     /// Responses to workers are delayed by up to [`MAX_RESPONSE_DELAY_MS`].
     pub worker_responses_delayed_until: Micros,
     /// Duplicates of heartbeats arrive late, at any controller.
@@ -154,12 +154,12 @@
 
 impl World {
     /// How long the next message takes.
-    pub fn draw_latency(&mut self) -> Micros {
+    pub(super) fn draw_latency(&mut self) -> Micros {
         LATENCY + self.rng.u64(0..LATENCY)
     }
 
     /// Delivers, delays or drops what a controller has sent.
-    pub fn deliver(&mut self, controller: usize, outgoing: Outgoing) {
+    pub(super) fn deliver(&mut self, controller: usize, outgoing: Outgoing) {
         match outgoing {
             Outgoing::Respond(id, response) => self.deliver_response(controller, id, response),
             Outgoing::Call(id, call) => self.deliver_call(controller, id, call),
@@ -263,14 +263,14 @@
     }
 
     /// The connection of a request breaks before there is a response.
-    pub fn fail_request(&mut self, requester: Requester) {
+    pub(super) fn fail_request(&mut self, requester: Requester) {
         let at = self.now + self.draw_latency();
         let no_response = Response::new(0, Vec::new());
         self.schedule(at, Event::Response(requester, no_response));
     }
 
     /// Sends the result of a call back; a partition loses results as well as calls.
-    pub fn return_result(&mut self, caller: Caller, result: Result<Response, CallError>) {
+    pub(super) fn return_result(&mut self, caller: Caller, result: Result<Response, CallError>) {
         let latency = self.draw_latency();
         if self.now < self.controllers[caller.controller].partitions.store_until {
             let lost = Err(CallError::NoAnswer);
@@ -283,12 +283,12 @@
 }
 
 /// A response with a body.
-pub fn response(status: u16, body: Value) -> Response {
+pub(super) fn response(status: u16, body: Value) -> Response {
     Response::new(status, rmp_serde::to_vec(&body).unwrap())
 }
 
 /// A request to a controller.
-pub fn request(method: &str, path: &str, body: Vec<u8>) -> Request {
+pub(super) fn request(method: &str, path: &str, body: Vec<u8>) -> Request {
     Request {
         method: method.into(),
         path: path.into(),
@@ -299,6 +299,6 @@
 }
 
 /// What a body says; null if it can't be read.
-pub fn decode(body: &[u8]) -> Value {
+pub(super) fn decode(body: &[u8]) -> Value {
     rmp_serde::from_slice(body).unwrap_or(Value::Null)
 }
--- a/src/simulation/observations.rs
+++ b/src/simulation/observations.rs
@@ -3,7 +3,7 @@
 
 /// What was seen on a day.
 #[derive(Default, Debug, Clone, PartialEq)]
-pub struct Observations {
+pub(super) struct Observations {
     /// Cancellations confirmed while the state service refused a controller alone.
     pub cancels_confirmed_in_refusal: u32,
     /// Running tasks of jobs at the moment at which their cancellation was confirmed.
--- a/src/simulation/runner.rs
+++ b/src/simulation/runner.rs
@@ -12,7 +12,7 @@
 use super::world::World;
 
 /// Time between two checks of the invariants.
-pub const CHECK_INTERVAL: Micros = 5 * SECOND;
+pub(super) const CHECK_INTERVAL: Micros = 5 * SECOND;
 
 /// After its end a day goes on for so long, for its work to get done.
 const COMPLETION_TIME: Micros = 120 * SECOND;
@@ -23,17 +23,17 @@
 const DEFAULT_SEEDS: u64 = 40;
 
 /// Plays a day.
-pub fn play(plan: &Plan) -> World {
+pub(super) fn play(plan: &Plan) -> World {
     play_on(plan, World::new(plan))
 }
 
 /// Plays a day without one of the controllers' safeguards.
-pub fn play_without(safeguard: Safeguard, plan: &Plan) -> World {
+pub(super) fn play_without(safeguard: Safeguard, plan: &Plan) -> World {
     with_disabled(safeguard, || play(plan))
 }
 
 /// Plays a day on from the state of a world that a test has prepared.
-pub fn play_on(plan: &Plan, mut world: World) -> World {
+pub(super) fn play_on(plan: &Plan, mut world: World) -> World {
     log_if_requested();
     fastrand::seed(plan.seed);
     let completion_time = match plan.workload {
@@ -50,12 +50,12 @@
 }
 
 /// The seeds to play; more with `SALTTILLER_SEEDS=1000`.
-pub fn seeds() -> RangeInclusive<u64> {
+pub(super) fn seeds() -> RangeInclusive<u64> {
     1..=environment_number("SALTTILLER_SEEDS").unwrap_or(DEFAULT_SEEDS)
 }
 
 /// The number that an environment variable holds, if it holds one.
-pub fn environment_number(name: &str) -> Option<u64> {
+pub(super) fn environment_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
@@ -65,12 +65,12 @@
 }
 
 /// Notes which controller runs at which time, for the log.
-pub fn set_log_position(now: Micros, controller: usize) {
+pub(super) fn set_log_position(now: Micros, controller: usize) {
     LOG_POSITION.set((now, controller));
 }
 
 /// Writes a log with simulated times if `SALTTILLER_LOG` names a level, e.g. `debug`.
-pub fn log_if_requested() {
+pub(super) fn log_if_requested() {
     let Ok(level) = std::env::var("SALTTILLER_LOG") else {
         return;
     };
--- a/src/simulation/state_service.rs
+++ b/src/simulation/state_service.rs
@@ -22,7 +22,7 @@
 
 /// One record.
 #[derive(Clone)]
-pub struct Record {
+pub(super) struct Record {
     pub value: Value,
     /// The revision that wrote it.
     pub version: u64,
@@ -32,7 +32,7 @@
 
 /// One change of one record; without a value it is a deletion.
 #[derive(Clone)]
-pub struct Change {
+pub(super) struct Change {
     pub revision: u64,
     pub key: String,
     pub value: Option<Value>,
@@ -59,7 +59,7 @@
 }
 
 /// The state service.
-pub struct StateService {
+pub(super) struct StateService {
     records: BTreeMap<String, Record>,
     changes: Vec<Change>,
     revision: u64,
@@ -95,27 +95,27 @@
 
 impl StateService {
     /// All records, by key.
-    pub fn records(&self) -> &BTreeMap<String, Record> {
+    pub(super) fn records(&self) -> &BTreeMap<String, Record> {
         &self.records
     }
 
     /// All changes there were, oldest first.
-    pub fn changes(&self) -> &[Change] {
+    pub(super) fn changes(&self) -> &[Change] {
         &self.changes
     }
 
     /// The value of a record, if there is one.
-    pub fn value(&self, key: &str) -> Option<&Value> {
+    pub(super) fn value(&self, key: &str) -> Option<&Value> {
         self.records.get(key).map(|record| &record.value)
     }
 
     /// The version of a record, 0 if there is none.
-    pub fn version(&self, key: &str) -> u64 {
+    pub(super) fn version(&self, key: &str) -> u64 {
         self.records.get(key).map_or(0, |record| record.version)
     }
 
     /// Is unreachable for all until then; afterwards every lease has its full time again.
-    pub fn begin_outage(&mut self, until: Micros) {
+    pub(super) fn begin_outage(&mut self, until: Micros) {
         self.outage_until = until;
         for lease in self.leases.values_mut() {
             lease.expires_at = until + lease.duration;
@@ -123,13 +123,13 @@
     }
 
     /// Accepts no larger transactions and values from now on.
-    pub fn set_limits(&mut self, transaction_changes: usize, value_bytes: usize) {
+    pub(super) fn set_limits(&mut self, transaction_changes: usize, value_bytes: usize) {
         self.max_transaction_changes = transaction_changes;
         self.max_value_bytes = value_bytes;
     }
 
     /// Copies the records, to be restored by [`StateService::lose_records`].
-    pub fn back_up(&mut self) {
+    pub(super) fn back_up(&mut self) {
         self.backup = Backup {
             revision: self.revision,
             records: self.records.clone(),
@@ -138,7 +138,7 @@
     }
 
     /// Puts a record that was there before the day began.
-    pub fn seed_record(&mut self, key: &str, value: Value) {
+    pub(super) fn seed_record(&mut self, key: &str, value: Value) {
         self.revision += 1;
         let record = Record {
             value,
--- a/src/simulation/state_service/calls.rs
+++ b/src/simulation/state_service/calls.rs
@@ -12,7 +12,7 @@
 
 impl World {
     /// A call reaches an outside service.
-    pub fn serve_call(&mut self, caller: Caller, call: &Call) {
+    pub(crate) fn serve_call(&mut self, caller: Caller, call: &Call) {
         let (path, query) = call.target.split_once('?').unwrap_or((&call.target, ""));
         let body = decode(&call.body);
         if call.destination == CLOUD {
@@ -40,13 +40,13 @@
     }
 
     /// Whether the state service refuses a controller now, alone or with all others.
-    pub fn is_without_store(&self, controller: usize) -> bool {
+    pub(crate) fn is_without_store(&self, controller: usize) -> bool {
         let refused_until = self.controllers[controller].refused_until;
         self.now < self.store.outage_until || self.now < refused_until
     }
 
     /// Executes a transaction and tells those who watch.
-    pub fn commit(&mut self, body: &Value) -> Response {
+    pub(crate) fn commit(&mut self, body: &Value) -> Response {
         let response = self.store.commit(body, &mut self.observations);
         if response.status == 200 {
             self.notify_watches();
@@ -55,7 +55,7 @@
     }
 
     /// A watch has waited as long as it asked for; in an outage it goes on to its end.
-    pub fn on_watch_timeout(&mut self, watch: u64) {
+    pub(crate) fn on_watch_timeout(&mut self, watch: u64) {
         let Some(caller) = self.store.watches.get(&watch).map(|w| w.caller) else {
             return;
         };
@@ -92,7 +92,7 @@
 
     /// The state service loses records. It is another process from then on, so its connections
     /// break.
-    pub fn lose_records(&mut self, loss: RecordLoss) {
+    pub(crate) fn lose_records(&mut self, loss: RecordLoss) {
         self.store.lose_records(loss);
         for watch in std::mem::take(&mut self.store.watches).into_values() {
             self.return_result(watch.caller, Err(CallError::NoAnswer));
--- a/src/simulation/tests.rs
+++ b/src/simulation/tests.rs
@@ -1,8 +1,8 @@
 //! The tests that play days, by what the days are about.
 
-pub mod failures;
-pub mod lost_records;
-pub mod partial_failures;
-pub mod pipelines;
+pub(super) mod failures;
+pub(super) mod lost_records;
+pub(super) mod partial_failures;
+pub(super) mod pipelines;
 mod scale;
-pub mod seeded;
+pub(super) mod seeded;
--- a/src/simulation/tests/lost_records.rs
+++ b/src/simulation/tests/lost_records.rs
@@ -107,7 +107,7 @@
 
 /// What a day of a loss showed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Detection {
+pub(crate) enum Detection {
     /// The loss was noticed.
     Noticed,
     /// Nobody is left who could show it.
@@ -123,7 +123,7 @@
 }
 
 /// Plays a loss; what went wrong, if anything did.
-pub fn play_loss(day: &LossDay, seed: u64) -> Result<Detection, String> {
+pub(crate) fn play_loss(day: &LossDay, seed: u64) -> Result<Detection, String> {
     let plan = day.plan(seed);
     let mut world = detecting_world(&plan);
     // In a hold queries go unanswered for good: only what must not happen is checked.
@@ -237,7 +237,7 @@
 /// Where nothing is lost nothing is found: first starts, outages, partitions, takeovers, late
 /// transactions. And all work ends as without the detection.
 #[test]
-pub fn faults_without_a_loss_are_not_taken_for_one() {
+pub(crate) fn faults_without_a_loss_are_not_taken_for_one() {
     let mut failed = Vec::new();
     for day in days::all() {
         for seed in 1..=2 {
@@ -258,7 +258,7 @@
 
 /// Whether users cancel again what they had cancelled and the backup shows as open.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum CancelAgain {
+pub(crate) enum CancelAgain {
     Yes,
     No,
 }
@@ -304,7 +304,7 @@
 
 /// Operators go on with the backup after a real loss: what runs twice, beyond a limit or in a
 /// wrong place is checked as on any day, and what the backup holds is served to its end.
-pub fn play_decision(day: &LossDay, seed: u64, again: CancelAgain) -> Result<(), String> {
+pub(crate) fn play_decision(day: &LossDay, seed: u64, again: CancelAgain) -> Result<(), String> {
     let plan = day.plan(seed);
     let mut world = detecting_world(&plan);
     world.faults_end = 200 * SECOND;
@@ -358,7 +358,7 @@
 /// Operators decide to go on with what there is: service resumes, all work ends, no rule is
 /// violated. The hold itself is put on record by hand, so that nothing is really lost.
 #[test]
-pub fn a_decision_ends_the_hold() {
+pub(crate) fn a_decision_ends_the_hold() {
     for seed in 1..=SEEDS_EACH {
         let plan = Plan {
             faults: vec![at(130.0, Fault::RestartLeader)],
--- a/src/simulation/tests/partial_failures.rs
+++ b/src/simulation/tests/partial_failures.rs
@@ -41,7 +41,7 @@
 
 /// No region is released on a quiet day, nor when controllers end, nor in an outage.
 #[test]
-pub fn nothing_is_released_without_need() {
+pub(crate) fn nothing_is_released_without_need() {
     for faults in [
         vec![],
         vec![
@@ -104,7 +104,7 @@
 /// costs three changes of records: accepted, bound, done. A few are moved to another region
 /// once, which is a fourth.
 #[test]
-pub fn a_one_task_job_costs_three_changes() {
+pub(crate) fn a_one_task_job_costs_three_changes() {
     let plan = Plan {
         jobs: 0,
         end: 60 * SECOND,
--- a/src/simulation/tests/pipelines.rs
+++ b/src/simulation/tests/pipelines.rs
@@ -19,7 +19,7 @@
 type Moment = fn(&World) -> bool;
 
 /// What befalls the world right after the first job is cancelled.
-pub struct Disturbance {
+pub(crate) struct Disturbance {
     pub name: &'static str,
     moment: Moment,
     begin: fn(&mut World),
@@ -29,7 +29,7 @@
 const ON_RECORD: Moment = |world| world.stage_on_record(FIRST) == "c";
 
 /// All disturbances.
-pub const DISTURBANCES: [Disturbance; 4] = [
+pub(crate) const DISTURBANCES: [Disturbance; 4] = [
     Disturbance {
         name: "nothing else",
         moment: CONFIRMED,
@@ -63,7 +63,7 @@
 ];
 
 /// Plays a cancellation of the first job; the violations, and what else went wrong.
-pub fn cancellation(seed: u64, disturbance: &Disturbance) -> Vec<String> {
+pub(crate) fn cancellation(seed: u64, disturbance: &Disturbance) -> Vec<String> {
     let mut world = four_jobs(seed, 100);
     world.cancel(FIRST);
     if !world.run_until(10 * SECOND, disturbance.moment) {
@@ -130,7 +130,7 @@
 /// The last needed job ends while its region changes hands: what waited for it starts all
 /// the same, and no sooner.
 #[test]
-pub fn a_needed_job_ends_in_a_takeover() {
+pub(crate) fn a_needed_job_ends_in_a_takeover() {
     let mut in_takeover = 0;
     for seed in 1..=SEEDS {
         let mut world = four_jobs(seed, 20);
@@ -172,7 +172,7 @@
 /// A job is cancelled and one that needs it is submitted in the same instant, at any
 /// controllers: accepted, and cancelled in the end.
 #[test]
-pub fn a_dependent_submitted_as_its_need_is_cancelled() {
+pub(crate) fn a_dependent_submitted_as_its_need_is_cancelled() {
     for seed in 1..=SEEDS {
         let mut world = four_jobs(seed, 100);
         world.cancel(FIRST);
@@ -193,7 +193,7 @@
 /// A job is cancelled as its last task ends: if the response is that it is done, what needs
 /// it goes on, else that is cancelled too. Both responses must occur.
 #[test]
-pub fn a_cancellation_that_loses_to_the_end() {
+pub(crate) fn a_cancellation_that_loses_to_the_end() {
     let (mut completions, mut cancellations) = (0, 0);
     for seed in 1..=6 * SEEDS {
         let mut world = four_jobs(seed, 20);
@@ -261,7 +261,7 @@
 /// Submissions that need jobs in any state, and status queries for them at every controller
 /// right away.
 #[test]
-pub fn submissions_that_need_others() {
+pub(crate) fn submissions_that_need_others() {
     let mut world = four_jobs(3, 20);
     let mut submissions = Submissions { last: 100 };
     for controller in 0..CONTROLLERS {
@@ -319,7 +319,7 @@
 
 /// A job becomes ready in an outage: it starts soon after that.
 #[test]
-pub fn readiness_in_an_outage() {
+pub(crate) fn readiness_in_an_outage() {
     for seed in 1..=SEEDS {
         let mut world = four_jobs(seed, 20);
         world.run_for(8 * SECOND);
@@ -351,7 +351,7 @@
 /// A job that waits takes nothing: no machine is rented for it, and its team may use its
 /// whole limit meanwhile.
 #[test]
-pub fn a_waiting_job_holds_nothing() {
+pub(crate) fn a_waiting_job_holds_nothing() {
     let machines = |with_waiting: bool| {
         let mut world = World::empty(5);
         world.submit(FIRST, 1, 60, &[]);
--- a/src/simulation/tests/pipelines/script.rs
+++ b/src/simulation/tests/pipelines/script.rs
@@ -12,12 +12,12 @@
 use serde_json::Value;
 
 /// Jobs of the scripts. The second needs the first, the third the second, the fourth both.
-pub const FIRST: &str = "req-000001";
-pub const SECOND_JOB: &str = "req-000002";
-pub const THIRD: &str = "req-000003";
-pub const FOURTH: &str = "req-000004";
+pub(super) const FIRST: &str = "req-000001";
+pub(super) const SECOND_JOB: &str = "req-000002";
+pub(super) const THIRD: &str = "req-000003";
+pub(super) const FOURTH: &str = "req-000004";
 /// Submitted by scripts of their own.
-pub const LATE: &str = "req-000009";
+pub(super) const LATE: &str = "req-000009";
 
 fn submission(id: &str, tasks: u32, run_seconds: u64, dependencies: &[&str]) -> Submission {
     let dependencies = dependencies.iter().map(|id| (*id).to_owned()).collect();
@@ -31,7 +31,7 @@
 
 impl World {
     /// A world on a day with no jobs and no faults of its own.
-    pub fn empty(seed: u64) -> World {
+    pub(crate) fn empty(seed: u64) -> World {
         log_if_requested();
         fastrand::seed(seed);
         let mut world = World::new(&Plan {
@@ -45,18 +45,18 @@
     }
 
     /// A user submits a job now.
-    pub fn submit(&mut self, id: &str, tasks: u32, run_seconds: u64, dependencies: &[&str]) {
+    pub(crate) fn submit(&mut self, id: &str, tasks: u32, run_seconds: u64, dependencies: &[&str]) {
         let submission = submission(id, tasks, run_seconds, dependencies);
         self.submit_job(self.now, &submission, run_seconds * SECOND);
     }
 
     /// A user cancels a job now.
-    pub fn cancel(&mut self, id: &str) {
+    pub(crate) fn cancel(&mut self, id: &str) {
         self.schedule_user(self.now, id, UserAction::Cancel);
     }
 
     /// Goes on for so long, checking what is checked on every day.
-    pub fn run_for(&mut self, span: Micros) {
+    pub(crate) fn run_for(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end && self.violations.is_empty() {
             let next = (self.now + CHECK_INTERVAL).min(end);
@@ -67,7 +67,7 @@
     }
 
     /// Goes on until a condition holds; whether it does within a time.
-    pub fn run_until(&mut self, limit: Micros, condition: impl Fn(&World) -> bool) -> bool {
+    pub(crate) fn run_until(&mut self, limit: Micros, condition: impl Fn(&World) -> bool) -> bool {
         let end = self.now + limit;
         while !condition(self) {
             if self.now >= end || !self.violations.is_empty() {
@@ -81,7 +81,7 @@
     }
 
     /// Sends a request of the test's own to one controller; status and stage of the response.
-    pub fn probe(
+    pub(crate) fn probe(
         &mut self,
         controller: usize,
         method: &str,
@@ -103,7 +103,7 @@
         (*status, stage)
     }
 
-    pub fn probe_submission(
+    pub(crate) fn probe_submission(
         &mut self,
         controller: usize,
         id: &str,
@@ -114,17 +114,17 @@
     }
 
     /// Whether a job's user was told that it is cancelled.
-    pub fn is_cancel_confirmed(&self, id: &str) -> bool {
+    pub(crate) fn is_cancel_confirmed(&self, id: &str) -> bool {
         self.users.jobs[id].cancel_confirmed_at.is_some()
     }
 
-    pub fn stage_on_record(&self, id: &str) -> String {
+    pub(crate) fn stage_on_record(&self, id: &str) -> String {
         let record = self.store.value(&format!("st/job/{id}")).unwrap();
         record["st"].as_str().unwrap().to_owned()
     }
 
     /// A controller that owns a part of a job.
-    pub fn owner_of(&self, id: &str) -> usize {
+    pub(crate) fn owner_of(&self, id: &str) -> usize {
         let job = self.store.value(&format!("st/job/{id}")).unwrap();
         let region = job["b"][0][2].as_str().unwrap();
         let record = self.store.value(&format!("st/region/{region}")).unwrap();
@@ -134,13 +134,13 @@
     }
 
     /// Whether the users know of every job that it is done or cancelled.
-    pub fn are_all_jobs_final(&self) -> bool {
+    pub(crate) fn are_all_jobs_final(&self) -> bool {
         self.unfinished_jobs().is_empty()
     }
 }
 
 /// A world with the four jobs accepted and the first running, for `run_seconds`.
-pub fn four_jobs(seed: u64, run_seconds: u64) -> World {
+pub(super) fn four_jobs(seed: u64, run_seconds: u64) -> World {
     let mut world = World::empty(seed);
     let jobs: [(&str, u64, &[&str]); 4] = [
         (FIRST, run_seconds, &[]),
--- a/src/simulation/tests/seeded.rs
+++ b/src/simulation/tests/seeded.rs
@@ -101,7 +101,7 @@
 /// Records as an earlier version left them: a machine of its own with a running task, a bound
 /// job, shares. They are taken over, nothing runs twice or is lost.
 #[test]
-pub fn records_of_an_earlier_version() {
+pub(crate) fn records_of_an_earlier_version() {
     let plan = Plan::quiet(3);
     let mut world = World::new(&plan);
     let id = world.users.jobs.keys().next().unwrap().clone();
@@ -186,7 +186,7 @@
 /// 438 had the last tasks of a job put on record by two regions at the same moment, and nobody
 /// said that it was done.
 #[test]
-pub fn days_that_once_failed() {
+pub(crate) fn days_that_once_failed() {
     for seed in [23, 71, 149, 438] {
         check(&seeded::with_faults(seed));
     }
--- a/src/simulation/trace_digest.rs
+++ b/src/simulation/trace_digest.rs
@@ -87,7 +87,7 @@
 }
 
 /// Takes what a controller sends into the current digest, if there is one.
-pub fn record(now: Micros, controller: usize, outgoing: &[Outgoing]) {
+pub(super) fn record(now: Micros, controller: usize, outgoing: &[Outgoing]) {
     if let Some(mut digest) = CURRENT.get() {
         for item in outgoing {
             digest.record(now, controller, item);
--- a/src/simulation/users.rs
+++ b/src/simulation/users.rs
@@ -3,7 +3,7 @@
 
 mod jobs;
 
-pub use jobs::{Job, JobKind, Submission};
+pub(super) use jobs::{Job, JobKind, Submission};
 
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
 
 /// What the user of a job asks for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum UserAction {
+pub(super) enum UserAction {
     /// The job's submission.
     Submit,
     /// A status query.
@@ -42,7 +42,7 @@
 
 /// The users' side of the world.
 #[derive(Default)]
-pub struct Users {
+pub(super) struct Users {
     pub jobs: BTreeMap<String, Job>,
     /// Until when users query thirty times as often.
     pub query_burst_until: Micros,
@@ -73,20 +73,20 @@
 
 impl World {
     /// Adds a job whose user submits it at that time.
-    pub fn submit_job(&mut self, at: Micros, submission: &Submission, run_time: Micros) {
+    pub(super) fn submit_job(&mut self, at: Micros, submission: &Submission, run_time: Micros) {
         let job = Job::new(submission, run_time);
         self.users.jobs.insert(submission.id.clone(), job);
         self.schedule_user(at, &submission.id, UserAction::Submit);
     }
 
     /// Lets the user of a job ask for something at that time.
-    pub fn schedule_user(&mut self, at: Micros, job: &str, action: UserAction) {
+    pub(super) fn schedule_user(&mut self, at: Micros, job: &str, action: UserAction) {
         let job = job.to_owned();
         self.schedule(at, Event::User { job, action });
     }
 
     /// A user sends a request, unless it is needless or too early.
-    pub fn on_user_action(&mut self, id: String, action: UserAction) {
+    pub(super) fn on_user_action(&mut self, id: String, action: UserAction) {
         let job = &self.users.jobs[&id];
         if job.abandoned {
             return;
@@ -132,7 +132,7 @@
     }
 
     /// A response reaches a user.
-    pub fn on_user_response(
+    pub(super) fn on_user_response(
         &mut self,
         id: &str,
         action: UserAction,
@@ -282,7 +282,7 @@
     }
 
     /// Jobs that were not accepted, or of which no user knows that they are done or cancelled.
-    pub fn unfinished_jobs(&self) -> Vec<&String> {
+    pub(super) fn unfinished_jobs(&self) -> Vec<&String> {
         let is_unfinished = |job: &Job| !job.accepted || !job.is_final();
         let unfinished = self.users.jobs.iter();
         let unfinished = unfinished.filter(|(_, job)| is_unfinished(job));
--- a/src/simulation/users/jobs.rs
+++ b/src/simulation/users/jobs.rs
@@ -7,7 +7,7 @@
 
 /// The kinds of jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum JobKind {
+pub(crate) enum JobKind {
     /// Tasks that run independently of each other.
     Batch,
     /// Tasks that run together or not at all.
@@ -27,7 +27,7 @@
 }
 
 /// A submission as a user writes it; begin with [`Submission::batch`] and set what differs.
-pub struct Submission {
+pub(crate) struct Submission {
     pub id: String,
     pub team: &'static str,
     pub kind: JobKind,
@@ -48,7 +48,7 @@
 
 impl Submission {
     /// A batch of one task of one processor, of team `red`.
-    pub fn batch(id: &str) -> Self {
+    pub(crate) fn batch(id: &str) -> Self {
         Submission {
             id: id.into(),
             team: "red",
@@ -66,7 +66,7 @@
     }
 
     /// The body of the request.
-    pub fn body(&self) -> Value {
+    pub(crate) fn body(&self) -> Value {
         let mut body = json!({"nameId": self.id, "crop": "x", "crew": self.team, "furrow": self.kind.wire_name(),
             "rank": self.priority, "sheaves": self.tasks, "cores": self.cpus, "cards": 0.0,
             "memoryGb": self.memory_gb, "seed": "img", "sizeGb": self.image_gb,
@@ -81,7 +81,7 @@
 }
 
 /// A job, as its user knows it and as it really is.
-pub struct Job {
+pub(crate) struct Job {
     /// The body of its submission.
     pub submission: Value,
     pub team: &'static str,
@@ -118,7 +118,7 @@
 
 impl Job {
     /// A job that was not submitted yet; each task runs for `run_time`.
-    pub fn new(submission: &Submission, run_time: Micros) -> Self {
+    pub(crate) fn new(submission: &Submission, run_time: Micros) -> Self {
         Job {
             submission: submission.body(),
             team: submission.team,
@@ -143,12 +143,12 @@
     }
 
     /// Whether each task is done.
-    pub fn has_all_results(&self) -> bool {
+    pub(crate) fn has_all_results(&self) -> bool {
         self.results.len() as u32 == self.tasks
     }
 
     /// Whether its user was told that it is done or cancelled.
-    pub fn is_final(&self) -> bool {
+    pub(crate) fn is_final(&self) -> bool {
         self.completion_confirmed || self.cancel_confirmed_at.is_some()
     }
 }
--- a/src/simulation/workers.rs
+++ b/src/simulation/workers.rs
@@ -4,7 +4,7 @@
 mod commands;
 mod tasks;
 
-pub use tasks::{task_id, TaskStage, WorkerTask};
+pub(super) use tasks::{task_id, TaskStage, WorkerTask};
 
 use std::collections::BTreeMap;
 
@@ -32,13 +32,13 @@
 
 /// A partition around one controller and the machines that report to it.
 #[derive(Clone, Copy, Default)]
-pub struct ZonePartition {
+pub(super) struct ZonePartition {
     pub controller: usize,
     pub until: Micros,
 }
 
 /// The worker of one machine.
-pub struct Worker {
+pub(super) struct Worker {
     pub machine_type: String,
     pub spot: bool,
     /// Rises with each loss of the lease.
@@ -69,7 +69,7 @@
 impl Worker {
     /// The worker of a machine that has not reported yet; its first heartbeat goes to
     /// `controller`.
-    pub fn new(machine_type: &str, spot: bool, controller: usize) -> Self {
+    pub(super) fn new(machine_type: &str, spot: bool, controller: usize) -> Self {
         Worker {
             machine_type: machine_type.into(),
             spot,
@@ -89,31 +89,31 @@
     }
 
     /// Whether the machine is gone or its lease has expired, and with it its tasks.
-    pub fn has_lost_tasks(&self, now: Micros) -> bool {
+    pub(super) fn has_lost_tasks(&self, now: Micros) -> bool {
         self.failed || self.is_lease_expired(now)
     }
 
     /// The machine as the cloud lists it.
-    pub fn cloud_listing(&self, name: &str, rented_for: Micros) -> Value {
+    pub(super) fn cloud_listing(&self, name: &str, rented_for: Micros) -> Value {
         json!({"nameId": name, "address": "x", "plot": self.machine_type, "field": "a",
             "fallow": self.spot, "stage": "running", "heldS": rented_for as f64 / 1e6})
     }
 
     /// The machine fails for good.
-    pub fn fail(&mut self) {
+    pub(super) fn fail(&mut self) {
         self.failed = true;
         self.tasks.clear();
     }
 
     /// The machine is back at once after a reboot, with its numbering started afresh.
-    pub fn reboot(&mut self, now: Micros) {
+    pub(super) fn reboot(&mut self, now: Micros) {
         (self.incarnation, self.sequence, self.token) = (1, 0, 0);
         self.tasks.clear();
         self.lease_renewed_at = now;
     }
 
     /// Tasks that have not ended.
-    pub fn active_tasks(&self) -> impl Iterator<Item = (&String, &WorkerTask)> {
+    pub(super) fn active_tasks(&self) -> impl Iterator<Item = (&String, &WorkerTask)> {
         self.tasks.iter().filter(|(_, task)| !task.has_ended())
     }
 
@@ -167,7 +167,7 @@
 
 /// A heartbeat that a worker has sent.
 #[derive(Clone)]
-pub struct Heartbeat {
+pub(super) struct Heartbeat {
     pub machine: String,
     pub incarnation: u64,
     pub sequence: u64,
@@ -182,7 +182,7 @@
 
 impl World {
     /// A machine has come up: its worker begins to report.
-    pub fn start_worker(&mut self, name: &str) {
+    pub(super) fn start_worker(&mut self, name: &str) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.lease_renewed_at = self.now;
             let timer = worker.restart_timer();
@@ -196,7 +196,7 @@
     }
 
     /// A worker's timer has run out: it sends a heartbeat.
-    pub fn on_heartbeat_due(&mut self, name: &str, timer: u64) {
+    pub(super) fn on_heartbeat_due(&mut self, name: &str, timer: u64) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -278,7 +278,7 @@
     }
 
     /// A response reaches a worker.
-    pub fn on_heartbeat_response(&mut self, heartbeat: &Heartbeat, response: &Response) {
+    pub(super) fn on_heartbeat_response(&mut self, heartbeat: &Heartbeat, response: &Response) {
         let now = self.now;
         let name = heartbeat.machine.as_str();
         let Some(worker) = self.workers.get_mut(name) else {
--- a/src/simulation/workers/commands.rs
+++ b/src/simulation/workers/commands.rs
@@ -19,7 +19,7 @@
 
 impl World {
     /// Does what one command of an accepted response says.
-    pub fn execute_command(&mut self, machine: &str, command: &Value) {
+    pub(crate) fn execute_command(&mut self, machine: &str, command: &Value) {
         let task = command["sheaf"].as_str().unwrap();
         let attempt = command["sowing"].as_u64().unwrap();
         match command["call"].as_str().unwrap() {
--- a/src/simulation/workers/tasks.rs
+++ b/src/simulation/workers/tasks.rs
@@ -13,7 +13,7 @@
 
 /// Why a task ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum ExitReason {
+pub(crate) enum ExitReason {
     Done,
     Stopped,
     Error,
@@ -37,7 +37,7 @@
 
 /// What a task does.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum TaskStage {
+pub(crate) enum TaskStage {
     /// It waits for the other tasks of its gang.
     Gathering,
     Running,
@@ -56,7 +56,7 @@
 
 /// A task on a machine.
 #[derive(Clone)]
-pub struct WorkerTask {
+pub(crate) struct WorkerTask {
     pub attempt: u64,
     pub stage: TaskStage,
     /// When it ends by itself.
@@ -65,17 +65,17 @@
 
 impl WorkerTask {
     /// Whether it has ended.
-    pub fn has_ended(&self) -> bool {
+    pub(crate) fn has_ended(&self) -> bool {
         matches!(self.stage, TaskStage::Ended(_))
     }
 
     /// Whether it runs as a part of an attempt.
-    pub fn runs_in(&self, attempt: u64) -> bool {
+    pub(crate) fn runs_in(&self, attempt: u64) -> bool {
         self.attempt == attempt && self.stage == TaskStage::Running
     }
 
     /// What a heartbeat says of it.
-    pub fn report(&self, id: &str) -> Value {
+    pub(crate) fn report(&self, id: &str) -> Value {
         let mut report =
             json!({"sheaf": id, "sowing": self.attempt, "stage": self.stage.wire_name()});
         if let TaskStage::Ended(reason) = self.stage {
@@ -86,14 +86,14 @@
 }
 
 /// The job and the number of a task.
-pub fn task_id(task: &str) -> (&str, u32) {
+pub(crate) fn task_id(task: &str) -> (&str, u32) {
     parse_task(task).unwrap()
 }
 
 impl World {
     /// Tasks of a machine may have reached their end. Nothing is left of those of an earlier
     /// incarnation.
-    pub fn on_tasks_due(&mut self, machine: &str, incarnation: u64) {
+    pub(crate) fn on_tasks_due(&mut self, machine: &str, incarnation: u64) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
--- a/src/simulation/workload.rs
+++ b/src/simulation/workload.rs
@@ -8,7 +8,7 @@
 
 /// The kind of work that a day brings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Workload {
+pub(super) enum Workload {
     /// Batches, gangs and services.
     Mixed,
     /// Jobs of two or three tasks of which one runs several times as long.
@@ -35,7 +35,7 @@
 
 impl World {
     /// Draws the jobs of a day and schedules what their users ask for.
-    pub fn add_jobs(&mut self, plan: &Plan) {
+    pub(super) fn add_jobs(&mut self, plan: &Plan) {
         let mut repeats = fastrand::Rng::with_seed(plan.seed ^ REPEATS_SEED);
         for index in 0..plan.jobs {
             self.add_job(plan, index, &mut repeats);
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -25,7 +25,7 @@
 const START_INTERVAL: Micros = 50 * MILLISECOND;
 
 /// Everything there is on a simulated day.
-pub struct World {
+pub(super) struct World {
     pub now: Micros,
     /// All that is left to chance is drawn from here, in the order in which it happens.
     pub rng: fastrand::Rng,
@@ -52,7 +52,7 @@
 
 impl World {
     /// The world at the beginning of a day.
-    pub fn new(plan: &Plan) -> Self {
+    pub(super) fn new(plan: &Plan) -> Self {
         let mut world = World {
             now: 1,
             rng: fastrand::Rng::with_seed(plan.seed),
@@ -91,12 +91,12 @@
     }
 
     /// Lets an event happen at a time, or now if that is past.
-    pub fn schedule(&mut self, at: Micros, event: Event) {
+    pub(super) fn schedule(&mut self, at: Micros, event: Event) {
         self.events.push(at.max(self.now), event);
     }
 
     /// Plays on until a time, or until a rule is violated.
-    pub fn run(&mut self, end: Micros) {
+    pub(super) fn run(&mut self, end: Micros) {
         while self.violations.is_empty() {
             let Some((at, event)) = self.events.pop_until(end) else {
                 break;
@@ -167,7 +167,7 @@
     }
 
     /// The controller that is on record as the leader; the first if none is.
-    pub fn leader(&self) -> usize {
+    pub(super) fn leader(&self) -> usize {
         let record = self.store.value("st/leader");
         let holder = record.and_then(|value| value["holder"].as_str());
         let mut settings = self.settings.iter();
--- a/src/state_store/answer.rs
+++ b/src/state_store/answer.rs
@@ -23,7 +23,7 @@
 impl AnswerError {
     /// Logs the error. An answer that can't be read is a fault; the others are usual while
     /// the state service is away.
-    pub fn log(&self, request: &str) {
+    pub(super) fn log(&self, request: &str) {
         match self {
             AnswerError::Unreadable(_) => log::error!("{request}: {self}"),
             _ => log::debug!("{request}: {self}"),
--- a/src/state_store/authority.rs
+++ b/src/state_store/authority.rs
@@ -29,28 +29,28 @@
 
 impl Freshness {
     /// Send time of the last complete read, if there was one.
-    pub fn read_at(&self) -> Option<Micros> {
+    pub(super) fn read_at(&self) -> Option<Micros> {
         self.read_at
     }
 
     /// Whether the last read failed.
-    pub fn is_failing(&self) -> bool {
+    pub(super) fn is_failing(&self) -> bool {
         self.failing
     }
 
     /// A read sent at `sent_at` is complete.
-    pub fn read_completed(&mut self, sent_at: Micros) {
+    pub(super) fn read_completed(&mut self, sent_at: Micros) {
         self.read_at = Some(self.read_at.unwrap_or(0).max(sent_at));
         self.failing = false;
     }
 
     /// A read failed.
-    pub fn read_failed(&mut self) {
+    pub(super) fn read_failed(&mut self) {
         self.failing = true;
     }
 
     /// Nothing that was read counts any more.
-    pub fn forget_reads(&mut self) {
+    pub(super) fn forget_reads(&mut self) {
         self.read_at = None;
     }
 
@@ -59,7 +59,7 @@
     /// There are two deadlines, since a lost cancellation costs differently: a task started
     /// after it is noticed at once, one that runs on not before `cancel_s`. If answers to
     /// heartbeats ended with the shorter one, each outage would end all tasks.
-    pub fn authority(&self, lease: &Lease, now: Micros) -> Authority {
+    pub(super) fn authority(&self, lease: &Lease, now: Micros) -> Authority {
         if now >= self.authority_until(lease) {
             Authority::Ended
         } else if self
@@ -73,7 +73,7 @@
     }
 
     /// Until when an owner may answer heartbeats under its lease; 0 if it may not.
-    pub fn authority_until(&self, lease: &Lease) -> Micros {
+    pub(super) fn authority_until(&self, lease: &Lease) -> Micros {
         match (lease.renewed_at(), self.read_at) {
             (Some(renewed_at), Some(read_at)) => lease.safe_until(renewed_at.min(read_at)),
             _ => 0,
--- a/src/state_store/barrier.rs
+++ b/src/state_store/barrier.rs
@@ -25,7 +25,7 @@
 
 impl ReadBarrier {
     /// Barriers of which one is sent `interval` after another at the earliest.
-    pub fn new(interval: Micros) -> Self {
+    pub(super) fn new(interval: Micros) -> Self {
         ReadBarrier {
             pacing: ReadPacing::new(interval),
             requested: false,
@@ -33,14 +33,14 @@
     }
 
     /// Asks for a barrier that begins after now.
-    pub fn request(&mut self) {
+    pub(super) fn request(&mut self) {
         self.requested = true;
     }
 
     /// Whether a barrier is to be sent now; `read_at` is the send time of the last complete
     /// read. If not, and none is outstanding, `wake` is brought forward to when one is.
     #[must_use]
-    pub fn is_due(
+    pub(super) fn is_due(
         &self,
         read_at: Option<Micros>,
         now: Micros,
@@ -64,7 +64,7 @@
     }
 
     /// Sends a barrier.
-    pub fn send(&mut self, watch: Watch, now: Micros, calls: &mut Calls) {
+    pub(super) fn send(&mut self, watch: Watch, now: Micros, calls: &mut Calls) {
         self.requested = false;
         self.pacing.sent();
         self.pacing.start_interval(now);
@@ -77,18 +77,18 @@
     }
 
     /// The outstanding barrier was answered.
-    pub fn answered(&mut self) {
+    pub(super) fn answered(&mut self) {
         self.pacing.ended();
     }
 
     /// The outstanding barrier failed.
-    pub fn failed(&mut self, now: Micros) {
+    pub(super) fn failed(&mut self, now: Micros) {
         self.pacing.ended();
         self.pacing.set_next_at(now + RETRY);
     }
 
     /// Ignores the outstanding barrier; the next may be sent at once.
-    pub fn reset(&mut self, now: Micros) {
+    pub(super) fn reset(&mut self, now: Micros) {
         self.pacing.reset(now);
     }
 }
--- a/src/state_store/calls.rs
+++ b/src/state_store/calls.rs
@@ -49,16 +49,16 @@
 pub(super) struct WakeTime(Micros);
 
 impl WakeTime {
-    pub fn new(at: Micros) -> Self {
+    pub(super) fn new(at: Micros) -> Self {
         WakeTime(at)
     }
 
     /// Brings the time forward to `at` if it is later.
-    pub fn no_later_than(&mut self, at: Micros) {
+    pub(super) fn no_later_than(&mut self, at: Micros) {
         self.0 = self.0.min(at);
     }
 
-    pub fn at(&self) -> Micros {
+    pub(super) fn at(&self) -> Micros {
         self.0
     }
 }
@@ -73,7 +73,7 @@
 
 impl Calls {
     /// Calls of which at most `rate` a second are made where they can wait.
-    pub fn new(rate: f64) -> Self {
+    pub(super) fn new(rate: f64) -> Self {
         Calls {
             outstanding: BTreeMap::new(),
             next_id: 1,
@@ -82,28 +82,34 @@
         }
     }
 
-    pub fn refill(&mut self, now: Micros) {
+    pub(super) fn refill(&mut self, now: Micros) {
         self.requests.refill(now);
     }
 
     /// Whether the rate of requests allows another call.
-    pub fn allow_another(&self) -> bool {
+    pub(super) fn allow_another(&self) -> bool {
         self.requests.allows(1.0)
     }
 
     /// Time until the rate of requests allows another call.
-    pub fn time_until_allowed(&self) -> Micros {
+    pub(super) fn time_until_allowed(&self) -> Micros {
         self.requests.time_until_allowed(1.0)
     }
 
     /// Sends a read. It counts against the rate of requests, but doesn't wait for it.
-    pub fn get(&mut self, operation: Operation, target: String, timeout: Micros) {
+    pub(super) fn get(&mut self, operation: Operation, target: String, timeout: Micros) {
         self.send(operation, "GET", target, Vec::new(), timeout);
     }
 
     /// Sends a request with a body. It counts against the rate of requests, but doesn't
     /// wait for it.
-    pub fn post(&mut self, operation: Operation, target: String, body: &Value, timeout: Micros) {
+    pub(super) fn post(
+        &mut self,
+        operation: Operation,
+        target: String,
+        body: &Value,
+        timeout: Micros,
+    ) {
         self.send(operation, "POST", target, encode(body), timeout);
     }
 
@@ -130,18 +136,18 @@
 
     /// The calls to hand to the network.
     #[must_use]
-    pub fn take_unsent(&mut self) -> Vec<StoreCall> {
+    pub(super) fn take_unsent(&mut self) -> Vec<StoreCall> {
         std::mem::take(&mut self.unsent)
     }
 
     /// Ends a call. `None` if its answer isn't waited for any more.
     #[must_use]
-    pub fn complete(&mut self, op: u64) -> Option<Operation> {
+    pub(super) fn complete(&mut self, op: u64) -> Option<Operation> {
         self.outstanding.remove(&op)
     }
 
     /// Ignores the answers to all outstanding calls but commits.
-    pub fn abandon_all_but_commits(&mut self) {
+    pub(super) fn abandon_all_but_commits(&mut self) {
         self.outstanding
             .retain(|_, operation| matches!(operation, Operation::Commit(_)));
     }
--- a/src/state_store/commits.rs
+++ b/src/state_store/commits.rs
@@ -58,7 +58,7 @@
 
 impl CommitQueue {
     /// An empty queue.
-    pub fn new(settings: &Settings) -> Self {
+    pub(super) fn new(settings: &Settings) -> Self {
         CommitQueue {
             queues: Queues::default(),
             next_ticket: 1,
@@ -68,12 +68,12 @@
         }
     }
 
-    pub fn refill(&mut self, now: Micros) {
+    pub(super) fn refill(&mut self, now: Micros) {
         self.write_rate.refill(now);
     }
 
     /// Sends what may be sent, and ends what is past its deadline.
-    pub fn pump(
+    pub(super) fn pump(
         &mut self,
         now: Micros,
         calls: &mut Calls,
@@ -157,7 +157,7 @@
     }
 
     /// Ends all commits that wait to be sent as refused.
-    pub fn refuse_all(&mut self, events: &mut Vec<StateStoreEvent>) {
+    pub(super) fn refuse_all(&mut self, events: &mut Vec<StateStoreEvent>) {
         for priority in CommitPriority::ALL {
             for commit in std::mem::take(self.queues.queue(priority)) {
                 let outcome = CommitOutcome::Refused;
--- a/src/state_store/commits/pending.rs
+++ b/src/state_store/commits/pending.rs
@@ -73,7 +73,7 @@
 }
 
 /// A commit that has not ended.
-pub struct PendingCommit {
+pub(crate) struct PendingCommit {
     pub(super) ticket: u64,
     pub(super) transaction: Transaction,
     pub(super) priority: CommitPriority,
--- a/src/state_store/commits/write_rate.rs
+++ b/src/state_store/commits/write_rate.rs
@@ -32,7 +32,7 @@
 }
 
 impl WriteRate {
-    pub fn new(settings: &Settings) -> Self {
+    pub(super) fn new(settings: &Settings) -> Self {
         let controllers = settings.region_count() as f64;
         // More than an even share each, since not all have much to write at once;
         // when that is too much together, each comes down to its even share.
@@ -46,17 +46,17 @@
         }
     }
 
-    pub fn refill(&mut self, now: Micros) {
+    pub(super) fn refill(&mut self, now: Micros) {
         self.changes.refill(now);
     }
 
     /// Whether `changes` may be sent if the part `reserved` of the capacity is left.
-    pub fn allows(&self, changes: usize, reserved: f64) -> bool {
+    pub(super) fn allows(&self, changes: usize, reserved: f64) -> bool {
         self.changes.allows(self.needed_level(changes, reserved))
     }
 
     /// Time until [`WriteRate::allows`] them.
-    pub fn time_until_allowed(&self, changes: usize, reserved: f64) -> Micros {
+    pub(super) fn time_until_allowed(&self, changes: usize, reserved: f64) -> Micros {
         self.changes
             .time_until_allowed(self.needed_level(changes, reserved))
     }
@@ -66,12 +66,12 @@
     }
 
     /// Counts changes that are sent.
-    pub fn take(&mut self, changes: usize) {
+    pub(super) fn take(&mut self, changes: usize) {
         self.changes.take(changes as f64);
     }
 
     /// Adapts the rate to a response; `leads`: whether this controller is the leader.
-    pub fn on_response(&mut self, result: &Result<Response, CallError>, leads: bool) {
+    pub(super) fn on_response(&mut self, result: &Result<Response, CallError>, leads: bool) {
         let rate = self.changes.rate();
         match result.as_ref().map(|response| response.status) {
             Ok(429) => {
@@ -88,7 +88,7 @@
 
     /// Changes a second.
     #[cfg(test)]
-    pub fn rate(&self) -> f64 {
+    pub(super) fn rate(&self) -> f64 {
         self.changes.rate()
     }
 }
--- a/src/state_store/history.rs
+++ b/src/state_store/history.rs
@@ -28,7 +28,7 @@
 
 impl History {
     /// A history without changes; `detect_lost_records`: whether it is verified at all.
-    pub fn new(detect_lost_records: bool) -> Self {
+    pub(super) fn new(detect_lost_records: bool) -> Self {
         History {
             recent: detect_lost_records.then(RecentChanges::default),
             verify_next: false,
@@ -37,14 +37,14 @@
     }
 
     /// Has the next barrier verify the history.
-    pub fn verify_at_next_barrier(&mut self) {
+    pub(super) fn verify_at_next_barrier(&mut self) {
         self.verify_next = true;
     }
 
     /// What a barrier asks for: the changes after `revision`, or from the last known changes
     /// on if the history is to be verified.
     #[must_use]
-    pub fn next_watch(&mut self, revision: u64, now: Micros) -> Watch {
+    pub(super) fn next_watch(&mut self, revision: u64, now: Micros) -> Watch {
         let verify = std::mem::take(&mut self.verify_next) || now >= self.verify_at;
         let verified = self.recent.as_ref().filter(|_| verify).cloned();
         let from = verified
@@ -55,7 +55,12 @@
 
     /// What an answer shows against the known history. If nothing, its changes are added.
     #[must_use]
-    pub fn check(&mut self, watch: &Watch, answer: &Changes, now: Micros) -> Option<Finding> {
+    pub(super) fn check(
+        &mut self,
+        watch: &Watch,
+        answer: &Changes,
+        now: Micros,
+    ) -> Option<Finding> {
         let recent = self.recent.as_mut()?;
         if is_disabled(Safeguard::KnownHistory) {
             return None;
@@ -83,7 +88,12 @@
     /// What a full read shows against the copy that it replaces; `seen` is the revision that
     /// was known before its first page was asked for.
     #[must_use]
-    pub fn check_full_read(&self, known: &Replica, seen: u64, read: &Replica) -> Option<Finding> {
+    pub(super) fn check_full_read(
+        &self,
+        known: &Replica,
+        seen: u64,
+        read: &Replica,
+    ) -> Option<Finding> {
         self.recent.as_ref()?;
         let now = read.revision;
         if now < seen {
@@ -98,14 +108,14 @@
     }
 
     /// All records were read anew: the history begins with their revision.
-    pub fn start_at(&mut self, revision: u64) {
+    pub(super) fn start_at(&mut self, revision: u64) {
         if self.recent.is_some() {
             self.recent = Some(RecentChanges::starting_at(revision));
         }
     }
 
     /// Forgets the known changes.
-    pub fn forget(&mut self) {
+    pub(super) fn forget(&mut self) {
         self.recent = Some(RecentChanges::default());
     }
 }
--- a/src/state_store/lease.rs
+++ b/src/state_store/lease.rs
@@ -83,7 +83,7 @@
 
 impl Lease {
     /// A lease that is neither held nor asked for.
-    pub fn new(role: LeaseRole, time_to_live: Micros) -> Self {
+    pub(super) fn new(role: LeaseRole, time_to_live: Micros) -> Self {
         Lease {
             role,
             time_to_live,
@@ -91,12 +91,12 @@
         }
     }
 
-    pub fn time_to_live(&self) -> Micros {
+    pub(super) fn time_to_live(&self) -> Micros {
         self.time_to_live
     }
 
     /// Its id, if it is held.
-    pub fn id(&self) -> Option<u64> {
+    pub(super) fn id(&self) -> Option<u64> {
         match self.state {
             LeaseState::Held { id, .. } | LeaseState::Renewing { id, .. } => Some(id),
             _ => None,
@@ -104,7 +104,7 @@
     }
 
     /// Send time of the last successful acquisition or renewal, if it is held.
-    pub fn renewed_at(&self) -> Option<Micros> {
+    pub(super) fn renewed_at(&self) -> Option<Micros> {
         match self.state {
             LeaseState::Held { renewed_at, .. } | LeaseState::Renewing { renewed_at, .. } => {
                 Some(renewed_at)
@@ -115,30 +115,30 @@
 
     /// Until when something may be relied on that was confirmed by a call sent at
     /// `confirmed_at`: the state service may end the lease from then on.
-    pub fn safe_until(&self, confirmed_at: Micros) -> Micros {
+    pub(super) fn safe_until(&self, confirmed_at: Micros) -> Micros {
         (confirmed_at + subtract_drift(self.time_to_live)).saturating_sub(SAFETY_MARGIN)
     }
 
     /// Asks for the lease unless it is held or asked for already.
-    pub fn request(&mut self) {
+    pub(super) fn request(&mut self) {
         if self.state == LeaseState::Released {
             self.request_anew();
         }
     }
 
     /// Asks for a new lease, whatever is known of the present one.
-    pub fn request_anew(&mut self) {
+    pub(super) fn request_anew(&mut self) {
         self.state = LeaseState::Requested { not_before: 0 };
     }
 
     /// Lets the lease run out.
-    pub fn release(&mut self) {
+    pub(super) fn release(&mut self) {
         self.state = LeaseState::Released;
     }
 
     /// What is to be done now; the state moves on to the call that the caller makes.
     #[must_use]
-    pub fn next_step(&mut self, now: Micros) -> LeaseStep {
+    pub(super) fn next_step(&mut self, now: Micros) -> LeaseStep {
         match self.state {
             LeaseState::Requested { not_before } if now < not_before => {
                 LeaseStep::WaitUntil(not_before)
@@ -165,14 +165,14 @@
     }
 
     /// The state service granted the lease.
-    pub fn granted(&mut self, id: u64) {
+    pub(super) fn granted(&mut self, id: u64) {
         if let LeaseState::Acquiring { sent_at } = self.state {
             self.state = self.held_since(id, sent_at);
         }
     }
 
     /// The lease wasn't granted, or it isn't known whether it was.
-    pub fn acquisition_failed(&mut self, now: Micros) {
+    pub(super) fn acquisition_failed(&mut self, now: Micros) {
         if let LeaseState::Acquiring { .. } = self.state {
             self.state = LeaseState::Requested {
                 not_before: now + ACQUIRE_RETRY,
@@ -181,14 +181,14 @@
     }
 
     /// The state service renewed the lease.
-    pub fn renewed(&mut self) {
+    pub(super) fn renewed(&mut self) {
         if let LeaseState::Renewing { id, sent_at, .. } = self.state {
             self.state = self.held_since(id, sent_at);
         }
     }
 
     /// The lease wasn't renewed, or it isn't known whether it was.
-    pub fn renewal_failed(&mut self, now: Micros) {
+    pub(super) fn renewal_failed(&mut self, now: Micros) {
         if let LeaseState::Renewing { id, renewed_at, .. } = self.state {
             self.state = LeaseState::Held {
                 id,
@@ -201,7 +201,7 @@
     /// The state service has no such lease any more. Returns the id of the lease that was
     /// lost, if this process still took it for held.
     #[must_use]
-    pub fn expired(&mut self, now: Micros) -> Option<u64> {
+    pub(super) fn expired(&mut self, now: Micros) -> Option<u64> {
         let LeaseState::Renewing { id, .. } = self.state else {
             return None;
         };
--- a/src/state_store/loader.rs
+++ b/src/state_store/loader.rs
@@ -53,7 +53,7 @@
 
 impl Loader {
     /// A loader that reads all records at the first pump.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         Loader {
             state: LoadState::Needed { not_before: 0 },
         }
@@ -61,23 +61,23 @@
 
     /// A loader that is done.
     #[cfg(test)]
-    pub fn done() -> Self {
+    pub(super) fn done() -> Self {
         Loader {
             state: LoadState::Done,
         }
     }
 
-    pub fn is_done(&self) -> bool {
+    pub(super) fn is_done(&self) -> bool {
         matches!(self.state, LoadState::Done)
     }
 
     /// Reads all records again, not before this time.
-    pub fn restart(&mut self, not_before: Micros) {
+    pub(super) fn restart(&mut self, not_before: Micros) {
         self.state = LoadState::Needed { not_before };
     }
 
     /// Asks for the next page if none is outstanding.
-    pub fn pump(
+    pub(super) fn pump(
         &mut self,
         known_revision: u64,
         now: Micros,
@@ -99,7 +99,7 @@
     /// Adds a page to the read; `None` if the page couldn't be had. Returns the read when
     /// it is complete.
     #[must_use]
-    pub fn on_page(&mut self, page: Option<Page>, now: Micros) -> Option<CompleteRead> {
+    pub(super) fn on_page(&mut self, page: Option<Page>, now: Micros) -> Option<CompleteRead> {
         let LoadState::Reading(read) = &mut self.state else {
             return None;
         };
--- a/src/state_store/long_poll.rs
+++ b/src/state_store/long_poll.rs
@@ -21,14 +21,20 @@
 
 impl LongPoll {
     /// Polls of which one begins `interval` after the end of another at the earliest.
-    pub fn new(interval: Micros) -> Self {
+    pub(super) fn new(interval: Micros) -> Self {
         LongPoll {
             pacing: ReadPacing::new(interval),
         }
     }
 
     /// Asks for the changes after `revision` if no poll is outstanding.
-    pub fn pump(&mut self, revision: u64, now: Micros, calls: &mut Calls, wake: &mut WakeTime) {
+    pub(super) fn pump(
+        &mut self,
+        revision: u64,
+        now: Micros,
+        calls: &mut Calls,
+        wake: &mut WakeTime,
+    ) {
         if self.pacing.is_outstanding() {
             return;
         }
@@ -47,19 +53,19 @@
     }
 
     /// The outstanding poll was answered.
-    pub fn answered(&mut self, now: Micros) {
+    pub(super) fn answered(&mut self, now: Micros) {
         self.pacing.ended();
         self.pacing.start_interval(now);
     }
 
     /// The outstanding poll brought no changes that could be used.
-    pub fn failed(&mut self, now: Micros) {
+    pub(super) fn failed(&mut self, now: Micros) {
         self.pacing.ended();
         self.pacing.set_next_at(now + RETRY);
     }
 
     /// Ignores the outstanding poll; the next may be sent at once.
-    pub fn reset(&mut self, now: Micros) {
+    pub(super) fn reset(&mut self, now: Micros) {
         self.pacing.reset(now);
     }
 }
--- a/src/state_store/rate_limiter.rs
+++ b/src/state_store/rate_limiter.rs
@@ -21,7 +21,7 @@
 
 impl TokenBucket {
     /// A full bucket that fills at `rate` tokens a second.
-    pub fn new(rate: f64) -> Self {
+    pub(super) fn new(rate: f64) -> Self {
         let capacity = rate.max(MIN_CAPACITY);
         TokenBucket {
             rate,
@@ -32,7 +32,7 @@
     }
 
     /// Adds the tokens of the time since the last refill.
-    pub fn refill(&mut self, now: Micros) {
+    pub(super) fn refill(&mut self, now: Micros) {
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64;
         self.level = (self.level + elapsed * self.rate).min(self.capacity);
         self.refilled_at = now;
@@ -40,17 +40,17 @@
 
     /// Whether `cost` tokens are there. A cost above the capacity would never be: for such
     /// a full bucket is enough.
-    pub fn allows(&self, cost: f64) -> bool {
+    pub(super) fn allows(&self, cost: f64) -> bool {
         self.level >= cost.min(self.capacity)
     }
 
     /// Takes `cost` tokens, whether they are there or not.
-    pub fn take(&mut self, cost: f64) {
+    pub(super) fn take(&mut self, cost: f64) {
         self.level -= cost;
     }
 
     /// Time until `cost` tokens are there.
-    pub fn time_until_allowed(&self, cost: f64) -> Micros {
+    pub(super) fn time_until_allowed(&self, cost: f64) -> Micros {
         let missing = cost.min(self.capacity) - self.level;
         if missing <= 0.0 {
             0
@@ -60,17 +60,17 @@
     }
 
     /// Most tokens that it holds.
-    pub fn capacity(&self) -> f64 {
+    pub(super) fn capacity(&self) -> f64 {
         self.capacity
     }
 
     /// Tokens a second.
-    pub fn rate(&self) -> f64 {
+    pub(super) fn rate(&self) -> f64 {
         self.rate
     }
 
     /// Changes the rate; capacity and level stay.
-    pub fn set_rate(&mut self, rate: f64) {
+    pub(super) fn set_rate(&mut self, rate: f64) {
         self.rate = rate;
     }
 }
--- a/src/state_store/read_pacing.rs
+++ b/src/state_store/read_pacing.rs
@@ -13,7 +13,7 @@
 
 impl ReadPacing {
     /// Reads that may begin at once and keep `interval`.
-    pub fn new(interval: Micros) -> Self {
+    pub(super) fn new(interval: Micros) -> Self {
         ReadPacing {
             outstanding: false,
             next_at: 0,
@@ -22,37 +22,37 @@
     }
 
     /// Whether a read has been sent and not ended.
-    pub fn is_outstanding(&self) -> bool {
+    pub(super) fn is_outstanding(&self) -> bool {
         self.outstanding
     }
 
     /// When the next may be sent.
-    pub fn next_at(&self) -> Micros {
+    pub(super) fn next_at(&self) -> Micros {
         self.next_at
     }
 
     /// A read was sent.
-    pub fn sent(&mut self) {
+    pub(super) fn sent(&mut self) {
         self.outstanding = true;
     }
 
     /// The outstanding read ended, with whatever result.
-    pub fn ended(&mut self) {
+    pub(super) fn ended(&mut self) {
         self.outstanding = false;
     }
 
     /// The interval to the next read begins now.
-    pub fn start_interval(&mut self, now: Micros) {
+    pub(super) fn start_interval(&mut self, now: Micros) {
         self.next_at = now + self.interval;
     }
 
     /// Sends the next read at this time, whatever the interval.
-    pub fn set_next_at(&mut self, at: Micros) {
+    pub(super) fn set_next_at(&mut self, at: Micros) {
         self.next_at = at;
     }
 
     /// Ignores the outstanding read; the next may be sent at once.
-    pub fn reset(&mut self, now: Micros) {
+    pub(super) fn reset(&mut self, now: Micros) {
         self.outstanding = false;
         self.next_at = now;
     }
