--- a/crates/recovery/src/detection.rs
+++ b/crates/recovery/src/detection.rs
@@ -16,7 +16,7 @@
 
 /// What a worker's report says that can contradict the records.
 #[derive(Debug, Clone, Copy)]
-pub struct Reported<'a> {
+pub struct ReportEvidence<'a> {
     /// Machine.
     pub machine: &'a str,
     /// Highest fencing token that the worker has seen.
@@ -27,17 +27,17 @@
     pub unknown_job: Option<&'a str>,
 }
 
-impl Reported<'_> {
+impl ReportEvidence<'_> {
     /// What the report would show, were the records complete.
     fn finding(&self) -> Option<Finding> {
         if self.token > self.recorded_token {
-            return Some(Finding::TokenUnknown {
+            return Some(Finding::TokenNotOnRecord {
                 machine: self.machine.to_owned(),
                 reported: self.token,
                 recorded: self.recorded_token,
             });
         }
-        self.unknown_job.map(|job| Finding::JobUnknown {
+        self.unknown_job.map(|job| Finding::JobNotOnRecord {
             machine: self.machine.to_owned(),
             job: job.to_owned(),
         })
@@ -80,7 +80,7 @@
     /// Takes note of a report. Returns whether it contradicts the records as they are known:
     /// then it must not be acted on, and a read is needed.
     #[must_use]
-    pub fn look_at(&mut self, reported: Reported<'_>, now: Micros) -> bool {
+    pub fn check_report(&mut self, reported: ReportEvidence<'_>, now: Micros) -> bool {
         let Some(finding) = reported.finding() else {
             return false;
         };
@@ -105,8 +105,8 @@
         // Sent before or with the report, it may show the records as they were before.
         let settled = self.suspicion.take_if(|s| s.reported_at < sent)?;
         let is_confirmed = match &settled.finding {
-            Finding::TokenUnknown { reported, .. } => *reported > recorded_token,
-            Finding::JobUnknown { job, .. } => !has_job(job),
+            Finding::TokenNotOnRecord { reported, .. } => *reported > recorded_token,
+            Finding::JobNotOnRecord { job, .. } => !has_job(job),
             // No report shows any other.
             _ => true,
         };
--- a/crates/recovery/src/detection/tests.rs
+++ b/crates/recovery/src/detection/tests.rs
@@ -5,8 +5,8 @@
 /// When the report of a case comes.
 const REPORTED_AT: Micros = 10;
 
-fn report(token: u64, recorded_token: u64, unknown_job: Option<&str>) -> Reported<'_> {
-    Reported {
+fn report(token: u64, recorded_token: u64, unknown_job: Option<&str>) -> ReportEvidence<'_> {
+    ReportEvidence {
         machine: "m-1",
         token,
         recorded_token,
@@ -31,7 +31,7 @@
 
 struct EvidenceCase {
     name: &'static str,
-    reported: Reported<'static>,
+    reported: ReportEvidence<'static>,
     reads: Vec<Read>,
     /// Whether a read confirms the finding.
     found: bool,
@@ -39,7 +39,7 @@
 
 fn case(
     name: &'static str,
-    reported: Reported<'static>,
+    reported: ReportEvidence<'static>,
     reads: Vec<Read>,
     found: bool,
 ) -> EvidenceCase {
@@ -89,7 +89,7 @@
     for case in evidence_cases() {
         let (name, reported) = (case.name, case.reported);
         let mut detection = Detection::starting(0, SECOND);
-        let suspicious = detection.look_at(reported, REPORTED_AT);
+        let suspicious = detection.check_report(reported, REPORTED_AT);
         assert_eq!(
             suspicious,
             reported.token > reported.recorded_token || reported.unknown_job.is_some(),
--- a/crates/recovery/src/finding.rs
+++ b/crates/recovery/src/finding.rs
@@ -24,7 +24,7 @@
         key: String,
     },
     /// A worker has seen a fencing token that was never handed out, by the records.
-    TokenUnknown {
+    TokenNotOnRecord {
         /// Machine.
         machine: String,
         /// The token that its worker reports.
@@ -33,14 +33,14 @@
         recorded: u64,
     },
     /// A worker has a task of a job without a record. Whoever started it had one.
-    JobUnknown {
+    JobNotOnRecord {
         /// Machine.
         machine: String,
         /// Identifier of the job.
         job: String,
     },
     /// Another controller found it and put a hold on record.
-    OnRecord {
+    FoundByPeer {
         /// Host name of that controller.
         by: String,
         /// Text of its finding.
@@ -58,7 +58,7 @@
                 write!(f, "other changes up to revision {seen} than had been seen")
             }
             Finding::RecordDeleted { key } => write!(f, "{key}, never deleted, is gone"),
-            Finding::TokenUnknown {
+            Finding::TokenNotOnRecord {
                 machine,
                 reported,
                 recorded,
@@ -66,10 +66,10 @@
                 f,
                 "{machine} has seen token {reported}, the last on record is {recorded}"
             ),
-            Finding::JobUnknown { machine, job } => {
+            Finding::JobNotOnRecord { machine, job } => {
                 write!(f, "{machine} has a task of {job}, which has no record")
             }
-            Finding::OnRecord { by, seen } => write!(f, "{seen} (found by {by})"),
+            Finding::FoundByPeer { by, seen } => write!(f, "{seen} (found by {by})"),
         }
     }
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -14,6 +14,6 @@
 mod finding;
 mod recent_changes;
 
-pub use detection::{Detection, Reported};
+pub use detection::{Detection, ReportEvidence};
 pub use finding::Finding;
 pub use recent_changes::RecentChanges;
--- a/crates/recovery/src/recent_changes.rs
+++ b/crates/recovery/src/recent_changes.rs
@@ -31,7 +31,7 @@
 
     /// Notes the changes of an answer that is complete up to `revision`. Those that were noted
     /// before are ignored.
-    pub fn note(&mut self, mut changes: Vec<Fingerprint>, revision: u64) {
+    pub fn append(&mut self, mut changes: Vec<Fingerprint>, revision: u64) {
         let known_until = self.reached;
         changes.retain(|change| change.version > known_until);
         changes.sort();
@@ -51,7 +51,7 @@
 
     /// The revision after which to ask for changes, so that the answer shows all known ones.
     #[must_use]
-    pub fn compare_from(&self) -> u64 {
+    pub fn compare_after(&self) -> u64 {
         let oldest = self.changes.first();
         oldest.map_or(self.reached, |change| change.version.saturating_sub(1))
     }
@@ -59,7 +59,7 @@
     /// Whether an answer with the changes after [`RecentChanges::compare_from`] shows the same
     /// history. Changes after those that are known don't matter.
     #[must_use]
-    pub fn agree_with(&self, shown: &[Fingerprint]) -> bool {
+    pub fn agrees_with(&self, shown: &[Fingerprint]) -> bool {
         let is_known = |change: &&Fingerprint| change.version <= self.reached;
         let mut shown: Vec<&Fingerprint> = shown.iter().filter(is_known).collect();
         shown.sort();
--- a/crates/recovery/src/recent_changes/tests.rs
+++ b/crates/recovery/src/recent_changes/tests.rs
@@ -23,11 +23,11 @@
     let mut recent = RecentChanges::starting_at(10);
     let history = shown(10, 80, 999);
     // Answers overlap and come out of order; each change is noted once.
-    recent.note(history[..20].to_vec(), 30);
-    recent.note(history[10..].to_vec(), 80);
-    recent.note(history[..40].to_vec(), 50);
+    recent.append(history[..20].to_vec(), 30);
+    recent.append(history[10..].to_vec(), 80);
+    recent.append(history[..40].to_vec(), 50);
     recent.confirm(80);
-    let from = recent.compare_from();
+    let from = recent.compare_after();
     assert!((40..60).contains(&from), "{from}");
     let cases = [
         ("the same", shown(from, 80, 999), true),
@@ -38,7 +38,7 @@
         ("none", Vec::new(), false),
     ];
     for (name, shown, agree) in cases {
-        assert_eq!(recent.agree_with(&shown), agree, "{name}");
+        assert_eq!(recent.agrees_with(&shown), agree, "{name}");
     }
 }
 
@@ -46,11 +46,11 @@
 #[test]
 fn many_new_changes_do_not_hide_a_replacement() {
     let mut recent = RecentChanges::starting_at(10);
-    recent.note(shown(10, 60, 61), 60);
+    recent.append(shown(10, 60, 61), 60);
     recent.confirm(60);
-    recent.note(shown(60, 200, 61), 200);
-    let from = recent.compare_from();
+    recent.append(shown(60, 200, 61), 200);
+    let from = recent.compare_after();
     assert!((20..40).contains(&from), "{from}");
-    assert!(recent.agree_with(&shown(from, 210, 61)));
-    assert!(!recent.agree_with(&shown(from, 210, 50)));
+    assert!(recent.agrees_with(&shown(from, 210, 61)));
+    assert!(!recent.agrees_with(&shown(from, 210, 50)));
 }
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -126,7 +126,7 @@
         let current = self.data_loss.hold.as_ref().map(|hold| hold.incident);
         match current {
             None if !is_accepted => {
-                let finding = Finding::OnRecord {
+                let finding = Finding::FoundByPeer {
                     by: record.value.by.clone(),
                     seen: record.value.seen.clone(),
                 };
--- a/src/controller/data_loss_hold/evidence.rs
+++ b/src/controller/data_loss_hold/evidence.rs
@@ -2,7 +2,7 @@
 //! a record.
 
 use salttiller_records::units::{Micros, SECOND};
-use salttiller_recovery::Reported;
+use salttiller_recovery::ReportEvidence;
 
 use crate::controller::Controller;
 use crate::fault_injection::{is_disabled, Safeguard};
@@ -28,13 +28,13 @@
         let jobs = &self.cluster.state_store.replica.jobs;
         let mut tasks = heartbeat.tasks.iter();
         let unknown_job = tasks.find(|t| !is_decision_recent && !jobs.contains_key(&*t.job));
-        let reported = Reported {
+        let reported = ReportEvidence {
             machine: &heartbeat.machine,
             token: heartbeat.token,
             recorded_token,
             unknown_job: unknown_job.map(|t| &*t.job),
         };
-        let contradicts = detection.look_at(reported, self.cluster.now);
+        let contradicts = detection.check_report(reported, self.cluster.now);
         if contradicts {
             self.cluster.state_store.request_barrier();
         }
--- a/src/state_store/history.rs
+++ b/src/state_store/history.rs
@@ -49,7 +49,7 @@
         let verified = self.recent.as_ref().filter(|_| verify).cloned();
         let from = verified
             .as_ref()
-            .map_or(revision, RecentChanges::compare_from);
+            .map_or(revision, RecentChanges::compare_after);
         Watch { from, verified }
     }
 
@@ -75,13 +75,13 @@
         }
         let shown: Vec<Fingerprint> = answer.events.iter().filter_map(fingerprint).collect();
         if let Some(known) = verified {
-            if !known.agree_with(&shown) {
+            if !known.agrees_with(&shown) {
                 return Some(Finding::HistoryReplaced { seen });
             }
             recent.confirm(seen);
             self.verify_at = now + VERIFY_INTERVAL;
         }
-        recent.note(shown, answer.revision);
+        recent.append(shown, answer.revision);
         deleted_record(answer)
     }
 
