--- a/crates/recovery/src/recent_changes.rs
+++ b/crates/recovery/src/recent_changes.rs
@@ -56,7 +56,7 @@
         oldest.map_or(self.reached, |change| change.version.saturating_sub(1))
     }
 
-    /// Whether an answer with the changes after [`RecentChanges::compare_from`] shows the same
+    /// Whether an answer with the changes after [`RecentChanges::compare_after`] shows the same
     /// history. Changes after those that are known don't matter.
     #[must_use]
     pub fn agrees_with(&self, shown: &[Fingerprint]) -> bool {
