--- a/src/controller/monitoring.rs
+++ b/src/controller/monitoring.rs
@@ -90,12 +90,12 @@
             return;
         }
         self.monitoring.next_evaluation_at = now + EVALUATION_INTERVAL;
-        let mut signals = self.evaluate_objectives();
+        let mut alerts = self.evaluate_objectives();
         let conditions = self.conditions();
         let objectives = &mut self.monitoring.objectives;
-        signals.extend(objectives.observe_conditions(conditions, now));
+        alerts.extend(objectives.observe_conditions(conditions, now));
         if self.leadership.is_leading() || self.is_held() {
-            signals.iter().for_each(log_signal);
+            alerts.iter().for_each(log_alert);
         }
         self.check_unknown_dependencies();
     }
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Evaluates the objectives against the open jobs; returns the signals to log.
+    /// Evaluates the objectives against the open jobs; returns the alerts to log.
     fn evaluate_objectives(&mut self) -> Vec<Alert> {
         let cause = self.likely_cause().to_string();
         let replica = &self.cluster.state_store.replica;
@@ -215,11 +215,11 @@
     }
 }
 
-fn log_signal(signal: &Alert) {
-    let level = if signal.is_warning() {
+fn log_alert(alert: &Alert) {
+    let level = if alert.is_warning() {
         log::Level::Warn
     } else {
         log::Level::Info
     };
-    log::log!(level, "{signal}");
+    log::log!(level, "{alert}");
 }
