--- a/src/controller/data_loss_hold/kept_regions.rs
+++ b/src/controller/data_loss_hold/kept_regions.rs
@@ -137,7 +137,7 @@
         };
         let acquisition = Acquisition::after(outcome);
         hold.kept.acquisitions.insert(region.clone(), acquisition);
-        if !matches!(outcome, CommitOutcome::Committed(_)) {
+        if !outcome.is_committed() {
             hold.kept.next_attempt_at = now + ACQUISITION_BACKOFF;
             if matches!(outcome, CommitOutcome::Refused) {
                 // The lease was lost in a further loss, before its renewal would show that.
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -65,7 +65,7 @@
         outcome: &CommitOutcome,
         now: Micros,
     ) {
-        let is_committed = matches!(outcome, CommitOutcome::Committed(_));
+        let is_committed = outcome.is_committed();
         if let Some(leader) = &mut self.leader {
             leader.on_commit_finished(keys, is_committed, now);
         }
--- a/src/controller/region_ownership.rs
+++ b/src/controller/region_ownership.rs
@@ -149,7 +149,7 @@
 
     /// The commit of a release ended.
     pub(super) fn on_release_committed(&mut self, region: String, outcome: &CommitOutcome) {
-        if !matches!(outcome, CommitOutcome::Committed(_)) {
+        if !outcome.is_committed() {
             // If it is still owned on record, then only under another token from now on.
             self.to_reacquire.insert(region.clone());
         }
--- a/src/region/machine_checks.rs
+++ b/src/region/machine_checks.rs
@@ -3,6 +3,7 @@
 //! Each machine has a time of its next check in the inventory. A check depends on the
 //! machine's state: one function for each state decides what is to be done.
 
+use std::cell::OnceCell;
 use std::rc::Rc;
 
 use salttiller_records::units::{add_drift, Micros, SECOND};
@@ -94,8 +95,9 @@
 /// What the checks of one pass have in common.
 struct CheckPass<'a> {
     context: &'a SchedulingContext<'a>,
-    /// Whether most machines report. If not, the fault is on this side.
-    most_report: bool,
+    /// Whether most machines report. If not, the fault is on this side. Counted when a check
+    /// first asks for it: most passes have no silent machine.
+    most_report: OnceCell<bool>,
 }
 
 impl Region {
@@ -103,7 +105,7 @@
     pub(super) fn check_due_machines(&mut self, context: &SchedulingContext<'_>) {
         let pass = CheckPass {
             context,
-            most_report: self.most_machines_report(context),
+            most_report: OnceCell::new(),
         };
         let mut to_release = Vec::new();
         while let Some(name) = self.inventory.take_due_check(context.now) {
@@ -182,7 +184,9 @@
             Silence::Lost(CordonReason::Interrupted)
         } else if silent_for(self.silence_timeout_of(name, settings))
             && machine.record.activated
-            && pass.most_report
+            && *pass
+                .most_report
+                .get_or_init(|| self.most_machines_report(pass.context))
         {
             Silence::Lost(CordonReason::Silent)
         } else {
--- a/src/state_store/commits/pending.rs
+++ b/src/state_store/commits/pending.rs
@@ -72,6 +72,14 @@
     Unknown,
 }
 
+impl CommitOutcome {
+    /// Whether the transaction is surely carried out.
+    #[must_use]
+    pub fn is_committed(&self) -> bool {
+        matches!(self, CommitOutcome::Committed(_))
+    }
+}
+
 /// A commit that has not ended.
 pub(crate) struct PendingCommit {
     pub(super) ticket: u64,
