--- /dev/null
+++ b/src/simulation/days/partial_failures.rs
@@ -0,0 +1,175 @@
+//! Partial failures: controllers that are paused or lose a part of the network, machines that
+//! come up late or never, jobs that fail wherever they run.
+
+use super::{at, Day};
+use crate::simulation::faults::Fault;
+use crate::simulation::workload::Workload;
+use salttiller_records::units::SECOND;
+
+/// All days of partial failures.
+pub fn days() -> impl Iterator<Item = &'static Day> {
+    [PARTITIONS, PAUSES, PROVISIONING_AND_JOBS]
+        .into_iter()
+        .flatten()
+}
+
+/// A controller is partitioned from some of its surroundings.
+const PARTITIONS: &[Day] = &[
+    Day {
+        name: "a controller is cut off from its workers alone",
+        faults: |rng| {
+            let start = 40.0 + rng.f64() * 40.0;
+            vec![at(
+                start,
+                Fault::PartitionFromWorkers(rng.usize(0..3), 60 * SECOND),
+            )]
+        },
+        workload: Workload::Mixed,
+        occurred: |seen| seen.regions_released > 0,
+    },
+    Day {
+        name: "cut off from workers alone, and the state service goes out in the release",
+        faults: |rng| {
+            let start = 40.0 + rng.f64() * 20.0;
+            let index = rng.usize(0..3);
+            vec![
+                at(start, Fault::PartitionFromWorkers(index, 60 * SECOND)),
+                at(
+                    start + 6.0 + rng.f64() * 8.0,
+                    Fault::StoreOutage(rng.u64(5..50) * SECOND),
+                ),
+                at(start + 10.0, Fault::cancel_running(4)),
+            ]
+        },
+        workload: Workload::Mixed,
+        occurred: |seen| seen.regions_released > 0 && seen.heartbeats_accepted_without_store > 0,
+    },
+    Day {
+        name: "one controller after the other is cut off from workers",
+        faults: |rng| {
+            let start = 40.0 + rng.f64() * 10.0;
+            let index = rng.usize(0..3);
+            vec![
+                at(start, Fault::PartitionFromWorkers(index, 30 * SECOND)),
+                at(
+                    start + 25.0,
+                    Fault::PartitionFromWorkers((index + 1) % 3, 40 * SECOND),
+                ),
+                at(start + 30.0, Fault::RestartLeader),
+            ]
+        },
+        workload: Workload::Mixed,
+        occurred: |seen| seen.regions_released > 1,
+    },
+    Day {
+        name: "partial cuts in pairs",
+        faults: |rng| {
+            let start = 30.0 + rng.f64() * 40.0;
+            let index = rng.usize(0..3);
+            let duration = rng.u64(10..50) * SECOND;
+            let partitions = [
+                Fault::PartitionFromStore(index, duration),
+                Fault::PartitionFromWorkers(index, duration),
+                Fault::PartitionFromPeers(index, duration),
+                Fault::PartitionFromUsers(index, duration),
+            ];
+            let first = rng.usize(0..4);
+            let second = (first + rng.usize(1..4)) % 4;
+            vec![
+                at(start, partitions[first]),
+                at(start + 1.0, partitions[second]),
+                at(start + 4.0, Fault::cancel_running(6)),
+                at(start + 70.0, partitions[rng.usize(0..4)]),
+            ]
+        },
+        workload: Workload::Mixed,
+        occurred: |seen| seen.running_tasks_cancelled > 0,
+    },
+];
+
+/// Controllers are paused.
+const PAUSES: &[Day] = &[
+    Day {
+        name: "controllers stand still for one to forty seconds",
+        faults: |rng| {
+            let mut faults = Vec::new();
+            for (index, seconds) in [1, 8, 30, 40].into_iter().enumerate() {
+                let start = 20.0 + 45.0 * index as f64 + rng.f64() * 20.0;
+                faults.push(at(start, Fault::PauseLeader(seconds * SECOND)));
+                faults.push(at(start + rng.f64(), Fault::cancel_running(4)));
+                faults.push(at(
+                    start + 2.0,
+                    Fault::PauseController(rng.usize(0..3), rng.u64(1..20) * SECOND),
+                ));
+            }
+            faults
+        },
+        workload: Workload::Mixed,
+        occurred: |seen| {
+            seen.events_delayed_by_pause > 100
+                && seen.leader_elections > 1
+                && seen.running_tasks_cancelled > 0
+        },
+    },
+    Day {
+        name: "the leader stands still while the state service refuses another",
+        faults: |rng| {
+            let start = 30.0 + rng.f64() * 40.0;
+            vec![
+                at(start, Fault::PauseLeader(8 * SECOND)),
+                at(start + 9.0, Fault::StoreRefusesLeader(14 * SECOND)),
+                at(start + 10.0, Fault::cancel_running(8)),
+                at(start + 11.0, Fault::PauseLeader(30 * SECOND)),
+                at(start + 20.0, Fault::DelayCommits(20 * SECOND)),
+            ]
+        },
+        workload: Workload::Mixed,
+        occurred: |seen| seen.events_delayed_by_pause > 50 && seen.leader_elections > 1,
+    },
+];
+
+/// Bursts of queries, machines and jobs that fail.
+const PROVISIONING_AND_JOBS: &[Day] = &[
+    Day {
+        name: "questions thirty times as often, also in a takeover",
+        faults: |rng| {
+            let start = 30.0 + rng.f64() * 40.0;
+            vec![
+                at(start, Fault::QueryBurst(60 * SECOND)),
+                at(start + 10.0, Fault::CrashController(rng.usize(0..3))),
+                at(start + 20.0, Fault::RestartLeader),
+                at(start + 25.0, Fault::cancel_running(4)),
+                at(start + 30.0, Fault::StoreOutage(3 * SECOND)),
+            ]
+        },
+        workload: Workload::Mixed,
+        occurred: |seen| seen.burst_queries > 500 && seen.region_acquisitions > 3,
+    },
+    Day {
+        name: "machines come up late or never, and the leader ends",
+        faults: |rng| {
+            vec![
+                at(1.0, Fault::SlowProvisioning(rng.u64(40..120) * SECOND)),
+                at(20.0 + rng.f64() * 60.0, Fault::RestartLeader),
+                at(60.0 + rng.f64() * 40.0, Fault::FailMachine),
+            ]
+        },
+        workload: Workload::Mixed,
+        occurred: |seen| seen.impaired_boots > 3 && seen.leader_elections > 1,
+    },
+    Day {
+        name: "jobs fail wherever they run, teams at their limits, an owner ends",
+        faults: |rng| {
+            vec![
+                at(
+                    40.0 + rng.f64() * 60.0,
+                    Fault::CrashController(rng.usize(0..3)),
+                ),
+                at(60.0 + rng.f64() * 40.0, Fault::RestartLeader),
+                at(80.0, Fault::FailMachine),
+            ]
+        },
+        workload: Workload::FailingJobs,
+        occurred: |seen| seen.task_failures > 10 && seen.region_acquisitions > 3,
+    },
+];
--- /dev/null
+++ b/src/simulation/network.rs
@@ -0,0 +1,299 @@
+//! The simulated network: the [`Net`] that each controller's process is given, and what
+//! becomes of each response, call and message under latency, partitions and delays.
+//!
+//! Partitions that concern one controller are part of it (`controllers::Partitions`); what
+//! concerns the traffic of all is [`NetworkFaults`].
+
+use std::cell::RefCell;
+use std::rc::Rc;
+
+use crate::reactor::{Call, CallError, CallId, ConnId, Net};
+use salttiller_protocol::http::{Request, Response};
+use salttiller_records::units::{Micros, MILLISECOND, SECOND};
+use serde_json::Value;
+
+use super::controllers::ConnectionFailure;
+use super::events::{Caller, Event, Requester};
+use super::users::UserAction;
+use super::world::World;
+use super::CONTROLLERS;
+
+/// Shortest time that anything takes on the network; the longest is twice that.
+const LATENCY: Micros = MILLISECOND;
+
+/// Longest extra delay of a response to a worker, in milliseconds.
+const MAX_RESPONSE_DELAY_MS: u64 = 6000;
+
+/// After this time a controller notices that the response to its call was lost.
+const LOST_RESPONSE_NOTICED: Micros = 2 * SECOND;
+
+/// [`Call::dest`] of the state service.
+pub const STATE_SERVICE: usize = 0;
+/// [`Call::dest`] of the cloud.
+pub const CLOUD: usize = 1;
+
+/// What a controller hands to its network.
+pub enum Outgoing {
+    Respond(ConnId, Response),
+    Call(CallId, Call),
+    Send(usize, Vec<u8>),
+    Reply(ConnId, Vec<u8>),
+    ResetDest(usize),
+}
+
+/// The network as one run of a controller's process sees it.
+#[derive(Clone, Default)]
+pub struct SimNet {
+    state: Rc<RefCell<NetState>>,
+}
+
+#[derive(Default)]
+struct NetState {
+    clock: Micros,
+    wall: Micros,
+    last_call: CallId,
+    outgoing: Vec<Outgoing>,
+}
+
+impl SimNet {
+    /// A network whose calls are numbered upwards from `first_call`.
+    pub fn new(first_call: CallId) -> Self {
+        let net = SimNet::default();
+        net.state.borrow_mut().last_call = first_call;
+        net
+    }
+
+    /// Sets the steady clock and the wall clock that the controller reads.
+    pub fn set_clocks(&self, clock: Micros, wall: Micros) {
+        let mut state = self.state.borrow_mut();
+        (state.clock, state.wall) = (clock, wall);
+    }
+
+    /// The steady clock that the controller reads.
+    pub fn steady_clock(&self) -> Micros {
+        self.state.borrow().clock
+    }
+
+    /// Takes all that the controller has handed over since the last time.
+    pub fn take_outgoing(&self) -> Vec<Outgoing> {
+        std::mem::take(&mut self.state.borrow_mut().outgoing)
+    }
+
+    fn push(&self, outgoing: Outgoing) {
+        self.state.borrow_mut().outgoing.push(outgoing);
+    }
+}
+
+impl Net for SimNet {
+    fn clock(&mut self) -> Micros {
+        self.steady_clock()
+    }
+
+    fn wall(&self) -> Micros {
+        self.state.borrow().wall
+    }
+
+    fn respond(&mut self, id: ConnId, response: Response) {
+        self.push(Outgoing::Respond(id, response));
+    }
+
+    fn call(&mut self, call: Call) -> CallId {
+        let id = {
+            let mut state = self.state.borrow_mut();
+            state.last_call += 1;
+            state.last_call
+        };
+        self.push(Outgoing::Call(id, call));
+        id
+    }
+
+    fn send(&mut self, peer: usize, payload: &[u8]) {
+        self.push(Outgoing::Send(peer, payload.to_vec()));
+    }
+
+    fn reply(&mut self, id: ConnId, payload: &[u8]) {
+        self.push(Outgoing::Reply(id, payload.to_vec()));
+    }
+
+    fn reset_dest(&mut self, dest: usize) {
+        self.push(Outgoing::ResetDest(dest));
+    }
+}
+
+/// Until when each fault of the whole network lasts; 0: there was none.
+#[derive(Default)]
+pub struct NetworkFaults {
+    /// Responses to workers are delayed by up to [`MAX_RESPONSE_DELAY_MS`].
+    pub worker_responses_delayed_until: Micros,
+    /// Duplicates of heartbeats arrive late, at any controller.
+    pub heartbeats_duplicated_until: Micros,
+    /// A third of the commits is executed only after its caller has given up.
+    pub commits_delayed_until: Micros,
+    /// The state service takes up to 1.5 s for each call.
+    pub store_slow_until: Micros,
+}
+
+/// What becomes of a call to an outside service.
+enum CallDelivery {
+    Arrives {
+        at: Micros,
+    },
+    ConnectionReset {
+        at: Micros,
+    },
+    /// The caller gets no response; the call may be executed all the same.
+    TimesOut {
+        executed_at: Option<Micros>,
+    },
+}
+
+impl World {
+    /// How long the next message takes.
+    pub fn draw_latency(&mut self) -> Micros {
+        LATENCY + self.rng.u64(0..LATENCY)
+    }
+
+    /// Delivers, delays or drops what a controller has sent.
+    pub fn deliver(&mut self, controller: usize, outgoing: Outgoing) {
+        match outgoing {
+            Outgoing::Respond(id, response) => self.deliver_response(controller, id, response),
+            Outgoing::Call(id, call) => self.deliver_call(controller, id, call),
+            Outgoing::Send(peer, payload) => self.deliver_to_peer(controller, peer, payload),
+            // No peer asks on a connection here, and there are no idle connections to reset.
+            Outgoing::Reply(..) | Outgoing::ResetDest(_) => {}
+        }
+    }
+
+    fn deliver_response(&mut self, controller: usize, id: ConnId, response: Response) {
+        let Some(requester) = self.controllers[controller].take_requester(id) else {
+            return;
+        };
+        let to_worker = matches!(requester, Requester::Worker(_));
+        let lost = to_worker && self.now < self.controllers[controller].partitions.workers_until;
+        let mut latency = self.draw_latency();
+        let delayed = to_worker && self.now < self.network.worker_responses_delayed_until;
+        if delayed && self.rng.bool() {
+            latency += self.rng.u64(0..MAX_RESPONSE_DELAY_MS) * MILLISECOND;
+        }
+        let cancels = |action: &UserAction| *action == UserAction::Cancel;
+        if matches!(&requester, Requester::User { action, .. } if cancels(action)) {
+            self.users.last_cancel_answered_by = controller;
+        }
+        if !lost {
+            self.schedule(self.now + latency, Event::Response(requester, response));
+        }
+    }
+
+    fn deliver_call(&mut self, controller: usize, id: CallId, call: Call) {
+        let run = self.controllers[controller].run();
+        let caller = Caller {
+            controller,
+            run,
+            id,
+        };
+        let no_answer = Event::CallResult(caller, Err(CallError::NoAnswer));
+        match self.call_delivery(controller, &call) {
+            CallDelivery::Arrives { at } => self.schedule(at, Event::ServiceCall(caller, call)),
+            CallDelivery::ConnectionReset { at } => self.schedule(at, no_answer),
+            CallDelivery::TimesOut { executed_at } => {
+                let timeout = self.now + call.timeout;
+                if let Some(at) = executed_at {
+                    self.schedule(at, Event::ServiceCall(caller.given_up(), call));
+                }
+                self.schedule(timeout, no_answer);
+            }
+        }
+    }
+
+    fn call_delivery(&mut self, controller: usize, call: &Call) -> CallDelivery {
+        let latency = self.draw_latency();
+        let to_store = call.dest == STATE_SERVICE;
+        let partitions = &self.controllers[controller].partitions;
+        if to_store && self.now < partitions.store_until {
+            if partitions.store_failure == ConnectionFailure::Reset {
+                let at = self.now + latency;
+                return CallDelivery::ConnectionReset { at };
+            }
+            // Kept by the partition and executed when it ends, long after its caller has
+            // given up.
+            let healed = partitions.store_until + latency;
+            let executed = call.method == "POST" && self.rng.bool();
+            let executed_at = executed.then_some(healed);
+            return CallDelivery::TimesOut { executed_at };
+        }
+        let commits_delayed = self.now < self.network.commits_delayed_until;
+        if call.target == "/commit" && commits_delayed && self.rng.u32(0..3) == 0 {
+            let executed_at = Some(self.now + SECOND * self.rng.u64(2..13));
+            self.observations.delayed_commits += 1;
+            return CallDelivery::TimesOut { executed_at };
+        }
+        if to_store && self.now < self.network.store_slow_until {
+            let delay = self.rng.u64(50..1500) * MILLISECOND;
+            let at = self.now + delay;
+            if delay > call.timeout {
+                let executed_at = Some(at);
+                return CallDelivery::TimesOut { executed_at };
+            }
+            return CallDelivery::Arrives { at };
+        }
+        let at = self.now + latency;
+        CallDelivery::Arrives { at }
+    }
+
+    fn deliver_to_peer(&mut self, sender: usize, peer: usize, payload: Vec<u8>) {
+        let name = &self.settings[sender].peers[peer].name;
+        let receiver = (0..CONTROLLERS)
+            .find(|other| self.settings[*other].name == *name)
+            .unwrap();
+        let partitioned_until = |index: usize| self.controllers[index].partitions.peers_until;
+        let lost = self.now < partitioned_until(sender).max(partitioned_until(receiver));
+        let latency = self.draw_latency();
+        if !lost {
+            let event = Event::PeerMessage {
+                controller: receiver,
+                payload,
+            };
+            self.schedule(self.now + latency, event);
+        }
+    }
+
+    /// The connection of a request breaks before there is a response.
+    pub fn fail_request(&mut self, requester: Requester) {
+        let at = self.now + self.draw_latency();
+        let no_response = Response::new(0, Vec::new());
+        self.schedule(at, Event::Response(requester, no_response));
+    }
+
+    /// Sends the result of a call back; a partition loses results as well as calls.
+    pub fn return_result(&mut self, caller: Caller, result: Result<Response, CallError>) {
+        let latency = self.draw_latency();
+        if self.now < self.controllers[caller.controller].partitions.store_until {
+            let lost = Err(CallError::NoAnswer);
+            let at = self.now + LOST_RESPONSE_NOTICED;
+            self.schedule(at, Event::CallResult(caller, lost));
+        } else {
+            self.schedule(self.now + latency, Event::CallResult(caller, result));
+        }
+    }
+}
+
+/// A response with a body.
+pub fn response(status: u16, body: Value) -> Response {
+    Response::new(status, rmp_serde::to_vec(&body).unwrap())
+}
+
+/// A request to a controller.
+pub fn request(method: &str, path: &str, body: Vec<u8>) -> Request {
+    Request {
+        method: method.into(),
+        path: path.into(),
+        query: String::new(),
+        body,
+        close: false,
+    }
+}
+
+/// What a body says; null if it can't be read.
+pub fn decode(body: &[u8]) -> Value {
+    rmp_serde::from_slice(body).unwrap_or(Value::Null)
+}
--- /dev/null
+++ b/src/simulation/workload.rs
@@ -0,0 +1,126 @@
+//! What the users of a day ask for: jobs drawn from the day's seed.
+
+use salttiller_records::units::{Micros, SECOND};
+
+use super::days::Plan;
+use super::users::{Job, JobKind, Submission, UserAction};
+use super::world::World;
+
+/// The kind of work that a day brings.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Workload {
+    /// Batches, gangs and services.
+    Mixed,
+    /// Jobs of two or three tasks of which one runs several times as long.
+    UnevenTasks,
+    /// More than there is capacity for, of all priorities.
+    Overload,
+    /// Most jobs need one or two others, some of them a whole chain.
+    Pipelines,
+    /// A third of the jobs fail wherever they run, until their users cancel them.
+    FailingJobs,
+}
+
+/// Priorities in turn, in [`Workload::Overload`].
+const PRIORITIES: [&str; 4] = ["low", "standard", "urgent", "critical"];
+
+/// Every n-th job of [`Workload::FailingJobs`] fails.
+const FAILING_JOB_INTERVAL: u32 = 3;
+/// Users cancel a job that fails so long after its submission.
+const FAILING_JOB_CANCELLED_AFTER: Micros = 100 * SECOND;
+
+/// Mixed into the seed for the draws of what was added to the workload later, so that the
+/// first draws stay as they were.
+const REPEATS_SEED: u64 = 0x1a7e;
+
+impl World {
+    /// Draws the jobs of a day and schedules what their users ask for.
+    pub fn add_jobs(&mut self, plan: &Plan) {
+        let mut repeats = fastrand::Rng::with_seed(plan.seed ^ REPEATS_SEED);
+        for index in 0..plan.jobs {
+            self.add_job(plan, index, &mut repeats);
+        }
+    }
+
+    fn add_job(&mut self, plan: &Plan, index: u32, repeats: &mut fastrand::Rng) {
+        let (mut submission, run_seconds) = self.draw_submission(plan, index);
+        if plan.workload == Workload::Pipelines && repeats.u32(0..10) < 7 {
+            submission.dependencies = Some(self.draw_dependencies(repeats));
+        }
+        let id = submission.id.as_str();
+        let submitted_at = SECOND * self.rng.u64(1..plan.end / SECOND / 2);
+        if submission.kind == JobKind::Service || self.rng.u32(0..5) == 0 {
+            let cancelled_at = submitted_at + SECOND * self.rng.u64(1..40);
+            self.schedule_user(cancelled_at, id, UserAction::Cancel);
+            let repeated_at = cancelled_at + SECOND * repeats.u64(1..120);
+            self.schedule_user(repeated_at, id, UserAction::Cancel);
+        }
+        self.schedule_user(submitted_at, id, UserAction::Submit);
+        // Submissions that were carried out are repeated, long after.
+        for _ in 0..repeats.u32(0..3) {
+            let repeated_at = submitted_at + SECOND * repeats.u64(1..200);
+            self.schedule_user(repeated_at, id, UserAction::Submit);
+        }
+        let mut job = Job::new(&submission, run_seconds * SECOND);
+        let may_fail = plan.workload == Workload::FailingJobs && job.kind != JobKind::Service;
+        if may_fail && index.is_multiple_of(FAILING_JOB_INTERVAL) {
+            job.always_fails = true;
+            let cancelled_at = submitted_at + FAILING_JOB_CANCELLED_AFTER;
+            self.schedule_user(cancelled_at, id, UserAction::Cancel);
+        }
+        self.users.jobs.insert(submission.id, job);
+    }
+
+    /// A submission, and how many seconds its tasks run.
+    fn draw_submission(&mut self, plan: &Plan, index: u32) -> (Submission, u64) {
+        let id = format!("req-{:06}", 100 + index * 7 % plan.jobs.max(1));
+        let kinds = [
+            JobKind::Batch,
+            JobKind::Batch,
+            JobKind::Gang,
+            JobKind::Service,
+        ];
+        let mut kind = kinds[self.rng.usize(0..4)];
+        let uneven = plan.workload == Workload::UnevenTasks;
+        if uneven && kind == JobKind::Gang {
+            kind = JobKind::Batch;
+        }
+        let tasks = match kind {
+            _ if uneven => self.rng.u32(2..4),
+            JobKind::Batch => self.rng.u32(1..12),
+            JobKind::Gang | JobKind::Service => self.rng.u32(1..4),
+        };
+        let cpus = [0.5, 1.0, 2.0][self.rng.usize(0..3)];
+        let team = ["red", "blue"][self.rng.usize(0..2)];
+        let run_seconds = self.rng.u64(3..25);
+        let priority = match plan.workload {
+            Workload::Overload => PRIORITIES[index as usize % PRIORITIES.len()],
+            _ => "standard",
+        };
+        let is_service = kind == JobKind::Service;
+        let submission = Submission {
+            team,
+            kind,
+            priority,
+            tasks,
+            cpus,
+            spot_allowed: self.rng.bool(),
+            expected_seconds: if is_service { 0 } else { run_seconds },
+            ..Submission::batch(&id)
+        };
+        (submission, run_seconds)
+    }
+
+    /// One or two jobs of the day so far; the same one may come twice.
+    fn draw_dependencies(&self, rng: &mut fastrand::Rng) -> Vec<String> {
+        let candidates = self.users.jobs.iter();
+        let candidates = candidates.filter(|(_, job)| job.kind != JobKind::Service);
+        let candidates: Vec<&String> = candidates.map(|(id, _)| id).collect();
+        let count = rng.usize(1..3);
+        if candidates.is_empty() {
+            return Vec::new();
+        }
+        let draw = |_| candidates[rng.usize(0..candidates.len())].clone();
+        (0..count).map(draw).collect()
+    }
+}
