--- a/src/simulation.rs
+++ b/src/simulation.rs
@@ -29,15 +29,16 @@
 //! | counts of what was seen | `observations` |
 //!
 //! To look at one day: `SALTTILLER_SEED=16 SALTTILLER_LOG=debug cargo test --lib one_day --
-//! --nocapture`; for a day of a table `SALTTILLER_SCENARIO="the gap" SALTTILLER_SEED=3 cargo test
-//! --lib days_of_failures`. `SALTTILLER_SEEDS=1000` plays more seeds of each day.
+//! --nocapture`, with `SALTTILLER_HARDER=1` for the day with more faults; for a day of a table
+//! `SALTTILLER_SCENARIO="the gap" SALTTILLER_SEED=3 cargo test --lib days_of_failures`.
+//! `SALTTILLER_SEEDS=1000` plays more seeds of each day.
 //!
 //! # How to add a fault
 //!
 //! 1. Add a variant to [`faults::Fault`], with the time that it lasts, and its
 //!    [`faults::Fault::duration`].
-//! 2. Bring it about in `faults/injection.rs`: most faults only set until when a part of the
-//!    world behaves otherwise.
+//! 2. Add its line to `World::inject` in `faults/injection.rs`: most faults only set until when
+//!    a part of the world behaves otherwise.
 //! 3. Let that part behave so. Draw from `World::rng` only while the fault lasts: a draw more on
 //!    other days changes all of them.
 //! 4. Count what it does in [`observations::Observations`], so that a day can tell that it
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -53,8 +53,12 @@
     /// A controller can't reach the state service; half of what it had sent is executed when
     /// the partition ends.
     PartitionFromStore(usize, Micros),
+    /// A controller and all workers can't reach each other; half of their heartbeats arrive when
+    /// the partition ends.
     PartitionFromWorkers(usize, Micros),
+    /// A controller and its peers can't reach each other; their messages are lost.
     PartitionFromPeers(usize, Micros),
+    /// Users can't reach a controller and turn to the others.
     PartitionFromUsers(usize, Micros),
     /// A controller can reach neither the state service nor its peers, but its workers.
     IsolateController(usize, Micros, ConnectionFailure),
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -34,10 +34,15 @@
 
 /// What a controller hands to its network.
 pub enum Outgoing {
+    /// The response to a request on a connection.
     Respond(ConnId, Response),
+    /// A call to an outside service.
     Call(CallId, Call),
+    /// A message to a peer, by its index in the controller's settings.
     Send(usize, Vec<u8>),
+    /// The reply to a peer's message on a connection.
     Reply(ConnId, Vec<u8>),
+    /// The connections to an outside service are closed.
     ResetDest(usize),
 }
 
--- a/src/simulation/users/jobs.rs
+++ b/src/simulation/users/jobs.rs
@@ -8,8 +8,11 @@
 /// The kinds of jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobKind {
+    /// Tasks that run independently of each other.
     Batch,
+    /// Tasks that run together or not at all.
     Gang,
+    /// Tasks that run until they are stopped.
     Service,
 }
 
--- a/src/simulation/workers.rs
+++ b/src/simulation/workers.rs
@@ -47,19 +47,22 @@
     pub sequence: u64,
     /// The highest fencing token seen.
     pub token: u64,
+    /// Tasks by their id, `JOB/NUMBER`.
     pub tasks: BTreeMap<String, WorkerTask>,
     /// When the last accepted heartbeat was sent.
     pub lease_renewed_at: Micros,
     /// The controller that gets the next heartbeat.
     pub controller: usize,
     /// The number of the timer that was set last; earlier ones are outdated.
-    pub timer: u64,
-    pub failed: bool,
+    timer: u64,
+    failed: bool,
+    /// Until when the worker and its tasks stand still.
     pub paused_until: Micros,
     /// Until when responses don't arrive.
     pub responses_lost_until: Micros,
     /// Until when no controller can be reached.
     pub unreachable_until: Micros,
+    /// Keeps the worker with one controller.
     pub zone_partition: ZonePartition,
 }
 
