--- a/src/controller/monitoring.rs
+++ b/src/controller/monitoring.rs
@@ -113,7 +113,7 @@
             LikelyCause::CloudDown
         } else if leader.is_some_and(|leader| leader.has_capacity_refusals(self.cluster.now)) {
             LikelyCause::NoCapacity
-        } else if leader.is_some_and(|leader| !leader.pools_in_trouble().is_empty()) {
+        } else if leader.is_some_and(|leader| !leader.degraded_pools().is_empty()) {
             LikelyCause::SlowProvisioning
         } else if self.ownership.regions().any(Region::is_quota_blocked) {
             LikelyCause::QuotaUsedUp
@@ -169,7 +169,7 @@
         let Some(leader) = self.leadership.leader() else {
             return Vec::new();
         };
-        let pools = leader.pools_in_trouble().into_iter();
+        let pools = leader.degraded_pools().into_iter();
         let conditions = pools.map(|pool| Condition::ProvisioningFailing {
             machine_type: pool.offer.machine_type,
             zone: pool.offer.zone,
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,27 +1,27 @@
 //! The leader: the first of the two levels of scheduling.
 //!
-//! One controller at a time leads. Its decisions, each in a module of its own:
+//! One controller at a time is the leader. Each of its decisions has its own module:
 //!
-//! - `binding`: which region a job is bound to. As in the paper, the one with the fewest
-//!   unfinished jobs.
+//! - `binding`: which region a job is bound to. As in the paper, this is the region with the
+//!   fewest unfinished jobs.
 //! - `rebinding`: which waiting tasks move to a region with free capacity.
 //! - `multi_region_binding`, `multi_region_gangs`: which gangs are bound to several regions at
 //!   once, and when their parts start.
-//! - `demand`: how many processors flexible jobs need, a forecast.
-//! - `scale_out`, `indivisible_scale_out`: which machines are rented, for jobs that may be divided
-//!   and for those that keep together; `offer_selection` finds the cheapest offer,
-//!   `provisioning` limits pools whose machines don't come up.
+//! - `demand`: a forecast of how many processors flexible jobs need.
+//! - `scale_out`, `indivisible_scale_out`: which machines are rented, for divisible and for
+//!   indivisible jobs. `offer_selection` finds the cheapest offer; `provisioning` limits rentals
+//!   from pools whose machines boot late or never.
 //! - `scale_in`: which machines are drained.
-//! - `machine_assignment`: which region a machine belongs to; `cloud_events` and
-//!   `unknown_machines` find the machines.
+//! - `machine_assignment`: which region a machine belongs to. `cloud_events` and
+//!   `unknown_machines` supply the machines to assign.
 //!
-//! The controller calls [`Leader::tick`] and the `on_` methods and carries out the [`Action`]s
-//! that it collects. The leader reads the replica, the settings and the regions' reports through
-//! what is passed to it, and writes nothing but its own state; it queues rentals at the cloud
-//! client directly.
+//! The controller calls [`Leader::tick`] and the `on_` methods, then collects the [`Action`]s
+//! and carries them out. The leader reads the replica, the settings and the regions' reports
+//! from its arguments and changes only its own state, except that it queues rentals directly at
+//! the cloud client.
 //!
-//! The leader is fenced by its record alone: every write names it as a condition. One that is
-//! superseded can at worst rent a machine too many.
+//! The leader's record is its only fence: every write is conditional on the record's revision.
+//! A superseded leader can at worst rent surplus machines.
 
 mod arrival_rate;
 mod binding;
@@ -71,16 +71,18 @@
 pub use provisioning::PoolProvisioning;
 pub use reports::{ReceivedReport, Reports};
 
-/// Between plans: the regions report about as often, and a plan goes through all waiting work.
+/// Interval between plans. The regions report about as often, and each plan processes all
+/// waiting work.
 const PLAN_INTERVAL: Micros = 400 * MILLISECOND;
-/// One processor, in the millionths that amounts are counted in.
-const CPU: f64 = 1e6;
+/// Units of one processor: processor amounts are counted in millionths.
+const MILLIONTHS_PER_CPU: f64 = 1e6;
 
 /// A controller's term as the leader.
 pub struct Leader {
     term: Term,
     outbox: Outbox,
-    /// Capacity of all machines as of the last plan, less what it and later bindings claimed.
+    /// Capacity of all machines as of the last plan, less the claims of that plan and of later
+    /// bindings.
     capacity: Vec<PlannedCapacity>,
     demand: DemandForecast,
     constrained_types: ConstrainedTypes,
@@ -95,7 +97,7 @@
 }
 
 impl Leader {
-    /// A term that begins with the leader's record at this revision.
+    /// Starts a term. `version` is the revision of the leader's record.
     pub fn new(version: u64, context: &SchedulingContext<'_>) -> Self {
         let mut constrained_types = ConstrainedTypes::default();
         for (_, _, spec) in context.replica.open_jobs() {
@@ -118,12 +120,13 @@
         }
     }
 
-    /// Revision of the leader's record, which names the term.
+    /// Revision of the leader's record, which identifies the term.
     pub fn term_version(&self) -> u64 {
         self.term.version()
     }
 
-    /// Regular work: binds jobs, polls the cloud, plans. Returns when to call again.
+    /// Performs the periodic work: binds jobs, polls the cloud and makes plans. Returns the time of
+    /// the next call.
     pub fn tick(
         &mut self,
         context: &SchedulingContext<'_>,
@@ -140,13 +143,14 @@
         self.next_plan_at.min(self.cloud_polling.next_list_at())
     }
 
-    /// Hands over what is to be carried out since the last call, in order.
+    /// Returns the actions queued since the last call, in order.
     #[must_use]
     pub fn take_actions(&mut self) -> Vec<Action> {
         self.outbox.take_actions()
     }
 
-    /// A commit of ours has ended; `committed` unless it failed or its outcome is unknown.
+    /// Handles the end of one of the leader's commits. `committed` is false if the commit failed or
+    /// its outcome is unknown.
     pub fn on_commit_finished(&mut self, keys: &[Key], committed: bool, now: Micros) {
         for key in keys {
             self.outbox.on_commit_finished(key);
@@ -157,12 +161,12 @@
         }
     }
 
-    /// A machine's record was removed.
+    /// Handles the removal of a machine's record.
     pub fn on_machine_removed(&mut self, name: &str, now: Micros) {
         self.unknown_machines.on_machine_removed(name, now);
     }
 
-    /// An owner reports how the machines of its region come up.
+    /// Handles an owner's report on how the machines of its region boot.
     pub fn on_provisioning_report(
         &mut self,
         region: String,
@@ -172,12 +176,12 @@
         self.provisioning_reports.on_report(region, pools, now);
     }
 
-    /// The pools whose machines come up late or never.
-    pub fn pools_in_trouble(&self) -> Vec<PoolProvisioning> {
-        self.provisioning_reports.in_trouble()
+    /// Returns the pools whose machines boot late or never.
+    pub fn degraded_pools(&self) -> Vec<PoolProvisioning> {
+        self.provisioning_reports.degraded_pools()
     }
 
-    /// Whether the cloud has refused an offer lately.
+    /// Whether the cloud refused an offer recently.
     pub fn has_capacity_refusals(&self, now: Micros) -> bool {
         self.refusals.any_backing_off(now)
     }
@@ -195,7 +199,7 @@
         }
     }
 
-    /// Queues changes of records, leaving out those with a commit in flight.
+    /// Queues record changes. Skips records with a commit in flight.
     fn commit(
         &mut self,
         changes: Vec<RecordChange>,
--- a/src/leader/arrival_rate.rs
+++ b/src/leader/arrival_rate.rs
@@ -1,10 +1,10 @@
-//! How much work arrives: the rate at which flexible jobs bring processor time.
+//! Arrival rate of work: the processor time that flexible jobs add per unit of time.
 
 use std::collections::VecDeque;
 
 use salttiller_records::units::{Micros, SECOND};
 
-/// Work that arrived within one second.
+/// Work submitted within one bucket width.
 #[derive(Debug)]
 struct Bucket {
     started_at: Micros,
@@ -12,24 +12,24 @@
     work: f64,
 }
 
-/// Work that arrived lately, in buckets of a second.
+/// Recently submitted work, in buckets of one second.
 #[derive(Debug)]
 pub(super) struct ArrivalRate {
-    /// Jobs submitted before are not counted.
+    /// Start of the measurement; jobs submitted earlier are not counted.
     counted_from: Micros,
     buckets: VecDeque<Bucket>,
 }
 
 impl ArrivalRate {
-    /// How far back the rate looks: long enough to even out bursts, since a machine that comes
-    /// and goes with each costs a minute at least.
+    /// Length of the averaging window. The window is long enough to smooth bursts: a machine
+    /// rented for a single burst is billed for at least one minute.
     const WINDOW: Micros = 90 * SECOND;
-    /// Jobs submitted in the first while of a term are not counted: they have piled up while
-    /// there was no leader and would be taken for a higher rate.
+    /// Time at the start of a term during which submitted jobs are not counted. Jobs that piled
+    /// up while there was no leader would otherwise raise the rate.
     const BACKLOG_GRACE: Micros = 12 * SECOND;
-    /// No rate is given before jobs have been counted for this long: too little to go by.
+    /// Minimum measurement time before a rate is returned.
     const MIN_SPAN: Micros = 20 * SECOND;
-    /// Width of a bucket: bounds how many there are, whatever the rate of submissions.
+    /// Width of a bucket. A fixed width bounds the number of buckets at any submission rate.
     const BUCKET_WIDTH: Micros = SECOND;
 
     pub(super) fn new(now: Micros) -> Self {
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Counts a job's work by the time of its submission, which may be long before it is bound
-    /// when many come at once.
+    /// Counts a job's work at its submission time. A job may be bound much later than it was
+    /// submitted when many jobs arrive at once.
     pub(super) fn add(&mut self, work: f64, submitted_at: Micros) {
         if submitted_at < self.counted_from {
             return;
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Work per time, in millionths of a processor: how many processors the arriving work keeps
-    /// busy. `None` as long as too little has been seen.
+    /// Returns how many processors the arriving work keeps busy, in millionths, or `None` before
+    /// the measurement has lasted `MIN_SPAN`.
     pub(super) fn rate(&mut self, now: Micros) -> Option<f64> {
         let window_start = now.saturating_sub(Self::WINDOW);
         while self
--- a/src/leader/arrival_rate/tests.rs
+++ b/src/leader/arrival_rate/tests.rs
@@ -2,18 +2,19 @@
 
 use super::*;
 
-/// Work of 8 processors a second, submitted every half second, is a rate of 8 processors; the
-/// first seconds of a term are left out, and nothing is said of too short a time.
+/// Guards against a wrong rate for steady work: 4 processor-seconds submitted every half second
+/// are a rate of 8 processors. The first seconds of a term are not counted, and there is no rate
+/// before the minimum measurement time.
 #[test]
 fn rate_of_steady_work() {
-    // First and last submission, time of the question, rate (both in seconds).
+    // First and last submission and time of the query, all in seconds; expected rate.
     for (first, last, now, expected) in [
         (0, 12, 12, None),
         (0, 31, 31, None),
         (0, 32, 32, Some(8.0)),
         (0, 100, 100, Some(8.0)),
         (0, 300, 300, Some(8.0)),
-        // All that came has left the window.
+        // All submissions have left the window.
         (0, 100, 300, Some(0.0)),
     ] {
         let mut arrivals = ArrivalRate::new(0);
--- a/src/leader/binding.rs
+++ b/src/leader/binding.rs
@@ -1,10 +1,10 @@
-//! Binding, the first level of scheduling: which region each job is bound to.
+//! Binding, the first level of scheduling: selects the region that each job is bound to.
 //!
-//! As in the paper, where the front-end host gives each computation to the head of its list of
-//! spheres, a job is bound to the region with the fewest unfinished jobs. Ours are the
-//! restriction to regions that can hold the job, and gangs over several regions. Inputs are the
-//! records (jobs, machines, owners), the planned capacity and the cloud's refusals. A binding
-//! is written once; rebinding (`rebinding`) corrects it.
+//! A job is bound to the region with the fewest unfinished jobs, as in the paper, where the
+//! front-end host gives each computation to the head of its list of spheres. Two rules extend the
+//! paper: only regions that can hold the job are considered, and a gang may be bound to several
+//! regions. Inputs are the records (jobs, machines, owners), the planned capacity and the cloud's
+//! refusals. A binding is written once; the module `rebinding` corrects it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -18,10 +18,10 @@
 
 use super::outbox::RecordChange;
 use super::planned_capacity::{claim_from, tasks_in_region, PlannedCapacity};
-use super::unplaced_job::{keeps_together, min_tasks, Flexibility};
+use super::unplaced_job::{is_indivisible, min_tasks, Flexibility};
 use super::Leader;
 
-/// Unfinished jobs by region: the paper's level-one list.
+/// Number of unfinished jobs by region: the paper's level-one list.
 type UnfinishedJobs = BTreeMap<String, u32>;
 
 /// An open job that is bound to no region.
@@ -52,7 +52,7 @@
         self.commit(changes, CommitPriority::Normal, context);
     }
 
-    /// The jobs to bind, by time of submission.
+    /// Returns the jobs to bind, ordered by submission time.
     fn unbound_jobs<'a>(&self, context: &SchedulingContext<'a>) -> Vec<UnboundJob<'a>> {
         let replica = context.replica;
         let mut unbound: Vec<UnboundJob<'a>> = replica
@@ -69,7 +69,7 @@
         unbound
     }
 
-    /// The record of a job with its binding; `None` if there is no region to bind it to.
+    /// Returns a job's record with its binding, or `None` if there is no region to bind it to.
     fn bind_job(
         &mut self,
         job: &UnboundJob<'_>,
@@ -84,7 +84,7 @@
         if flexibility == Flexibility::Flexible {
             self.demand.on_job_bound(spec, context);
         }
-        if let Some(binding) = self.bind_over_regions(spec, flexibility, context) {
+        if let Some(binding) = self.bind_across_regions(spec, flexibility, context) {
             log::info!(
                 "job={}: too large for one region, bound to several: {:?}",
                 job.id,
@@ -106,9 +106,10 @@
         })
     }
 
-    /// The region with the fewest unfinished jobs of those that can hold the job: for one that
-    /// keeps together those with free capacity first. If none can, any with an owner, or any at
-    /// all. Capacity for a job that keeps together is claimed.
+    /// Selects the region with the fewest unfinished jobs among the regions that can hold the job.
+    /// For an indivisible job, regions with free capacity have precedence, and capacity is claimed
+    /// in the selected region. If no region can hold the job, regions with an owner are
+    /// considered, then all regions.
     fn choose_region(
         &mut self,
         spec: &JobSpec,
@@ -116,35 +117,37 @@
         unfinished: &UnfinishedJobs,
         context: &SchedulingContext<'_>,
     ) -> Option<String> {
-        let able = self.able_regions(spec, flexibility, unfinished, context);
+        let capable = self.capable_regions(spec, flexibility, unfinished, context);
         let has_owner = |region: &str| context.replica.regions.contains_key(region);
-        let fewest_jobs_able = || least_loaded(unfinished, |r| has_owner(r) && able.contains(r));
-        let fewest_jobs_free = || {
+        let least_loaded_capable =
+            || least_loaded(unfinished, |r| has_owner(r) && capable.contains(r));
+        let least_loaded_with_free_capacity = || {
             least_loaded(unfinished, |r| {
                 has_owner(r) && self.has_free_capacity(spec, flexibility, r)
             })
         };
-        let by_capacity = if keeps_together(spec) {
-            fewest_jobs_free().or_else(fewest_jobs_able)
+        let by_capacity = if is_indivisible(spec) {
+            least_loaded_with_free_capacity().or_else(least_loaded_capable)
         } else {
-            fewest_jobs_able()
+            least_loaded_capable()
         };
         let region = by_capacity
             .or_else(|| least_loaded(unfinished, has_owner))
             .or_else(|| least_loaded(unfinished, |_| true))?;
-        if keeps_together(spec) {
+        if is_indivisible(spec) {
             let machines = self
                 .capacity
                 .iter_mut()
                 .filter(|c| c.region == region && c.is_available);
             let wanted = u64::from(spec.task_count);
-            // What is lacking is rented by the next plan.
-            let _lacking = claim_from(machines, spec, flexibility, wanted);
+            // The next plan rents machines for the tasks without capacity.
+            let _unclaimed = claim_from(machines, spec, flexibility, wanted);
         }
         Some(region)
     }
 
-    /// Whether a region has free capacity for a job: for all of its tasks if it keeps together.
+    /// Whether a region has free capacity for a job: for all of its tasks if it is indivisible,
+    /// else for one.
     fn has_free_capacity(&self, spec: &JobSpec, flexibility: Flexibility, region: &str) -> bool {
         let fitting = |c: &PlannedCapacity| {
             if c.is_available {
@@ -156,8 +159,8 @@
         tasks_in_region(&self.capacity, spec, region, fitting) >= min_tasks(spec)
     }
 
-    /// The regions with machines that could hold a job, on record or still to be rented.
-    fn able_regions(
+    /// Returns the regions whose machines, on record or still to be rented, could hold a job.
+    fn capable_regions(
         &self,
         spec: &JobSpec,
         flexibility: Flexibility,
@@ -166,7 +169,7 @@
     ) -> BTreeSet<String> {
         let needed = min_tasks(spec);
         let max_tasks = |c: &PlannedCapacity| c.max_tasks(spec, flexibility);
-        let mut able: BTreeSet<String> = unfinished
+        let mut capable: BTreeSet<String> = unfinished
             .keys()
             .filter(|region| has_permitted_machine(spec, region, context))
             .filter(|region| {
@@ -174,30 +177,30 @@
             })
             .cloned()
             .collect();
-        if keeps_together(spec) {
+        if is_indivisible(spec) {
             let rentable = self.usable_offers(spec, context);
-            able.extend(rentable.map(|(offer, _)| self.region_for(&offer, context)));
+            capable.extend(rentable.map(|(offer, _)| self.region_for(&offer, context)));
         }
-        able
+        capable
     }
 }
 
-/// Open jobs by configured region.
+/// Counts the unfinished jobs of each configured region.
 fn unfinished_jobs(context: &SchedulingContext<'_>) -> UnfinishedJobs {
-    let level_one = &context.replica.jobs_per_region;
+    let jobs_per_region = &context.replica.jobs_per_region;
     context
         .settings
         .regions()
         .into_iter()
         .map(|region| {
-            let jobs = level_one.get(&region).copied().unwrap_or(0);
+            let jobs = jobs_per_region.get(&region).copied().unwrap_or(0);
             (region, jobs)
         })
         .collect()
 }
 
-/// The region with the fewest unfinished jobs of those that pass the filter, the first by name
-/// of several.
+/// Returns the region with the fewest unfinished jobs among those that pass the filter; ties go
+/// to the first by name.
 fn least_loaded(unfinished: &UnfinishedJobs, filter: impl Fn(&str) -> bool) -> Option<String> {
     unfinished
         .iter()
--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -1,5 +1,5 @@
-//! What the leader does with the cloud's answers: machine types are put on record, rented and
-//! unknown machines are assigned to regions, refusals are remembered.
+//! Handling of the cloud's answers: the leader records machine types, assigns rented and unknown
+//! machines to regions, and notes refused offers for the capacity backoff.
 
 use crate::cloud::{CloudEvent, ListedMachine, Offer};
 use crate::region::SchedulingContext;
@@ -13,15 +13,16 @@
 use super::outbox::RecordChange;
 use super::Leader;
 
-/// Unknown machines that are assigned to one region at a time, so that those of a type that no
-/// job depends on are spread over the regions.
+/// Number of unknown machines assigned to a region at a time. Small groups spread the machines of
+/// a type that no job depends on over the regions.
 const UNKNOWN_MACHINES_PER_ASSIGNMENT: usize = 8;
-/// A price on record is renewed when it differs by more than one part in so many: spot prices
-/// move all the time, and each change of a record counts against the state service's limit.
-const PRICE_TOLERANCE_PARTS: u64 = 10;
+/// A recorded price is updated when it differs from the current price by more than the current
+/// price divided by this number. Spot prices change all the time, and each record change counts
+/// against the state service's rate limit.
+const PRICE_TOLERANCE_DIVISOR: u64 = 10;
 
 impl Leader {
-    /// Acts on an answer of the cloud.
+    /// Handles an answer of the cloud.
     pub fn on_cloud_event(&mut self, event: &CloudEvent, context: &SchedulingContext<'_>) {
         match event {
             CloudEvent::MachineTypes(machine_types) => {
@@ -44,8 +45,9 @@
         }
     }
 
-    /// A machine without a record reports. That alone creates no record: it may be a late copy
-    /// from a machine that is long gone. The cloud's list decides, and is asked for soon.
+    /// Handles a report from a machine without a record. The report alone creates no record,
+    /// because it may be a delayed duplicate from a machine that was released long ago. The
+    /// cloud's list decides, so the next list request is brought forward.
     pub fn on_unknown_machine(&mut self, context: &SchedulingContext<'_>) {
         let any_recorded = !context.replica.machines.is_empty();
         self.cloud_polling
@@ -91,35 +93,37 @@
         self.assign_machines(offer, machines, region, context);
     }
 
-    /// Machines without a record are assigned like any other and used, or returned when idle.
+    /// Assigns the listed machines that have no record. Like all others, they are then used, or
+    /// returned when idle.
     fn on_list(&mut self, list: &[ListedMachine], context: &SchedulingContext<'_>) {
-        // Records that can't be read may name them.
+        // A record that can't be read may belong to a listed machine.
         if !context.replica.unreadable.is_empty() {
             return;
         }
         let provisioning = self.provisioning_batches.machine_names();
-        let certain = self.unknown_machines.on_list(list, &provisioning, context);
-        for (offer, machines) in certain {
-            for some in machines.chunks(UNKNOWN_MACHINES_PER_ASSIGNMENT) {
+        let confirmed = self.unknown_machines.on_list(list, &provisioning, context);
+        for (offer, machines) in confirmed {
+            for chunk in machines.chunks(UNKNOWN_MACHINES_PER_ASSIGNMENT) {
                 let region = self.region_for(&offer, context);
-                self.assign_machines(&offer, some, &region, context);
+                self.assign_machines(&offer, chunk, &region, context);
             }
         }
         if !self.unknown_machines.is_empty() {
             self.cloud_polling
-                .list_no_later_than(context.now + context.settings.cloud_list_lag);
+                .schedule_list_by(context.now + context.settings.cloud_list_lag);
         }
     }
 }
 
-/// Whether a machine type's record must be written anew.
+/// Whether a machine type's record must be updated.
 fn needs_update(known: &Versioned<MachineType>, current: &MachineType) -> bool {
     let known = &known.value;
-    let has_moved =
-        |known: u64, current: u64| known.abs_diff(current) * PRICE_TOLERANCE_PARTS > current.max(1);
+    let price_changed = |known: u64, current: u64| {
+        known.abs_diff(current) * PRICE_TOLERANCE_DIVISOR > current.max(1)
+    };
     let hardware = |t: &MachineType| (t.cpus, t.gpus, t.memory, t.boot_time, t.fetch_rate);
     known.zones != current.zones
         || hardware(known) != hardware(current)
-        || has_moved(known.price, current.price)
-        || has_moved(known.spot_price, current.spot_price)
+        || price_changed(known.price, current.price)
+        || price_changed(known.spot_price, current.spot_price)
 }
--- a/src/leader/cloud_polling.rs
+++ b/src/leader/cloud_polling.rs
@@ -1,22 +1,24 @@
-//! When the cloud is asked for its machine types and its list of machines.
+//! Schedule of the requests for the cloud's machine types and its list of machines.
 
 use salttiller_records::units::{Micros, SECOND};
 
-/// No list in the first while of a term: machines that the last leader rented may still get
-/// their record.
+/// Delay of the first list request of a term. Records of machines that the previous leader rented
+/// may still be committed during this time.
 const FIRST_LIST_DELAY: Micros = 20 * SECOND;
-/// Between lists when nothing is amiss.
+/// Regular interval between list requests.
 const LIST_INTERVAL: Micros = 30 * SECOND;
-/// Between lists while machines report that have no record.
+/// Interval between list requests while machines without a record report.
 const UNKNOWN_MACHINE_LIST_INTERVAL: Micros = 4 * SECOND;
-/// The same while no machine has a record: nothing can run before they are listed.
+/// Interval between list requests while no machine has a record: no task can run before the
+/// machines are listed.
 const FIRST_START_LIST_INTERVAL: Micros = SECOND;
-/// Between requests of the machine types; spot prices move slowly.
+/// Interval between requests for the machine types; spot prices change slowly.
 const MACHINE_TYPES_INTERVAL: Micros = 60 * SECOND;
-/// The same while no type is known: nothing can be bound or rented before.
+/// Interval between requests for the machine types while none is known: without machine types, no
+/// job can be bound and no machine rented.
 const FIRST_MACHINE_TYPES_INTERVAL: Micros = SECOND;
 
-/// Times of the next requests.
+/// Times of the next requests to the cloud.
 #[derive(Debug)]
 pub(super) struct CloudPolling {
     next_list_at: Micros,
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Whether to ask for the machine types now; if so, the next time is set.
+    /// Returns whether to request the machine types now. If so, schedules the next request.
     #[must_use]
     pub(super) fn poll_machine_types(&mut self, any_known: bool, now: Micros) -> bool {
         if now < self.next_machine_types_at {
@@ -48,7 +50,7 @@
         true
     }
 
-    /// Whether to ask for the list of machines now; if so, the next time is set.
+    /// Returns whether to request the list of machines now. If so, schedules the next request.
     #[must_use]
     pub(super) fn poll_list(&mut self, now: Micros) -> bool {
         if now < self.next_list_at {
@@ -59,23 +61,23 @@
         true
     }
 
-    /// When the list is asked for next.
+    /// Time of the next list request.
     pub(super) fn next_list_at(&self) -> Micros {
         self.next_list_at
     }
 
-    /// A machine without a record reports: the list is asked for soon.
+    /// Handles a report from a machine without a record: brings the next list request forward.
     pub(super) fn on_unknown_machine(&mut self, any_recorded: bool, now: Micros) {
         let interval = if any_recorded {
             UNKNOWN_MACHINE_LIST_INTERVAL
         } else {
             FIRST_START_LIST_INTERVAL
         };
-        self.list_no_later_than((self.last_list_at + interval).max(now));
+        self.schedule_list_by((self.last_list_at + interval).max(now));
     }
 
-    /// Brings the next list forward.
-    pub(super) fn list_no_later_than(&mut self, at: Micros) {
+    /// Ensures that the next list request is made at `at` or earlier.
+    pub(super) fn schedule_list_by(&mut self, at: Micros) {
         self.next_list_at = self.next_list_at.min(at);
     }
 }
--- a/src/leader/demand.rs
+++ b/src/leader/demand.rs
@@ -1,8 +1,9 @@
-//! How many processors flexible jobs need: the forecast that scale-out and scale-in go by.
+//! Demand forecast: how many processors flexible jobs need, as thresholds for scale-out and
+//! scale-in.
 //!
-//! Inputs are the jobs as they are bound, the regions' reports and the waiting work. The
-//! forecast decides nothing itself; it is computed anew with each plan. The paper's processors
-//! are fixed in number, so nothing here comes from it.
+//! Inputs are the jobs as they are bound, the regions' reports and the waiting work. The forecast
+//! is recomputed with each plan and makes no decisions itself. The paper has no counterpart,
+//! because its number of processors is fixed.
 
 use crate::peer_protocol::RegionReport;
 use crate::region::SchedulingContext;
@@ -15,16 +16,17 @@
 use super::reports::Reports;
 use super::unplaced_job::UnplacedJob;
 
-/// Weight of the latest measurement in the smoothed utilisation. At a plan every 0.4 s the
-/// average follows a change within some 10 s.
+/// Weight of the latest measurement in the smoothed utilisation. With a plan every 0.4 s, the
+/// average follows a change within about 10 s.
 const UTILISATION_WEIGHT: f64 = 0.04;
 /// Weight of the latest job in the smoothed job size.
 const JOB_SIZE_WEIGHT: f64 = 0.1;
-/// Bounds of the estimates' accuracy: owners are often wrong by half and sometimes by more, and
-/// a measurement beyond these says more of a few odd jobs than of all.
+/// Lower and upper bound of the estimate accuracy. Job owners' estimates are often off by half and
+/// sometimes by more; a measurement outside the bounds reflects a few outliers rather than all
+/// jobs.
 const ACCURACY_BOUNDS: (f64, f64) = (0.3, 3.0);
-/// Finished work, as run time of an average job, from which the accuracy is measured: less says
-/// nothing.
+/// Minimum amount of finished work for a measurement of the estimate accuracy, as run time of a
+/// job of average size. A smaller sample is not representative.
 const MIN_MEASURED_RUN_TIME: Micros = 20 * SECOND;
 
 /// Forecast of the processors that flexible jobs need, in millionths.
@@ -33,9 +35,9 @@
     arrivals: ArrivalRate,
     /// Processors in use by flexible work, smoothed over time.
     smoothed_utilisation: f64,
-    /// Processors that all tasks of a flexible job take, smoothed over jobs.
+    /// Processors that all tasks of a flexible job use together, smoothed over jobs.
     smoothed_job_size: f64,
-    /// Actual over estimated run time of the tasks that finished lately.
+    /// Actual divided by estimated run time of recently finished tasks.
     estimate_accuracy: f64,
     scale_out_threshold: f64,
     scale_in_threshold: f64,
@@ -64,8 +66,8 @@
         self.smoothed_job_size += (size - self.smoothed_job_size) * JOB_SIZE_WEIGHT;
     }
 
-    /// Computes the thresholds: what the arriving work keeps busy, and what gets the backlog
-    /// under way within its horizon.
+    /// Recomputes the thresholds: the processors that the arriving work keeps busy, plus those that
+    /// start the backlog within its horizon.
     pub(super) fn update(
         &mut self,
         waiting: &[UnplacedJob],
@@ -76,7 +78,7 @@
         self.measure_accuracy(reports);
         self.measure_utilisation(capacity);
         let backlog = self.backlog_cpus(waiting, context);
-        // What came in lately is what will be needed.
+        // The recent arrival rate serves as the forecast of future demand.
         let arriving = self
             .arrivals
             .rate(context.now)
@@ -85,23 +87,24 @@
             });
         let headroom = context.settings.operator.headroom;
         self.scale_out_threshold = arriving + backlog;
-        // More is kept than would be rented, so that machines don't come and go with every
-        // burst: each that goes has cost a minute at least.
+        // Hysteresis: the scale-in threshold is above the scale-out threshold, so that machines
+        // are not rented and returned with every burst. Each rental is billed for at least one
+        // minute.
         self.scale_in_threshold = arriving * (1.0 + headroom) + self.smoothed_job_size + backlog;
     }
 
-    /// Processors below which machines are rented for waiting flexible work.
+    /// Number of processors below which machines are rented for waiting flexible work.
     pub(super) fn scale_out_threshold(&self) -> f64 {
         self.scale_out_threshold
     }
 
-    /// Processors above which machines are drained.
+    /// Number of processors above which machines are drained.
     pub(super) fn scale_in_threshold(&self) -> f64 {
         self.scale_in_threshold
     }
 
-    /// Processors that the arriving work keeps busy by its owners' estimates; `None` as long as
-    /// too little has been seen.
+    /// Processors that the arriving work keeps busy by its owners' estimates, or `None` while the
+    /// measurement is too short.
     pub(super) fn arrival_rate(&mut self, now: Micros) -> Option<f64> {
         self.arrivals.rate(now)
     }
@@ -111,12 +114,13 @@
         self.smoothed_utilisation
     }
 
-    /// Actual over estimated run time of the tasks that finished lately.
+    /// Actual divided by estimated run time of recently finished tasks.
     pub(super) fn estimate_accuracy(&self) -> f64 {
         self.estimate_accuracy
     }
 
-    /// Owners' estimates may be off by half, all in one direction: what finished lately tells.
+    /// Measures the estimate accuracy on recently finished tasks: owners' estimates may all be off
+    /// by half in the same direction.
     fn measure_accuracy(&mut self, reports: &Reports) {
         let total = |work: fn(&RegionReport) -> f64| {
             let all = reports.values().map(|received| work(&received.report));
@@ -125,8 +129,8 @@
         let estimated = total(|report| report.estimated);
         let actual = total(|report| report.actual);
         if estimated > MIN_MEASURED_RUN_TIME as f64 * self.smoothed_job_size {
-            let (least, most) = ACCURACY_BOUNDS;
-            self.estimate_accuracy = (actual / estimated).clamp(least, most);
+            let (min, max) = ACCURACY_BOUNDS;
+            self.estimate_accuracy = (actual / estimated).clamp(min, max);
         }
     }
 
@@ -142,17 +146,17 @@
         self.smoothed_utilisation += (used - self.smoothed_utilisation) * UTILISATION_WEIGHT;
     }
 
-    /// Processors that get the waiting flexible work under way within its horizon, at most as
+    /// Returns the processors that start the waiting flexible work within its horizon, at most as
     /// many as run all of it at once.
     fn backlog_cpus(&self, waiting: &[UnplacedJob], context: &SchedulingContext<'_>) -> f64 {
-        let counted =
-            |job: &&UnplacedJob| job.is_flexible() && !job.keeps_together() && !job.is_suspect;
+        let is_counted =
+            |job: &&UnplacedJob| job.is_flexible() && !job.is_indivisible() && !job.is_suspect;
         let mut backlog = 0.0;
-        for job in waiting.iter().filter(counted) {
+        for job in waiting.iter().filter(is_counted) {
             let estimated = job.spec.estimated_run_time.max(SECOND) as f64;
             let run_time = self.estimate_accuracy * estimated;
-            let rounds = run_time / start_horizon(&job.spec, context) as f64;
-            backlog += (job.unplaced_tasks * job.spec.cpus) as f64 * rounds.min(1.0);
+            let horizons = run_time / start_horizon(&job.spec, context) as f64;
+            backlog += (job.unplaced_tasks * job.spec.cpus) as f64 * horizons.min(1.0);
         }
         backlog
     }
--- a/src/leader/indivisible_scale_out.rs
+++ b/src/leader/indivisible_scale_out.rs
@@ -1,9 +1,9 @@
-//! Scale-out for jobs that keep together: renting what each lacks, or having it rebound to where
-//! that can be had.
+//! Scale-out for indivisible jobs: rents the missing machines in the job's region, or requests
+//! that the job is rebound to a region for which machines can be rented.
 //!
-//! Machines go to the region that machine assignment gives their pool to, not to where the job
-//! happens to be: a scarce type cut into pieces holds no large gang. Inputs are the planned
-//! capacity and the cloud's offers.
+//! Rented machines go to the region that machine assignment selects for their pool, which may
+//! differ from the job's region: a scarce type divided among regions holds no large gang. Inputs
+//! are the planned capacity and the cloud's offers.
 
 use std::collections::BTreeSet;
 
@@ -17,63 +17,68 @@
 use super::unplaced_job::UnplacedJob;
 use super::Leader;
 
-/// A job that has waited for less is not moved to another region.
+/// Minimum wait before a job is rebound to another region.
 const MIN_WAIT_TO_REBIND: Micros = 2 * SECOND;
-/// A job that was moved for want of machines is left alone for this time: they have to be rented
-/// where it is now.
+/// Time for which a job rebound for lack of machines is not rebound again: the machines must first
+/// be rented for its new region.
 const REBINDING_PAUSE: Micros = 12 * SECOND;
 
-/// Where a job's tasks could be together: in one zone of its region, or in any if `zone` is
-/// `None`. The order of the fields is the order of preference.
+/// A candidate placement of all tasks of a job: in one zone of its region, or in any zones of the
+/// region if `zone` is `None`. The order of the fields is the order of preference.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Site {
-    /// Free capacity suffices.
+struct PlacementCandidate {
+    /// Whether free capacity suffices for all tasks.
     is_sufficient: bool,
-    /// The cloud offers machines that would be assigned to the region.
+    /// Whether the cloud offers machines that would be assigned to the region.
     is_rentable: bool,
-    /// Tasks that fit now.
+    /// Number of tasks that fit into the free capacity.
     fitting_tasks: u64,
     zone: Option<String>,
 }
 
-impl Site {
+impl PlacementCandidate {
     fn contains(&self, capacity: &PlannedCapacity, region: &str) -> bool {
         is_within(capacity, region, self.zone.as_deref())
     }
 }
 
 impl Leader {
-    /// Rents what a job that keeps together lacks in its region, or has it rebound to where that
-    /// can be had. Free capacity is claimed for it.
+    /// Rents the machines that an indivisible job lacks in its region, or requests that the job is
+    /// rebound to a region for which machines can be rented. Claims free capacity for the job.
     pub(super) fn scale_out_for_indivisible(
         &mut self,
         job: &UnplacedJob,
         requests: &mut RentalRequests<'_>,
         context: &SchedulingContext<'_>,
     ) {
-        let Some(site) = self.best_site(job, context) else {
+        let Some(candidate) = self.best_candidate(job, context) else {
             return;
         };
-        if site.is_sufficient || site.is_rentable {
-            let wanted = site.fitting_tasks.min(job.task_count());
+        if candidate.is_sufficient || candidate.is_rentable {
+            let wanted = candidate.fitting_tasks.min(job.task_count());
             let machines = self
                 .capacity
                 .iter_mut()
-                .filter(|c| site.contains(c, &job.region));
-            // What is lacking is rented below.
-            let _lacking = claim_from(machines, &job.spec, job.flexibility(), wanted);
+                .filter(|c| candidate.contains(c, &job.region));
+            // Machines for the tasks without capacity are rented below.
+            let _unclaimed = claim_from(machines, &job.spec, job.flexibility(), wanted);
         }
-        if site.is_sufficient {
+        if candidate.is_sufficient {
             return;
         }
-        match self.offer_for_own_region(job, site.zone.as_deref(), context) {
-            Some(choice) => self.rent_lacking(job, &site, choice, requests, context),
+        match self.offer_for_own_region(job, candidate.zone.as_deref(), context) {
+            Some(choice) => self.rent_missing_machines(job, &candidate, choice, requests, context),
             None => self.rebind_indivisible(job, context),
         }
     }
 
-    /// The site in the job's region that suffices, or can be made to, or takes the most tasks.
-    fn best_site(&self, job: &UnplacedJob, context: &SchedulingContext<'_>) -> Option<Site> {
+    /// Returns the best candidate in the job's region: one with sufficient capacity, else one for
+    /// which machines can be rented, else the one that holds the most tasks.
+    fn best_candidate(
+        &self,
+        job: &UnplacedJob,
+        context: &SchedulingContext<'_>,
+    ) -> Option<PlacementCandidate> {
         candidate_zones(job, context)
             .into_iter()
             .map(|zone| {
@@ -84,7 +89,7 @@
                     .map(|c| c.fitting_tasks(&job.spec, job.flexibility()))
                     .sum();
                 let offer = self.offer_for_own_region(job, zone.as_deref(), context);
-                Site {
+                PlacementCandidate {
                     is_sufficient: fitting_tasks >= job.task_count(),
                     is_rentable: offer.is_some(),
                     fitting_tasks,
@@ -94,7 +99,7 @@
             .max()
     }
 
-    /// The cheapest offer, if its machines would be assigned to the region where the job is.
+    /// Returns the cheapest offer if its machines would be assigned to the job's region.
     fn offer_for_own_region(
         &self,
         job: &UnplacedJob,
@@ -105,16 +110,16 @@
             .filter(|choice| self.region_for(&choice.offer, context) == job.region)
     }
 
-    fn rent_lacking(
+    fn rent_missing_machines(
         &mut self,
         job: &UnplacedJob,
-        site: &Site,
+        candidate: &PlacementCandidate,
         choice: OfferChoice,
         requests: &mut RentalRequests<'_>,
         context: &SchedulingContext<'_>,
     ) {
-        let lacking = job.task_count() - site.fitting_tasks;
-        let wanted = lacking
+        let unplaced = job.task_count() - candidate.fitting_tasks;
+        let wanted = unplaced
             .div_ceil(choice.tasks_per_machine.max(1))
             .clamp(1, MAX_BATCH as u64) as u32;
         let machines = self
@@ -124,7 +129,7 @@
             return;
         }
         log::info!(
-            "region={} job={}: renting {machines} machines, {lacking} of {} tasks lack one",
+            "region={} job={}: renting {machines} machines, no capacity for {unplaced} of {} tasks",
             job.region,
             job.id,
             job.task_count()
@@ -133,7 +138,7 @@
         self.rent(choice.offer, region, machines, requests, context);
     }
 
-    /// Has a job rebound for which no machines can be had in its region.
+    /// Requests rebinding of a job for which no machines can be rented in its region.
     fn rebind_indivisible(&mut self, job: &UnplacedJob, context: &SchedulingContext<'_>) {
         if job.waiting_for < MIN_WAIT_TO_REBIND
             || self.recent_rebindings.contains(&job.id)
@@ -143,9 +148,10 @@
         }
         let to = match self.rentable_region_elsewhere(job, context) {
             Some(region) => region,
-            // Its region holds it once others are through.
+            // The job's region can hold it once other jobs have finished.
             None if self.could_hold_all(job, &job.region) => return,
-            // Another does; or none, and it is bound anew, to several.
+            // Another region can hold the job, or no single region can. In the latter case the job
+            // is unbound and may then be bound to several regions.
             None => context
                 .settings
                 .regions()
@@ -154,7 +160,7 @@
                 .unwrap_or_default(),
         };
         log::info!(
-            "region={} job={}: no machines to be had, rebound to {to:?}",
+            "region={} job={}: no machines available, requesting rebinding to {to:?}",
             job.region,
             job.id
         );
@@ -162,7 +168,7 @@
         self.request_rebinding(job, to, tasks, REBINDING_PAUSE, context.now);
     }
 
-    /// Another region with an owner to which machines for the job would be assigned.
+    /// Returns another region with an owner to which machines rented for the job would be assigned.
     fn rentable_region_elsewhere(
         &self,
         job: &UnplacedJob,
@@ -177,15 +183,15 @@
             .find(|region| *region != job.region && has_owner(region, context))
     }
 
-    /// Whether a region's machines would hold the whole job with nothing else on them.
+    /// Whether a region's machines could hold the whole job if they were empty.
     fn could_hold_all(&self, job: &UnplacedJob, region: &str) -> bool {
         let max_tasks = |c: &PlannedCapacity| c.max_tasks(&job.spec, job.flexibility());
         tasks_in_region(&self.capacity, &job.spec, region, max_tasks) >= job.task_count()
     }
 }
 
-/// The zones that a job may be in as a whole: each by itself if it must be in one, else `None`
-/// for all of them.
+/// Returns the zones to consider for the whole job: each zone if the job must be in a single zone,
+/// else only `None`, which stands for all zones together.
 fn candidate_zones(job: &UnplacedJob, context: &SchedulingContext<'_>) -> BTreeSet<Option<String>> {
     if !job.spec.single_zone {
         return BTreeSet::from([None]);
--- a/src/leader/machine_assignment.rs
+++ b/src/leader/machine_assignment.rs
@@ -1,8 +1,9 @@
-//! Which region machines are assigned to, and their records.
+//! Machine assignment: selects the region of rented machines and writes the batch records.
 //!
-//! A machine belongs to one region for life. Inputs are the machines on record by region, the
-//! batches being provisioned and the types that some jobs depend on. The paper's spheres are
-//! given; here their sizes are left open, and how machines are assigned is the project's own.
+//! A machine belongs to the same region for its whole lifetime. Inputs are the machines on record
+//! by region, the batches being provisioned and the types that constrained jobs depend on. In the
+//! paper the spheres are fixed; here the sizes of regions vary, and the assignment rules are an
+//! extension of the paper.
 
 use std::collections::BTreeMap;
 
@@ -18,36 +19,38 @@
 use super::provisioning_batches::ProvisioningBatch;
 use super::Leader;
 
-/// A scarce pool is kept in one region until it has so many machines a task of the largest gang
-/// that depends on it: each task may fill a machine, and others run at the same time.
+/// A scarce pool is kept in one region up to this number of machines for each task of the largest
+/// gang that depends on it: each task may fill a machine, and other jobs run at the same time.
 const SCARCE_MACHINES_PER_GANG_TASK: u32 = 4;
-/// Machines of a scarce pool that are kept in one region in any case.
+/// Minimum number of machines of a scarce pool that are kept in one region.
 const MIN_SCARCE_MACHINES: u32 = 8;
-/// A region in the offer's own zone is chosen unless its load is above the mean by this factor
-/// and by so many machines of the type.
+/// A region in the offer's own zone is selected unless its load exceeds the mean load times this
+/// factor plus `ZONE_LOAD_TOLERANCE_MACHINES`.
 const ZONE_LOAD_TOLERANCE: f64 = 1.25;
+/// Load of this many machines of the offer's type, tolerated in addition to
+/// `ZONE_LOAD_TOLERANCE`.
 const ZONE_LOAD_TOLERANCE_MACHINES: f64 = 10.0;
 
-/// What a region has.
+/// Load of a region, measured by the capacity of its machines.
 #[derive(Debug, Default)]
 struct RegionLoad {
-    /// Processors that flexible jobs may use, millionths.
+    /// Processors that flexible jobs may use, in millionths.
     usable_cpus: f64,
-    /// Machines of the pool that is being assigned.
+    /// Number of machines of the pool that is being assigned.
     machines_of_pool: u32,
 }
 
-/// What each configured region has, in the order of their names.
+/// Load of each configured region, ordered by region name.
 #[derive(Debug)]
 struct RegionLoads<'a> {
     by_region: BTreeMap<&'a str, RegionLoad>,
-    /// Machines of all pools and regions.
+    /// Number of machines of all pools and regions.
     machines: u32,
 }
 
 impl<'a> RegionLoads<'a> {
-    /// The region with the lowest load of those that pass the filter.
-    fn least(&self, filter: impl Fn(&str) -> bool) -> Option<(&'a str, f64)> {
+    /// Returns the region with the lowest load among those that pass the filter.
+    fn least_loaded(&self, filter: impl Fn(&str) -> bool) -> Option<(&'a str, f64)> {
         self.by_region
             .iter()
             .filter(|(region, _)| filter(region))
@@ -55,17 +58,17 @@
             .min_by(|(_, a), (_, b)| a.total_cmp(b))
     }
 
-    fn mean(&self) -> f64 {
+    fn mean_load(&self) -> f64 {
         let total: f64 = self.by_region.values().map(|load| load.usable_cpus).sum();
         total / self.by_region.len().max(1) as f64
     }
 }
 
 impl Leader {
-    /// The region that machines of an offer are assigned to. A scarce pool is kept together as
-    /// far as the largest gang asks: cut into pieces it holds no large gang. All others go to
-    /// the region with the lowest load, one in the same zone first, so that a zone that is cut
-    /// off still has an owner inside.
+    /// Returns the region that machines of an offer are assigned to. A scarce pool is kept in one
+    /// region up to the size that the largest gang requires, because a pool divided among regions
+    /// holds no large gang. Other machines go to the region with the lowest load, with precedence
+    /// for regions in the same zone, so that a partitioned zone still has an owner inside.
     pub(super) fn region_for(&self, offer: &Offer, context: &SchedulingContext<'_>) -> String {
         let regions = context.settings.regions();
         let loads = self.region_loads(&regions, offer, context);
@@ -77,31 +80,31 @@
         }
         let machine_type = context.replica.machine_types.get(&offer.machine_type);
         let cpus_per_machine = machine_type.map_or(0.0, |known| known.value.cpus as f64);
-        let tolerated =
-            loads.mean() * ZONE_LOAD_TOLERANCE + cpus_per_machine * ZONE_LOAD_TOLERANCE_MACHINES;
+        let tolerated = loads.mean_load() * ZONE_LOAD_TOLERANCE
+            + cpus_per_machine * ZONE_LOAD_TOLERANCE_MACHINES;
         let in_zone = loads
-            .least(|region| home_zone(region, context) == offer.zone)
+            .least_loaded(|region| zone_of_region(region, context) == offer.zone)
             .filter(|(_, load)| is_scarce || *load <= tolerated);
-        match in_zone.or_else(|| loads.least(|_| true)) {
+        match in_zone.or_else(|| loads.least_loaded(|_| true)) {
             Some((region, _)) => region.to_owned(),
             None => context.settings.name.clone(),
         }
     }
 
-    /// Whether an offer's machines are scarce: on-demand machines of a type that some jobs
-    /// depend on, or of the largest type there is.
+    /// Whether an offer's machines are scarce: on-demand machines of a type that constrained jobs
+    /// depend on, or of the largest type.
     fn is_scarce(&self, offer: &Offer, context: &SchedulingContext<'_>) -> bool {
-        let is_depended_on = || {
+        let is_reserved = || {
             let reserved = self
                 .constrained_types
                 .reserved_on(&offer.machine_type, context.now);
             reserved.is_some()
         };
-        !offer.spot && (is_depended_on() || is_largest_type(&offer.machine_type, context))
+        !offer.spot && (is_reserved() || is_largest_type(&offer.machine_type, context))
     }
 
-    /// The region with an owner that has the most machines of a scarce pool, unless it has as
-    /// many as are kept together.
+    /// Returns the region with an owner that has the most machines of a scarce pool, among regions
+    /// with fewer machines than the limit up to which the pool is kept in one region.
     fn region_with_most_of_pool<'a>(
         &self,
         loads: &RegionLoads<'a>,
@@ -110,20 +113,20 @@
     ) -> Option<&'a str> {
         let largest_gang = self.constrained_types.largest_gang(&offer.machine_type);
         let even_share = loads.machines / loads.by_region.len().max(1) as u32;
-        let kept_together = (SCARCE_MACHINES_PER_GANG_TASK * largest_gang)
+        let max_machines = (SCARCE_MACHINES_PER_GANG_TASK * largest_gang)
             .max(even_share)
             .max(MIN_SCARCE_MACHINES);
         loads
             .by_region
             .iter()
             .map(|(region, load)| (*region, load.machines_of_pool))
-            .filter(|(_, machines)| (1..kept_together).contains(machines))
+            .filter(|(_, machines)| (1..max_machines).contains(machines))
             .filter(|(region, _)| context.replica.regions.contains_key(*region))
             .max_by_key(|(_, machines)| *machines)
             .map(|(region, _)| region)
     }
 
-    /// What each region has, on record and in batches that the records don't show yet.
+    /// Returns each region's load from the machines on record and in unrecorded batches.
     fn region_loads<'a>(
         &self,
         regions: &'a [String],
@@ -164,7 +167,8 @@
         loads
     }
 
-    /// Processors of a machine that flexible jobs may use, millionths; 0 of an unknown type.
+    /// Returns the processors of a machine that flexible jobs may use, in millionths; 0 for an
+    /// unknown type.
     fn usable_cpus(&self, pool: Pool<'_>, context: &SchedulingContext<'_>) -> u64 {
         let Some(machine_type) = context.replica.machine_types.get(pool.machine_type) else {
             return 0;
@@ -177,7 +181,7 @@
         machine_type.value.cpus.saturating_sub(reserved)
     }
 
-    /// Assigns machines of one offer to a region: commits records of batches.
+    /// Assigns machines of one offer to a region by committing batch records.
     pub(super) fn assign_machines(
         &mut self,
         offer: &Offer,
@@ -215,7 +219,7 @@
     }
 }
 
-/// Whether no other type has as much of everything as this one.
+/// Whether there are other types and each of them is smaller in at least one resource.
 fn is_largest_type(name: &str, context: &SchedulingContext<'_>) -> bool {
     let machine_types = &context.replica.machine_types;
     let Some(candidate) = machine_types.get(name).map(|known| &known.value) else {
@@ -233,17 +237,18 @@
             .all(|other| other.name == candidate.name || is_smaller(other))
 }
 
-/// The zone of the controller that a region is named after; empty if it is not configured.
-fn home_zone<'a>(region: &str, context: &'a SchedulingContext<'_>) -> &'a str {
+/// Returns the zone of the controller that a region is named after, or an empty string if that
+/// controller is not configured.
+fn zone_of_region<'a>(region: &str, context: &'a SchedulingContext<'_>) -> &'a str {
     let settings = context.settings;
     if region == settings.name {
         return &settings.zone;
     }
-    let home = settings.peers.iter().find(|peer| peer.name == region);
-    home.map_or("", |peer| &peer.zone)
+    let peer = settings.peers.iter().find(|peer| peer.name == region);
+    peer.map_or("", |peer| &peer.zone)
 }
 
-/// An offer in log messages.
+/// Formats an offer for log messages.
 pub(super) fn describe(offer: &Offer) -> String {
     let kind = if offer.spot { "spot" } else { "on-demand" };
     format!("{kind} {} in zone {}", offer.machine_type, offer.zone)
--- a/src/leader/multi_region_gangs.rs
+++ b/src/leader/multi_region_gangs.rs
@@ -1,9 +1,10 @@
-//! Coordination of gangs over several regions: when their parts start together.
+//! Coordination of multi-region gangs: starts all parts of a gang together.
 //!
-//! Each owner reserves capacity for its part and reports it; the leader has all parts start once
-//! every one has some, and decides on another attempt or another binding if they can't. Inputs
-//! are the records and the regions' reports alone, so that a new leader goes on where the last
-//! one ended. The paper gives each computation to one sphere; this is the project's own.
+//! Each owner reserves capacity for its part and reports the reservation. The leader requests the
+//! start once all parts have capacity, and otherwise decides on another attempt or another
+//! binding. Inputs are only the records and the regions' reports, so that a new leader continues
+//! where the previous one stopped. The paper binds each computation to one sphere; multi-region
+//! gangs are an extension.
 
 use crate::peer_protocol::{Message, RegionReport};
 use crate::region::SchedulingContext;
@@ -17,32 +18,33 @@
 use super::reports::{ReceivedReport, Reports};
 use super::Leader;
 
-/// A part that has waited longer is unbound, so that the gang is bound anew.
+/// Maximum wait of a part. After this time the part is unbound, so that the gang is bound again.
 const MAX_PART_WAIT: Micros = 60 * SECOND;
 
-/// A gang on record as bound to several regions.
+/// A gang whose record binds it to several regions.
 struct MultiRegionGang<'a> {
     id: &'a str,
     record: &'a Versioned<JobRecord>,
     attempt: &'a MultiRegionAttempt,
 }
 
-/// One region's part of a gang, by the region's last report; nothing of it is known without.
+/// Status of one region's part of a gang by the region's last report; the default if there is no
+/// report.
 #[derive(Debug, Clone, Copy, Default)]
 struct PartStatus {
-    /// Capacity is reserved for this attempt.
+    /// Whether capacity is reserved for the current attempt.
     is_ready: bool,
-    /// All tasks of the part wait.
+    /// Whether all tasks of the part are waiting.
     is_waiting: bool,
-    /// How long they have waited.
+    /// Longest wait of the part's tasks.
     waiting_for: Micros,
-    /// The attempt failed.
+    /// Whether the attempt failed.
     needs_new_attempt: bool,
 }
 
 impl Leader {
-    /// Coordinates the gangs over several regions: started once all parts have capacity, given
-    /// another attempt when one failed, unbound when a part was given back.
+    /// Coordinates all multi-region gangs. A gang is started once all parts have capacity, gets
+    /// another attempt after a failed one, and is unbound once one of its parts was unbound.
     pub(super) fn coordinate_multi_region_gangs(
         &mut self,
         context: &SchedulingContext<'_>,
@@ -66,7 +68,8 @@
         self.commit(changes, CommitPriority::Normal, context);
     }
 
-    /// Takes one gang a step further. Returns its record with another attempt if it needs one.
+    /// Queues the messages for one gang. Returns the gang's record with another attempt if the gang
+    /// needs one.
     fn coordinate_gang(
         &mut self,
         gang: &MultiRegionGang<'_>,
@@ -79,14 +82,14 @@
             .iter()
             .map(|range| (range, gang.part_status(range, reports)))
             .collect();
-        let is_given_up = parts.iter().any(|(range, _)| range.is_unbound());
+        let has_unbound_part = parts.iter().any(|(range, _)| range.is_unbound());
         for (range, status) in &parts {
             let has_waited_too_long = status.waiting_for > MAX_PART_WAIT;
-            if status.is_waiting && (is_given_up || has_waited_too_long) {
+            if status.is_waiting && (has_unbound_part || has_waited_too_long) {
                 self.outbox.send(gang.unbind_request(range));
             }
         }
-        if is_given_up {
+        if has_unbound_part {
             return None;
         }
         if parts.iter().all(|(_, status)| status.is_ready) {
@@ -95,12 +98,12 @@
             }
             return None;
         }
-        let is_idle = parts.iter().all(|(_, s)| s.is_ready || s.is_waiting);
-        let has_failed = parts.iter().any(|(_, s)| s.needs_new_attempt);
-        (is_idle && has_failed).then(|| self.retry(gang))
+        let all_parts_pending = parts.iter().all(|(_, s)| s.is_ready || s.is_waiting);
+        let has_failed_attempt = parts.iter().any(|(_, s)| s.needs_new_attempt);
+        (all_parts_pending && has_failed_attempt).then(|| self.retry(gang))
     }
 
-    /// The record of a gang with another attempt.
+    /// Returns a change of the gang's record to the next attempt.
     fn retry(&mut self, gang: &MultiRegionGang<'_>) -> RecordChange {
         let attempt = MultiRegionAttempt {
             attempt: self.term.next_attempt(),
@@ -145,7 +148,7 @@
             .any(|(job, attempt)| job == self.id && *attempt == self.attempt.attempt)
     }
 
-    /// Asks a part's owner to bind its tasks to no region.
+    /// Returns a request to a part's owner to unbind the part's tasks from the region.
     fn unbind_request(&self, range: &TaskRange) -> Message {
         Message::RebindTasks {
             job: self.id.to_owned(),
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Tells a part's owner that all parts have capacity.
+    /// Returns a message that notifies a part's owner that all parts have capacity.
     fn start_request(&self, range: &TaskRange) -> Message {
         Message::StartGang {
             job: self.id.to_owned(),
--- a/src/leader/offer_selection.rs
+++ b/src/leader/offer_selection.rs
@@ -1,4 +1,4 @@
-//! Which of the cloud's offers to rent for a job.
+//! Offer selection: finds the cheapest of the cloud's offers for a job.
 
 use crate::cloud::{offers, Offer};
 use crate::region::SchedulingContext;
@@ -8,22 +8,23 @@
 use super::unplaced_job::Flexibility;
 use super::Leader;
 
-/// A boot of so many seconds doubles what an offer counts as: the machine is paid for while it
-/// boots, and the job waits.
+/// Boot time that doubles the weighted cost of an offer: the machine is paid for while it boots,
+/// and the job waits.
 const BOOT_SECONDS_THAT_DOUBLE_COST: f64 = 100.0;
 
-/// An offer and what one of its machines is for a job.
+/// An offer selected for a job, with the capacity of one of its machines.
 #[derive(Debug, Clone)]
 pub(super) struct OfferChoice {
     pub(super) offer: Offer,
-    /// Tasks of the job that one machine holds; at least one.
+    /// Number of the job's tasks that one machine holds; at least one.
     pub(super) tasks_per_machine: u64,
-    /// Processors of one machine, millionths.
+    /// Processors of one machine, in millionths.
     pub(super) cpus_per_machine: u64,
 }
 
 impl Leader {
-    /// The offers on which a job's tasks may run and that the cloud has not refused lately.
+    /// Returns the offers on which a job's tasks may run and that the cloud did not refuse
+    /// recently.
     pub(super) fn usable_offers<'a>(
         &'a self,
         spec: &'a JobSpec,
@@ -42,8 +43,8 @@
             })
     }
 
-    /// The cheapest offer for a job, in one zone if given. On-demand machines of a type that
-    /// constrained jobs depend on are not rented for flexible ones.
+    /// Returns the cheapest offer for a job, restricted to `zone` if given. On-demand machines of a
+    /// type that constrained jobs depend on are not rented for flexible jobs.
     pub(super) fn cheapest_offer(
         &self,
         spec: &JobSpec,
@@ -75,8 +76,8 @@
             .map(|(_, choice)| choice)
     }
 
-    /// The price of a processor that the job would use, with slow boots and pools in
-    /// provisioning trouble counted as dearer.
+    /// Returns the price of each processor that the job would use, with a surcharge for slow boots
+    /// and degraded pools.
     fn weighted_cost(
         &self,
         offer: &Offer,
--- a/src/leader/outbox.rs
+++ b/src/leader/outbox.rs
@@ -1,4 +1,4 @@
-//! What the leader wants committed and sent, until the controller collects it.
+//! Outbox: the leader's queued commits and messages until the controller collects them.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +8,8 @@
 
 use super::term::Term;
 
-/// Most records that one transaction changes. Bounds its size: the state service takes 64 KiB
-/// a transaction, and a job record may be several KiB.
+/// Maximum number of records that one transaction changes. This bounds the size of a transaction:
+/// the state service accepts 64 KiB, and a job record may be several KiB.
 const MAX_CHANGES_PER_TRANSACTION: usize = 8;
 
 /// An effect that the leader asks the controller to carry out.
@@ -19,25 +19,26 @@
     Commit {
         /// Conditions and changes.
         transaction: Transaction,
-        /// How urgent it is.
+        /// Priority of the commit.
         priority: CommitPriority,
-        /// The changed records, to be handed back with the outcome.
+        /// The changed records, to be passed to [`super::Leader::on_commit_finished`] with the
+        /// outcome.
         keys: Vec<Key>,
     },
-    /// Send a message to the owner of the region that it names.
+    /// Send a message to the owner of the region that the message names.
     Send(Message),
 }
 
-/// A record to be written, on the condition that it still has the version that was read.
+/// A record to be written by compare-and-swap against the version that was read.
 #[derive(Debug)]
 pub(super) struct RecordChange {
     pub(super) key: Key,
-    /// 0 if there must be no such record yet.
+    /// Version that the record must still have; 0 if the record must not exist yet.
     pub(super) expected_version: u64,
     pub(super) value: serde_json::Value,
 }
 
-/// Actions not collected yet, and the records with a commit in flight.
+/// Uncollected actions, and the records with a commit in flight.
 ///
 /// Invariant: a record has at most one commit of this leader in flight.
 #[derive(Debug, Default)]
@@ -57,9 +58,9 @@
         self.in_flight.contains(key)
     }
 
-    /// Queues changes in as few transactions as their size allows, leaving out records with a
-    /// commit in flight. Each transaction is conditional on the leader's record and on every
-    /// record that it changes. `max_operations` is the state service's limit a transaction.
+    /// Queues changes in as few transactions as their size allows. Skips records with a commit in
+    /// flight. Each transaction is conditional on the leader's record and on every record that it
+    /// changes. `max_operations` is the state service's limit of operations in a transaction.
     pub(super) fn commit(
         &mut self,
         changes: Vec<RecordChange>,
@@ -80,12 +81,12 @@
         }
     }
 
-    /// The commit that changes this record has ended, one way or the other.
+    /// Handles the end of the commit that changes this record, whatever the outcome.
     pub(super) fn on_commit_finished(&mut self, key: &Key) {
         self.in_flight.remove(key);
     }
 
-    /// Hands over the queued actions, in order.
+    /// Removes and returns the queued actions, in order.
     #[must_use]
     pub(super) fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
--- a/src/leader/outbox/tests.rs
+++ b/src/leader/outbox/tests.rs
@@ -10,7 +10,7 @@
     }
 }
 
-/// The number of changes of each queued transaction.
+/// Queues changes of these jobs' records. Returns the number of changes in each transaction.
 fn commit(outbox: &mut Outbox, jobs: std::ops::Range<u32>, max_operations: usize) -> Vec<usize> {
     let term = Term::new(99, 0);
     let changes = jobs.map(change).collect();
@@ -21,7 +21,7 @@
             transaction, keys, ..
         } = action
         else {
-            panic!("nothing was sent");
+            panic!("expected only commits, no messages");
         };
         assert_eq!(transaction.conditions[0], (Key::Leader, 99));
         assert_eq!(transaction.conditions.len(), keys.len() + 1);
@@ -35,11 +35,12 @@
     sizes
 }
 
-/// Transactions are as few as the limits allow, each conditional on the leader's record and on
-/// those that it changes.
+/// Guards against oversized and unconditional transactions: changes are split into as few
+/// transactions as the limits allow, each conditional on the leader's record and on the records
+/// that it changes.
 #[test]
 fn commits_are_split_by_size() {
-    // Changes, limit of operations, sizes of the transactions.
+    // Number of changes, limit of operations, expected sizes of the transactions.
     for (changes, max_operations, expected) in [
         (0, 20, vec![]),
         (1, 20, vec![1]),
@@ -52,9 +53,10 @@
     }
 }
 
-/// A record with a commit in flight is left out until that has ended.
+/// Guards against two concurrent commits of the same record: a record with a commit in flight is
+/// skipped until that commit has ended.
 #[test]
-fn records_in_flight_are_left_out() {
+fn records_in_flight_are_skipped() {
     let mut outbox = Outbox::default();
     assert_eq!(commit(&mut outbox, 0..3, 20), [3]);
     assert!(outbox.is_in_flight(&change(1).key));
--- a/src/leader/plan.rs
+++ b/src/leader/plan.rs
@@ -1,5 +1,5 @@
-//! The plan that the leader makes every 0.4 s: it gathers the capacity and the waiting work and
-//! runs the leader's decisions on them, in their order.
+//! The leader's plan, made every 0.4 s: gathers the capacity and the waiting work, then makes the
+//! leader's decisions on them in a fixed order.
 
 use std::collections::BTreeSet;
 
@@ -15,14 +15,15 @@
 use super::unplaced_job::UnplacedJob;
 use super::Leader;
 
-/// Waiting work in a report that is older is not planned for: much of it runs by now.
+/// Maximum age of a report whose waiting work is planned for. Much of the work in an older report
+/// is already running.
 const MAX_REPORT_AGE: Micros = 3 * SECOND;
-/// Nothing is rented before the term is this old: the regions' first reports are not all there
-/// yet, so capacity that there is would be rented again.
+/// Minimum age of the term before machines are rented. Earlier, some regions have not reported
+/// yet, so capacity that already exists would be rented again.
 const MIN_TERM_AGE_TO_RENT: Micros = SECOND;
 
 impl Leader {
-    /// Makes a plan and queues what follows from it.
+    /// Makes a plan and queues the resulting actions.
     pub(super) fn plan(
         &mut self,
         context: &SchedulingContext<'_>,
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Gathers the capacity that regions report, and what their reports can't show yet: batches
-    /// being provisioned and rentals under way.
+    /// Gathers the capacity that regions report and the capacity that reports can't include yet:
+    /// batches being provisioned and pending rentals.
     fn update_capacity(
         &mut self,
         context: &SchedulingContext<'_>,
@@ -69,7 +70,7 @@
         self.capacity = reported.chain(provisioning).chain(requested).collect();
     }
 
-    /// A line of a region's report; `None` if the machine type is unknown.
+    /// Converts one entry of a region's report; `None` if the machine type is unknown.
     fn reported_capacity(
         &self,
         region: &str,
@@ -85,7 +86,8 @@
         Some(capacity)
     }
 
-    /// Machines that are not up yet, with nothing on them; `None` if their type is unknown.
+    /// Returns capacity of empty machines that don't accept tasks yet; `None` if their type is
+    /// unknown.
     fn empty_machines(
         &self,
         region: &str,
@@ -111,7 +113,7 @@
         })
     }
 
-    /// The waiting work of all recent reports.
+    /// Returns the waiting jobs of all recent reports.
     fn unplaced_jobs(
         &mut self,
         context: &SchedulingContext<'_>,
@@ -135,8 +137,8 @@
     }
 }
 
-/// Jobs that failed on several machines without a result: what one region has found of a job
-/// holds for its tasks in all others.
+/// Returns the jobs that any region reports as failing on several machines without a result. A
+/// finding of one region applies to the job's tasks in all regions.
 fn suspect_jobs(reports: &Reports) -> BTreeSet<&str> {
     reports
         .values()
--- a/src/leader/planned_capacity.rs
+++ b/src/leader/planned_capacity.rs
@@ -1,4 +1,5 @@
-//! Capacity of machines that are alike, while a plan claims parts of it for waiting tasks.
+//! Planned capacity: the capacity of identical machines, of which a plan claims parts for waiting
+//! tasks.
 
 use std::collections::BTreeMap;
 
@@ -8,29 +9,28 @@
 use super::pool::Pool;
 use super::unplaced_job::Flexibility;
 
-/// Added before a product of tasks and machines is rounded down: claims subtract fractions of
-/// machines, whose rounding errors must not cost a whole task.
+/// Added to a product of tasks and machines before it is rounded down. Claims subtract fractions
+/// of machines, and their rounding errors must not cost a whole task.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Machines of one region that are of the same type, zone and kind and have the same free
-/// capacity.
+/// Machines of one region and one pool (type, zone, spot or on-demand) with the same free capacity.
 #[derive(Debug, Clone)]
 pub(super) struct PlannedCapacity {
     pub(super) region: String,
     pub(super) machine_type: String,
     pub(super) zone: String,
     pub(super) spot: bool,
-    /// Free on each machine.
+    /// Free resources of each machine.
     pub(super) free: Resources,
-    /// What each machine has when nothing runs on it.
+    /// Total resources of each machine.
     pub(super) total: Resources,
-    /// Whether they take tasks now; if not, they are being provisioned.
+    /// Whether the machines accept tasks now; if not, they are being provisioned.
     pub(super) is_available: bool,
-    /// Reserved on each machine for the jobs that fit on no other type.
+    /// Resources reserved on each machine for the jobs that fit on no other type.
     pub(super) reserved: Option<Resources>,
-    /// How many machines there are.
+    /// Number of machines.
     pub(super) machines: f64,
-    /// How many of them the plan has not claimed yet: tasks claim fractions of a machine.
+    /// Number of machines that the plan has not claimed yet; tasks claim fractions of a machine.
     pub(super) unclaimed_machines: f64,
 }
 
@@ -44,19 +44,19 @@
         }
     }
 
-    /// How many tasks of a job all unclaimed machines take now.
+    /// Number of tasks of a job that fit on the unclaimed machines now.
     pub(super) fn fitting_tasks(&self, spec: &JobSpec, flexibility: Flexibility) -> u64 {
         let per_machine = self.fitting_tasks_per_machine(spec, flexibility);
         (per_machine as f64 * self.unclaimed_machines + ROUNDING_TOLERANCE) as u64
     }
 
-    /// How many tasks of a job all machines would take with nothing else on them.
+    /// Number of tasks of a job that the machines could hold if they were empty.
     pub(super) fn max_tasks(&self, spec: &JobSpec, flexibility: Flexibility) -> u64 {
         let per_machine = self.tasks_within(self.total, spec, flexibility);
         (per_machine as f64 * self.machines + ROUNDING_TOLERANCE) as u64
     }
 
-    /// Claims capacity for up to `wanted` tasks. Returns for how many there was some.
+    /// Claims capacity for up to `wanted` tasks. Returns the number of tasks with claimed capacity.
     #[must_use]
     pub(super) fn claim(&mut self, spec: &JobSpec, flexibility: Flexibility, wanted: u64) -> u64 {
         let claimed = wanted.min(self.fitting_tasks(spec, flexibility));
@@ -68,7 +68,7 @@
         claimed
     }
 
-    /// Processors of all machines that jobs of this flexibility may use, millionths.
+    /// Processors of all machines that jobs of this flexibility may use, in millionths.
     pub(super) fn usable_cpus(&self, flexibility: Flexibility) -> f64 {
         let reserved_cpus = self
             .reserved_against(flexibility)
@@ -76,8 +76,8 @@
         self.total.cpus.saturating_sub(reserved_cpus) as f64 * self.machines
     }
 
-    /// Whether flexible jobs may use the machines as a whole: no constrained job depends on
-    /// them.
+    /// Whether flexible jobs may use the machines' total resources, because nothing is reserved for
+    /// constrained jobs.
     pub(super) fn is_unreserved(&self) -> bool {
         self.spot || self.reserved.is_none()
     }
@@ -97,8 +97,8 @@
         spec.tasks_fitting_in(free)
     }
 
-    /// What jobs of this flexibility must leave free. Spot machines may be taken back at any
-    /// time, so nothing is reserved on them.
+    /// Resources of each machine that jobs of this flexibility must leave free. Nothing is reserved
+    /// on spot machines, because the cloud may reclaim them at any time.
     fn reserved_against(&self, flexibility: Flexibility) -> Option<Resources> {
         match flexibility {
             Flexibility::Flexible if !self.spot => self.reserved,
@@ -107,8 +107,8 @@
     }
 }
 
-/// Claims capacity of the machines in turn for up to `wanted` tasks. Returns for how many tasks
-/// there was none.
+/// Claims capacity of the machines in turn for up to `wanted` tasks. Returns the number of tasks
+/// without capacity.
 #[must_use]
 pub(super) fn claim_from<'a>(
     machines: impl IntoIterator<Item = &'a mut PlannedCapacity>,
@@ -126,8 +126,9 @@
     unclaimed
 }
 
-/// How many tasks of a job a region takes, by what each kind of machine takes: in the zone where
-/// that is most if the job must be in one zone, at most half of the tasks a zone if it is spread.
+/// Returns the number of tasks of a job that a region can hold, where `tasks_of` gives the number
+/// for each entry. For a job that must be in a single zone, only the zone with the most tasks
+/// counts; for a job that is spread over zones, each zone counts for at most half of the tasks.
 pub(super) fn tasks_in_region(
     machines: &[PlannedCapacity],
     spec: &JobSpec,
@@ -148,7 +149,7 @@
     }
 }
 
-/// How many tasks of a job that is spread over zones one zone may hold: half, rounded up.
+/// Maximum number of tasks in one zone for a job that is spread over zones: half, rounded up.
 pub(super) fn max_tasks_per_zone(spec: &JobSpec) -> u64 {
     u64::from(spec.task_count.div_ceil(2))
 }
--- a/src/leader/planned_capacity/tests.rs
+++ b/src/leader/planned_capacity/tests.rs
@@ -11,7 +11,7 @@
     }
 }
 
-/// Four machines of 10 processors with 8 free and, if so, 4 reserved.
+/// Four machines of 10 processors, of which 8 are free and, if `is_reserved`, 4 are reserved.
 fn capacity(zone: &str, spot: bool, is_reserved: bool) -> PlannedCapacity {
     PlannedCapacity {
         region: "t-0".into(),
@@ -54,12 +54,14 @@
     }
 }
 
-/// What is reserved binds flexible jobs on on-demand machines alone.
+/// Guards against flexible jobs that use up reserved capacity. The reservation applies only to
+/// flexible jobs, and only on on-demand machines.
 #[test]
-fn reserved_capacity_is_left_by_flexible_jobs() {
+fn flexible_jobs_leave_reserved_capacity_free() {
     use Flexibility::{Constrained, Flexible};
-    // Spot, reserved, flexibility, tasks of 2 that fit, at most, usable processors.
-    for (spot, is_reserved, flexibility, fitting, most, cpus) in [
+    // Spot, reserved, flexibility; tasks of 2 processors that fit now, tasks that fit on empty
+    // machines, usable processors.
+    for (spot, is_reserved, flexibility, fitting, max_tasks, cpus) in [
         (false, false, Flexible, 16, 20, 40.0),
         (false, true, Flexible, 12, 12, 24.0),
         (false, true, Constrained, 16, 20, 40.0),
@@ -69,12 +71,13 @@
         let case = format!("{spot} {is_reserved} {flexibility:?}");
         let job = spec(100, 2);
         assert_eq!(machines.fitting_tasks(&job, flexibility), fitting, "{case}");
-        assert_eq!(machines.max_tasks(&job, flexibility), most, "{case}");
+        assert_eq!(machines.max_tasks(&job, flexibility), max_tasks, "{case}");
         assert_eq!(machines.usable_cpus(flexibility), cpus, "{case}");
     }
 }
 
-/// Claims take fractions of machines and never more than there is; rounding costs no task.
+/// Guards against rounding errors and overcommitment: claims take fractions of machines, never
+/// exceed the capacity, and rounding costs no task.
 #[test]
 fn claims_use_up_capacity() {
     let job = spec(100, 2);
@@ -86,15 +89,19 @@
     assert_eq!(unclaimed, 0);
     let rest = claim_from(&mut machines, &job, Flexibility::Flexible, 5);
     assert_eq!(rest, 5);
-    let most = machines[0].max_tasks(&job, Flexibility::Flexible);
-    assert_eq!(most, 20, "what is claimed is still there");
+    let max_tasks = machines[0].max_tasks(&job, Flexibility::Flexible);
+    assert_eq!(
+        max_tasks, 20,
+        "claims must not reduce the capacity of empty machines"
+    );
 }
 
-/// Zones count together, or the best alone, or each for at most half of the tasks.
+/// Guards against zone rules being ignored: zones count together, or only the best zone counts, or
+/// each zone counts for at most half of the tasks.
 #[test]
 fn tasks_in_region_by_zone() {
     let machines = [capacity("a", false, false), capacity("b", false, true)];
-    // In one zone, spread, number of tasks, tasks that the region takes.
+    // Single zone, spread over zones, number of tasks; expected tasks that the region can hold.
     for (single_zone, spread_zones, task_count, expected) in [
         (false, false, 100, 28),
         (true, false, 100, 16),
--- a/src/leader/pool.rs
+++ b/src/leader/pool.rs
@@ -1,9 +1,9 @@
-//! Which pool machines belong to, borrowed from whatever names it.
+//! Pools of machines: a borrowed key of machine type, zone and spot or on-demand.
 
 use crate::cloud::Offer;
 use crate::peer_protocol::{PoolCapacity, ProvisioningHealth};
 
-/// Type, zone and kind of machines. Ordered by type, then zone, then on-demand before spot.
+/// Key of a pool. Ordered by type, then zone, then on-demand before spot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Pool<'a> {
     pub(super) machine_type: &'a str,
@@ -12,7 +12,7 @@
 }
 
 impl Pool<'_> {
-    /// The cloud's offer of such machines.
+    /// Returns the cloud's offer of machines of this pool.
     pub(super) fn to_offer(self) -> Offer {
         Offer {
             machine_type: self.machine_type.to_owned(),
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -1,7 +1,8 @@
-//! Pools whose machines come up late or never, by the reports of the regions' owners.
+//! Provisioning health: limits rentals from degraded pools, whose machines boot late or never.
 //!
-//! A machine that boots is a forecast, not a fact: overdue machines are no supply, so they are
-//! rented again, from another pool if one fits; from the same only a few at a time.
+//! The regions' owners report overdue and booted machines. Overdue machines may never boot, so
+//! they don't count as capacity, and replacements are rented: from another pool if one fits, from
+//! the degraded pool only a few at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,42 +14,43 @@
 
 use super::pool::Pool;
 
-/// How long an owner's report counts.
+/// Time for which an owner's report is valid.
 const REPORT_TTL: Micros = 6 * SECOND;
-/// Machines of a pool in trouble that are rented at a time, to see whether they come up.
+/// Number of machines of a degraded pool rented at a time, to probe whether they boot.
 const PROBE_MACHINES: u32 = 2;
-/// Between two probes of a pool: how long the machines of one are given to come up.
+/// Interval between two probes of a pool, in which the machines of the first may boot.
 const PROBE_INTERVAL: Micros = 20 * SECOND;
-/// How much dearer a pool in trouble counts: any other that fits goes first.
-const TROUBLE_COST_FACTOR: f64 = 8.0;
+/// Cost factor of a degraded pool when offers are compared, so that other fitting pools are
+/// selected first.
+const DEGRADED_COST_FACTOR: f64 = 8.0;
 
-/// How the machines of one pool come up, over all regions.
+/// Provisioning health of one pool, over all regions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoolProvisioning {
     /// The pool: type, zone, spot or on-demand.
     pub offer: Offer,
-    /// Machines that should have come up.
+    /// Number of machines that should have booted by now.
     pub overdue: u32,
-    /// Machines that came up lately.
+    /// Number of machines that booted recently.
     pub arrived: u32,
-    /// For how long the first has been overdue.
+    /// Time for which the first machine has been overdue.
     pub longest_overdue: Micros,
 }
 
 impl PoolProvisioning {
-    fn is_in_trouble(&self) -> bool {
+    fn is_degraded(&self) -> bool {
         is_provisioning_trouble(self.overdue, self.arrived)
     }
 }
 
-/// A region owner's report of how its machines come up.
+/// A region owner's report on the provisioning of its machines.
 #[derive(Debug)]
 struct ProvisioningReport {
     received_at: Micros,
     pools: Vec<ProvisioningHealth>,
 }
 
-/// The last report of each region, and the probes that were made by them.
+/// The last report of each region, and the time of the last probe of each degraded pool.
 #[derive(Debug, Default)]
 pub(super) struct ProvisioningReports {
     by_region: BTreeMap<String, ProvisioningReport>,
@@ -56,7 +58,7 @@
 }
 
 impl ProvisioningReports {
-    /// An owner reports how the machines of its region come up.
+    /// Handles an owner's report on the provisioning of its machines.
     pub(super) fn on_report(
         &mut self,
         region: String,
@@ -70,37 +72,37 @@
         self.by_region.insert(region, report);
     }
 
-    /// Forgets reports that are too old.
+    /// Removes expired reports.
     pub(super) fn expire(&mut self, now: Micros) {
         self.by_region
             .retain(|_, report| now < report.received_at + REPORT_TTL);
     }
 
-    /// The pools that come up badly.
-    pub(super) fn in_trouble(&self) -> Vec<PoolProvisioning> {
+    /// Returns the degraded pools.
+    pub(super) fn degraded_pools(&self) -> Vec<PoolProvisioning> {
         let pools: BTreeSet<Pool<'_>> = self.reported_pools().map(Pool::from).collect();
         pools
             .into_iter()
             .map(|pool| self.pool(&pool.to_offer()))
-            .filter(PoolProvisioning::is_in_trouble)
+            .filter(PoolProvisioning::is_degraded)
             .collect()
     }
 
-    /// The factor by which a pool's cost is multiplied when offers are compared.
+    /// Returns the factor by which a pool's cost is multiplied when offers are compared.
     pub(super) fn cost_factor(&self, offer: &Offer) -> f64 {
-        if self.pool(offer).is_in_trouble() && !is_disabled(Safeguard::BootTrouble) {
-            TROUBLE_COST_FACTOR
+        if self.pool(offer).is_degraded() && !is_disabled(Safeguard::BootTrouble) {
+            DEGRADED_COST_FACTOR
         } else {
             1.0
         }
     }
 
-    /// How many of `wanted` machines to rent now. Of a pool in trouble the overdue machines may
-    /// yet come, so it is no more than what they leave, and a probe now and then.
+    /// Returns how many of `wanted` machines to rent now. The overdue machines of a degraded pool
+    /// may still boot, so only the machines wanted beyond them are rented, or a periodic probe.
     #[must_use]
     pub(super) fn limit(&mut self, offer: &Offer, wanted: u32, now: Micros) -> u32 {
         let pool = self.pool(offer);
-        if !pool.is_in_trouble() || is_disabled(Safeguard::BootTrouble) {
+        if !pool.is_degraded() || is_disabled(Safeguard::BootTrouble) {
             return wanted;
         }
         let beyond_overdue = wanted.saturating_sub(pool.overdue);
@@ -115,7 +117,7 @@
         beyond_overdue.max(PROBE_MACHINES.min(wanted))
     }
 
-    /// What all regions report of a pool.
+    /// Returns the provisioning health of a pool, combined from the reports of all regions.
     fn pool(&self, offer: &Offer) -> PoolProvisioning {
         let mut pool = PoolProvisioning {
             offer: offer.clone(),
--- a/src/leader/provisioning/tests.rs
+++ b/src/leader/provisioning/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the limits on pools whose machines don't come up.
+//! Tests of the rental limits for degraded pools.
 
 use super::*;
 
@@ -21,12 +21,14 @@
     }
 }
 
-/// What all regions report together decides; of a pool in trouble no more is rented than its
-/// overdue machines leave and a probe now and then, and old reports are forgotten.
+/// Guards against repeated rentals from a pool whose machines don't boot. The reports of all
+/// regions together determine whether a pool is degraded. From a degraded pool, only the machines
+/// wanted beyond the overdue ones or periodic probes are rented. Reports expire.
 #[test]
-fn a_pool_in_trouble_is_rented_by_probes() {
-    // Overdue and arrived in two regions, asked for, allowed at once, allowed at 5 s.
-    for (first, second, asked, at_once, soon) in [
+fn degraded_pools_are_rented_by_probes() {
+    // Overdue and booted machines in each of two regions, wanted machines; expected limit at 1 s
+    // and at 5 s.
+    for (first, second, wanted, at_1_s, at_5_s) in [
         ((0, 0), (0, 0), 40, 40, 40),
         ((1, 0), (0, 0), 40, 40, 40),
         ((3, 0), (2, 9), 40, 40, 40),
@@ -42,24 +44,32 @@
             vec![health("big", second.0, second.1)],
             SECOND,
         );
-        let case = format!("{first:?} {second:?} {asked}");
+        let case = format!("{first:?} {second:?} {wanted}");
         assert_eq!(
-            reports.limit(&offer("big"), asked, SECOND),
-            at_once,
+            reports.limit(&offer("big"), wanted, SECOND),
+            at_1_s,
             "{case}"
         );
         assert_eq!(
-            reports.limit(&offer("big"), asked, 5 * SECOND),
-            soon,
+            reports.limit(&offer("big"), wanted, 5 * SECOND),
+            at_5_s,
+            "{case}"
+        );
+        let again = reports.limit(&offer("big"), wanted, 30 * SECOND);
+        assert_eq!(again, at_1_s, "{case}");
+        assert_eq!(
+            reports.limit(&offer("box"), wanted, SECOND),
+            wanted,
+            "{case}"
+        );
+        let is_degraded = reports.cost_factor(&offer("big")) > 1.0;
+        assert_eq!(is_degraded, at_1_s < wanted || at_5_s < wanted, "{case}");
+        assert_eq!(
+            reports.degraded_pools().len(),
+            usize::from(is_degraded),
             "{case}"
         );
-        let again = reports.limit(&offer("big"), asked, 30 * SECOND);
-        assert_eq!(again, at_once, "{case}");
-        assert_eq!(reports.limit(&offer("box"), asked, SECOND), asked, "{case}");
-        let dearer = reports.cost_factor(&offer("big")) > 1.0;
-        assert_eq!(dearer, at_once < asked || soon < asked, "{case}");
-        assert_eq!(reports.in_trouble().len(), usize::from(dearer), "{case}");
         reports.expire(8 * SECOND);
-        assert_eq!(reports.limit(&offer("big"), asked, 8 * SECOND), asked);
+        assert_eq!(reports.limit(&offer("big"), wanted, 8 * SECOND), wanted);
     }
 }
--- a/src/leader/provisioning_batches.rs
+++ b/src/leader/provisioning_batches.rs
@@ -1,4 +1,4 @@
-//! Machines that were rented and are not in their region's report yet.
+//! Provisioning batches: rented machines that their region's report doesn't include yet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,11 +7,11 @@
 
 use super::reports::Reports;
 
-/// A report that came this much later than the batch's record was committed shows its machines:
-/// the owner needs a moment to learn of the record and to report.
+/// Time after the commit of a batch's record from which received reports include the batch's
+/// machines. The owner first has to read the record and to report.
 const REPORT_DELAY: Micros = 500 * MILLISECOND;
-/// A batch is forgotten after this time, whatever the reports show: its record can't be
-/// committed any more, or its owner doesn't report at all.
+/// Time after which a batch is removed even if no report includes its machines. By then its record
+/// can no longer be committed, or its owner doesn't report at all.
 const BATCH_TTL: Micros = 30 * SECOND;
 
 /// Machines of one rental that share a record.
@@ -21,12 +21,12 @@
     pub(super) region: String,
     pub(super) machines: Vec<String>,
     pub(super) created_at: Micros,
-    /// When its record was committed.
+    /// Time at which the batch's record was committed.
     recorded_at: Option<Micros>,
 }
 
 impl ProvisioningBatch {
-    /// A batch whose record is about to be committed.
+    /// Creates a batch whose record is about to be committed.
     pub(super) fn new(offer: &Offer, region: &str, machines: &[String], now: Micros) -> Self {
         ProvisioningBatch {
             offer: offer.clone(),
@@ -46,7 +46,7 @@
     }
 }
 
-/// Batches by the name of their record.
+/// Batches by record name.
 #[derive(Debug, Default)]
 pub(super) struct ProvisioningBatches {
     by_name: BTreeMap<String, ProvisioningBatch>,
@@ -57,8 +57,8 @@
         self.by_name.insert(name, batch);
     }
 
-    /// The commit of a batch's record has ended: the batch is on record, or given up. Its
-    /// machines are then found again in the cloud's list.
+    /// Handles the end of the commit of a batch's record. If the commit failed or its outcome is
+    /// unknown, the batch is removed, and its machines are found again through the cloud's list.
     pub(super) fn on_commit_finished(&mut self, name: &str, committed: bool, now: Micros) {
         if !committed {
             self.by_name.remove(name);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Forgets batches that their region's report shows, and old ones.
+    /// Removes batches that their region's report includes, and expired batches.
     pub(super) fn expire(&mut self, reports: &Reports, now: Micros) {
         self.by_name
             .retain(|_, batch| !batch.is_reported(reports) && now < batch.created_at + BATCH_TTL);
@@ -77,12 +77,12 @@
         self.by_name.values()
     }
 
-    /// Batches that the records don't show yet.
+    /// Returns the batches whose record is not committed yet.
     pub(super) fn unrecorded(&self) -> impl Iterator<Item = &ProvisioningBatch> {
         self.iter().filter(|batch| batch.recorded_at.is_none())
     }
 
-    /// Names of all machines in batches.
+    /// Returns the names of all machines in batches.
     pub(super) fn machine_names(&self) -> BTreeSet<&str> {
         self.iter()
             .flat_map(|batch| &batch.machines)
--- a/src/leader/provisioning_batches/tests.rs
+++ b/src/leader/provisioning_batches/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of batches that their region's report does not show yet.
+//! Tests of provisioning batches.
 
 use super::*;
 use crate::leader::ReceivedReport;
@@ -24,8 +24,9 @@
     Reports::from([("t-0".into(), received)])
 }
 
-/// A batch counts until a report that is younger than its record shows it, or for half a minute;
-/// one whose commit failed is given up.
+/// Guards against machines that are counted twice or not at all. A batch counts until a report
+/// received after the commit of its record includes it, and for 30 s at most. A batch whose commit
+/// failed is removed.
 #[test]
 fn batches_count_until_they_are_reported() {
     let offer = Offer {
@@ -33,7 +34,7 @@
         zone: "a".into(),
         spot: false,
     };
-    // Record committed at, report received at, now, whether the batch still counts.
+    // Times of record commit, report and query in seconds; whether the batch still counts.
     for (recorded_at, received_at, now, counts) in [
         (None, 9, 10, true),
         (Some(2), 2, 10, true),
--- a/src/leader/rebinding.rs
+++ b/src/leader/rebinding.rs
@@ -1,9 +1,10 @@
-//! Rebinding: moving waiting tasks to regions with free capacity.
+//! Rebinding: moves waiting tasks to regions with free capacity.
 //!
-//! A task that finds no machine in its region within a short while is bound to the region with
-//! the most free capacity; this is the project's addition to the paper, where a computation
-//! stays in its sphere. Inputs are the regions' pending jobs and the planned capacity. The leader
-//! only asks: the region's owner commits the change, once no task of it can be on a machine.
+//! A task that gets no machine in its region within a short time is rebound to the region with the
+//! most free capacity. Rebinding extends the paper, where a computation stays in its sphere.
+//! Inputs are the regions' pending jobs and the planned capacity. The leader only requests a
+//! rebinding: the region's owner commits the change once none of the affected tasks can be on a
+//! machine.
 
 use std::collections::BTreeMap;
 
@@ -16,25 +17,25 @@
 use super::unplaced_job::UnplacedJob;
 use super::{Leader, PLAN_INTERVAL};
 
-/// Tasks that have waited for less are left where they are: most find a machine at home.
+/// Minimum wait before tasks are rebound. Most tasks get a machine in their own region earlier.
 const MIN_WAIT_TO_REBIND: Micros = 700 * MILLISECOND;
-/// A job that keeps together and for which there is capacity in its region starts within this
-/// time; if it still waits, that capacity is not counted on.
+/// An indivisible job with capacity in its region normally starts within this time. If the job
+/// still waits, that capacity is treated as unusable for it.
 const MAX_WAIT_WITH_CAPACITY: Micros = 25 * SECOND;
-/// A rebound job is left alone for this time, until the reports show what the move did.
+/// Time for which a rebound job is not rebound again, so that reports first reflect the move.
 const REBINDING_PAUSE: Micros = 2 * SECOND;
-/// Share of the state service's writes that rebinding may take: each changes a record, and jobs'
-/// submissions, bindings and ends go first.
+/// Share of the state service's write rate that rebinding may use. Each rebinding changes a record,
+/// and submissions, bindings and completions of jobs have precedence.
 const REBINDING_WRITE_SHARE: f64 = 0.2;
 
-/// Jobs that were rebound lately, and until when they are not rebound again.
+/// Recently rebound jobs, with the time until which each is not rebound again.
 #[derive(Debug, Default)]
 pub(super) struct RecentRebindings {
     paused_until: BTreeMap<String, Micros>,
 }
 
 impl RecentRebindings {
-    /// A job is being rebound; it is left alone for `pause`.
+    /// Records that a job is being rebound and must not be rebound again within `pause`.
     pub(super) fn insert(&mut self, job: &str, pause: Micros, now: Micros) {
         self.paused_until.insert(job.to_owned(), now + pause);
     }
@@ -43,7 +44,7 @@
         self.paused_until.contains_key(job)
     }
 
-    /// Forgets the jobs whose pause is over.
+    /// Removes the jobs whose pause is over.
     pub(super) fn expire(&mut self, now: Micros) {
         self.paused_until.retain(|_, until| now < *until);
     }
@@ -52,14 +53,14 @@
 /// Free capacity of a region for a job.
 #[derive(Debug, Default)]
 struct FreeCapacity<'a> {
-    /// Tasks of the job that fit, by zone.
+    /// Number of the job's tasks that fit, by zone.
     tasks_by_zone: BTreeMap<&'a str, u64>,
-    /// Free processors of all its machines, millionths.
+    /// Free processors of all of the region's machines, in millionths.
     free_cpus: f64,
 }
 
 impl FreeCapacity<'_> {
-    /// How many tasks fit, in one zone if all must be in the same.
+    /// Number of tasks that fit; for a job that must be in a single zone, in the best zone.
     fn fitting_tasks(&self, spec: &JobSpec) -> u64 {
         if spec.single_zone {
             self.tasks_by_zone.values().copied().max().unwrap_or(0)
@@ -69,7 +70,7 @@
     }
 }
 
-/// Where waiting tasks of a job are moved.
+/// Region to which waiting tasks of a job are moved, and the number of tasks.
 #[derive(Debug)]
 struct RebindingTarget {
     region: String,
@@ -77,37 +78,38 @@
 }
 
 impl Leader {
-    /// Rebinds tasks that have found no machine for a short while to the region with the most
-    /// free capacity. Waiting jobs are left with the tasks for which there is none.
+    /// Requests rebinding of tasks that waited for a short time without getting a machine, to the
+    /// region with the most free capacity. Afterwards `unplaced_tasks` of each waiting job is the
+    /// number of tasks for which no region has capacity.
     pub(super) fn rebind_waiting(
         &mut self,
         waiting: &mut [UnplacedJob],
         context: &SchedulingContext<'_>,
     ) {
-        // Guards against capacity that is claimed for tasks which their team's limit keeps from
-        // it, while others wait where there is none: those come last.
+        // Guards against capacity claimed for tasks that their team's quota keeps from starting,
+        // while other tasks wait in regions without capacity: quota-blocked jobs come last.
         waiting.sort_by_key(|job| job.is_quota_blocked);
-        let unblocked = waiting.partition_point(|job| !job.is_quota_blocked);
-        let (startable, quota_blocked) = waiting.split_at_mut(unblocked);
+        let within_quota_count = waiting.partition_point(|job| !job.is_quota_blocked);
+        let (within_quota, quota_blocked) = waiting.split_at_mut(within_quota_count);
         let writes_per_plan = context.settings.min_store_write_rate * to_seconds(PLAN_INTERVAL);
-        let mut budget = (writes_per_plan * REBINDING_WRITE_SHARE).ceil() as u32;
-        for jobs in [startable, quota_blocked] {
+        let mut remaining_rebindings = (writes_per_plan * REBINDING_WRITE_SHARE).ceil() as u32;
+        for jobs in [within_quota, quota_blocked] {
             self.claim_in_own_region(jobs);
             for job in jobs {
-                if budget > 0 && self.rebind_job(job, context) {
-                    budget -= 1;
+                if remaining_rebindings > 0 && self.rebind_job(job, context) {
+                    remaining_rebindings -= 1;
                 }
             }
         }
     }
 
-    /// Claims the capacity that jobs find in the region where they are.
+    /// Claims capacity for waiting jobs in their own regions.
     fn claim_in_own_region(&mut self, waiting: &mut [UnplacedJob]) {
         for job in waiting {
-            // Guards against a job for which there seems to be capacity in its region and that
-            // waits all the same: then it isn't counted on.
+            // Guards against a job that keeps waiting although its region appears to have capacity
+            // for it: that capacity is then not claimed for the job.
             let waits_too_long = job.waiting_for > MAX_WAIT_WITH_CAPACITY;
-            if job.keeps_together() && waits_too_long && !job.is_quota_blocked {
+            if job.is_indivisible() && waits_too_long && !job.is_quota_blocked {
                 continue;
             }
             let machines = self
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Asks for waiting tasks of a job to be moved, if another region has capacity for them.
-    /// Returns whether it did.
+    /// Requests rebinding of a job's waiting tasks if another region has capacity for them. Returns
+    /// whether a rebinding was requested.
     #[must_use]
     fn rebind_job(&mut self, job: &mut UnplacedJob, context: &SchedulingContext<'_>) -> bool {
         if !self.may_be_rebound(job) {
@@ -130,7 +132,7 @@
             return false;
         };
         log::debug!(
-            "region={} job={}: {} waiting tasks rebound to {}",
+            "region={} job={}: requesting rebinding of {} waiting tasks to {}",
             job.region,
             job.id,
             target.tasks,
@@ -140,7 +142,7 @@
             .capacity
             .iter_mut()
             .filter(|c| c.is_available && c.region == target.region);
-        // The target was chosen by what fits, so nothing is left unclaimed.
+        // The target region was selected for having capacity, so no task is left unclaimed.
         let _unclaimed = claim_from(machines, &job.spec, job.flexibility(), target.tasks);
         job.unplaced_tasks -= target.tasks;
         self.request_rebinding(
@@ -154,23 +156,23 @@
     }
 
     fn may_be_rebound(&self, job: &UnplacedJob) -> bool {
-        // Guards against a job that fails wherever it runs being spread over all regions, each
-        // of which would have to find that out anew.
-        let could_run_at_home = || {
+        // Guards against spreading a job that fails on every machine over all regions, each of
+        // which would have to detect the failure again.
+        let could_run_in_own_region = || {
             let mut machines = self.capacity.iter();
             machines
                 .any(|c| c.region == job.region && c.max_tasks(&job.spec, job.flexibility()) > 0)
         };
-        let is_divided = job.keeps_together() && job.unplaced_tasks != job.task_count();
+        let would_be_divided = job.is_indivisible() && job.unplaced_tasks != job.task_count();
         job.unplaced_tasks > 0
-            && !is_divided
+            && !would_be_divided
             && job.waiting_for >= MIN_WAIT_TO_REBIND
             && !self.recent_rebindings.contains(&job.id)
-            && !(job.is_suspect && could_run_at_home())
+            && !(job.is_suspect && could_run_in_own_region())
     }
 
-    /// The other region with an owner that has the most free processors, of those that have
-    /// capacity for the job.
+    /// Selects the region with the most free processors among the other regions that have an owner
+    /// and capacity for the job.
     fn rebinding_target(
         &self,
         job: &UnplacedJob,
@@ -196,7 +198,7 @@
             })
     }
 
-    /// Asks the owner of a job's region to bind waiting tasks to another region, or to none if
+    /// Asks the owner of a job's region to bind waiting tasks to region `to`, or to unbind them if
     /// `to` is empty.
     pub(super) fn request_rebinding(
         &mut self,
--- a/src/leader/reports.rs
+++ b/src/leader/reports.rs
@@ -1,21 +1,21 @@
-//! The regions' reports as this controller has received them.
+//! The regions' reports received by this controller.
 
 use std::collections::BTreeMap;
 
 use crate::peer_protocol::RegionReport;
 use salttiller_records::units::Micros;
 
-/// A region's report and when it was received.
+/// A region's report and the time at which it was received.
 #[derive(Debug)]
 pub struct ReceivedReport {
     /// The report.
     pub report: RegionReport,
-    /// On the steady clock.
+    /// Time of receipt on the monotonic clock.
     pub received_at: Micros,
 }
 
 impl ReceivedReport {
-    /// How old the report is at `now`.
+    /// Age of the report at `now`.
     pub fn age(&self, now: Micros) -> Micros {
         now.saturating_sub(self.received_at)
     }
--- a/src/leader/scale_in.rs
+++ b/src/leader/scale_in.rs
@@ -1,8 +1,8 @@
-//! Scale-in: which machines all regions together can do without.
+//! Scale-in: selects surplus machines over all regions.
 //!
-//! The leader names how many machines of a pool a region's owner is to drain; the owner picks
-//! those that hold the fewest tasks and returns them once they are empty. Input is the demand
-//! forecast. The paper has no counterpart: its processors are fixed in number.
+//! The leader requests that a region's owner drains a number of machines of a pool. The owner
+//! selects the machines with the fewest tasks and returns them once they are empty. The input is
+//! the demand forecast. The paper has no counterpart, because its number of processors is fixed.
 
 use std::collections::BTreeMap;
 
@@ -13,21 +13,22 @@
 use super::planned_capacity::PlannedCapacity;
 use super::pool::Pool;
 use super::unplaced_job::Flexibility;
-use super::{Leader, CPU};
+use super::{Leader, MILLIONTHS_PER_CPU};
 
-/// No scale-in before the term is this old: the regions' first reports are not all there yet.
+/// Minimum age of the term before machines are drained. Earlier, some regions have not reported
+/// yet.
 pub(super) const FIRST_SCALE_IN_DELAY: Micros = 5 * SECOND;
-/// Pause after a scale-in: the next reports must show what it did.
+/// Interval between scale-ins. The next reports must first reflect the previous scale-in.
 const SCALE_IN_INTERVAL: Micros = 500 * MILLISECOND;
-/// One of so many machines is drained at a time, at least one, so that what follows from it is
-/// seen before the next.
-const MACHINES_PER_DRAINED: f64 = 20.0;
-/// Weight of a processor's price on a fully used machine; an idle one has 1 more. So of machines
-/// at the same price emptier ones go first, and a busy one goes before an idle one only if it is
-/// more than three times as dear.
+/// Each scale-in drains at most one machine out of this number, but may always drain one. The
+/// effect is thus visible before further machines are drained.
+const MACHINES_PER_DRAIN: f64 = 20.0;
+/// Weight of a processor's price on a fully used machine; the weight on an idle machine is 1
+/// higher. Among machines of the same price, emptier ones are therefore drained first, and a busy
+/// machine is drained before an idle one only if its price is more than three times as high.
 const BUSY_PRICE_WEIGHT: f64 = 0.5;
 
-/// Machines of one pool in one region. The order is that in which owners are told.
+/// Machines of one pool in one region. The sort order is the order of the drain requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RegionPool<'a> {
     region: &'a str,
@@ -44,31 +45,32 @@
 }
 
 impl Leader {
-    /// Asks the regions' owners to drain machines that flexible work can do without.
+    /// Asks the regions' owners to drain machines that flexible work doesn't need.
     pub(super) fn scale_in(&mut self, context: &SchedulingContext<'_>) {
-        // Guards against a new leader that knows of no demand yet, in the middle of a burst
-        // perhaps: what it drained would be rented anew a little later.
+        // Guards against a new leader that has not measured the demand yet, possibly in the middle
+        // of a burst: the machines drained would have to be rented again shortly afterwards.
         if context.now < self.next_scale_in_at {
             return;
         }
         let Some(arrival_rate) = self.demand.arrival_rate(context.now) else {
             return;
         };
-        let up: f64 = self
+        let usable_cpus: f64 = self
             .unreserved_machines()
             .map(|c| c.usable_cpus(Flexibility::Flexible))
             .sum();
-        let surplus = self.machines_to_drain(up - self.demand.scale_in_threshold(), context);
+        let surplus =
+            self.machines_to_drain(usable_cpus - self.demand.scale_in_threshold(), context);
         if surplus.is_empty() {
             return;
         }
         log::debug!(
             "{} machines not needed: cpus_up={:.0} cpus_kept={:.0} cpus_in_use={:.0} cpus_arriving={:.0} estimate_accuracy={:.2}",
             surplus.values().sum::<u32>(),
-            up / CPU,
-            self.demand.scale_in_threshold() / CPU,
-            self.demand.smoothed_utilisation() / CPU,
-            arrival_rate / CPU,
+            usable_cpus / MILLIONTHS_PER_CPU,
+            self.demand.scale_in_threshold() / MILLIONTHS_PER_CPU,
+            self.demand.smoothed_utilisation() / MILLIONTHS_PER_CPU,
+            arrival_rate / MILLIONTHS_PER_CPU,
             self.demand.estimate_accuracy()
         );
         let requests: Vec<Message> = surplus
@@ -85,31 +87,32 @@
         self.capacity.iter().filter(|c| c.is_unreserved())
     }
 
-    /// Machines that together have at most `spare_cpus`, of those that leave enough the dearest.
+    /// Selects machines with at most `spare_cpus` processors in total, the most expensive first.
     fn machines_to_drain(
         &self,
         mut spare_cpus: f64,
         context: &SchedulingContext<'_>,
     ) -> BTreeMap<RegionPool<'_>, u32> {
         let machines: f64 = self.unreserved_machines().map(|c| c.machines).sum();
-        let mut quota = (machines / MACHINES_PER_DRAINED).max(1.0);
+        let mut remaining_drains = (machines / MACHINES_PER_DRAIN).max(1.0);
         let mut surplus: BTreeMap<RegionPool<'_>, u32> = BTreeMap::new();
         for candidate in self.drain_candidates(context) {
             let cpus_per_machine = candidate.total.cpus.max(1) as f64;
             let count = (spare_cpus / cpus_per_machine)
                 .floor()
                 .min(candidate.machines)
-                .min(quota.floor());
+                .min(remaining_drains.floor());
             if count >= 1.0 {
                 spare_cpus -= count * cpus_per_machine;
-                quota -= count;
+                remaining_drains -= count;
                 *surplus.entry(RegionPool::of(candidate)).or_default() += count as u32;
             }
         }
         surplus
     }
 
-    /// Machines that may be drained, the dearest by the price of a processor first.
+    /// Returns the machines that may be drained, ordered by the weighted price of a processor, the
+    /// most expensive first.
     fn drain_candidates(&self, context: &SchedulingContext<'_>) -> Vec<&PlannedCapacity> {
         let machine_types = &context.replica.machine_types;
         let mut candidates: Vec<(f64, &PlannedCapacity)> = self
--- a/src/leader/scale_out.rs
+++ b/src/leader/scale_out.rs
@@ -1,9 +1,9 @@
-//! Scale-out: renting machines for waiting work that does not have to keep together.
+//! Scale-out: rents machines for waiting divisible jobs.
 //!
-//! Inputs are the waiting work that neither machines at hand nor those being provisioned take,
-//! the demand forecast and the cloud's offers. Work that the machines at hand, busy ones
-//! included, get through within the horizon rents nothing. The paper has no counterpart: its
-//! processors are fixed in number.
+//! Inputs are the waiting tasks without capacity on available machines or machines being
+//! provisioned, the demand forecast and the cloud's offers. No machines are rented for work that
+//! the existing machines, including busy ones, complete within the horizon. The paper has no
+//! counterpart, because its number of processors is fixed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,13 +18,13 @@
 use super::offer_selection::OfferChoice;
 use super::planned_capacity::claim_from;
 use super::unplaced_job::{Flexibility, UnplacedJob};
-use super::{Leader, CPU};
+use super::{Leader, MILLIONTHS_PER_CPU};
 
-/// Most rental requests under way at a time: the cloud's calls are paced, and what waits in the
-/// queue for long was planned on old reports.
+/// Maximum number of pending rental requests. The calls to the cloud are rate-limited, and a
+/// request that waits long in the queue is based on outdated reports.
 const MAX_RENTAL_REQUESTS: usize = 8;
 
-/// The rental requests that a plan may make.
+/// The rental requests that a plan may still make.
 pub(super) struct RentalRequests<'a> {
     cloud_client: &'a mut CloudClient,
     remaining: usize,
@@ -32,10 +32,10 @@
 
 impl<'a> RentalRequests<'a> {
     fn new(cloud_client: &'a mut CloudClient) -> Self {
-        let under_way = cloud_client.pending_rentals().len();
+        let pending = cloud_client.pending_rentals().len();
         RentalRequests {
             cloud_client,
-            remaining: MAX_RENTAL_REQUESTS.saturating_sub(under_way),
+            remaining: MAX_RENTAL_REQUESTS.saturating_sub(pending),
         }
     }
 
@@ -44,13 +44,13 @@
     }
 }
 
-/// Waiting jobs that machines are rented for together: flexible ones, or those that fit on the
-/// same one type.
+/// Waiting jobs for which machines are rented together: all flexible jobs, or the constrained jobs
+/// that fit on the same machine type.
 #[derive(Debug, Default)]
 struct JobGroup<'a> {
-    /// In the order of the plan, never empty.
+    /// Jobs in the order of the plan; never empty.
     jobs: Vec<&'a UnplacedJob>,
-    /// Their tasks that no machine at hand or being provisioned takes.
+    /// Number of tasks without capacity on available machines or machines being provisioned.
     uncovered_tasks: u64,
 }
 
@@ -59,7 +59,7 @@
         self.jobs.iter().any(|job| job.spec.allows_spot)
     }
 
-    /// Processors that get all waiting tasks under way within their horizon.
+    /// Returns the processors that start all waiting tasks within their horizon.
     fn backlog_cpus(&self, context: &SchedulingContext<'_>) -> f64 {
         self.jobs
             .iter()
@@ -73,25 +73,25 @@
     }
 }
 
-/// What a group still lacks while machines are rented for it.
+/// Capacity that a group still lacks while machines are rented for it.
 #[derive(Debug)]
 struct Shortage {
     tasks: u64,
-    /// Processors at hand, being provisioned or asked for, millionths.
+    /// Processors available, being provisioned or requested, in millionths.
     available_cpus: f64,
-    /// Processors that there should be, millionths.
+    /// Processors required, in millionths.
     wanted_cpus: f64,
 }
 
 impl fmt::Display for Shortage {
-    /// In log messages, whole processors.
+    /// Formats the shortage for log messages, in whole processors.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "waiting_tasks={} cpus_available={:.0} cpus_wanted={:.0}",
             self.tasks,
-            self.available_cpus / CPU,
-            self.wanted_cpus / CPU
+            self.available_cpus / MILLIONTHS_PER_CPU,
+            self.wanted_cpus / MILLIONTHS_PER_CPU
         )
     }
 }
@@ -101,8 +101,8 @@
         self.available_cpus < self.wanted_cpus
     }
 
-    /// How many machines of an offer to ask for: no more than processors are lacking, nor than
-    /// the tasks fill; at least one.
+    /// Returns how many machines of an offer to request: at most as many as cover the missing
+    /// processors and as the tasks fill, and at least one.
     fn machines_to_rent(&self, choice: &OfferChoice) -> u32 {
         let lacking_cpus = self.wanted_cpus - self.available_cpus;
         let for_cpus = (lacking_cpus / choice.cpus_per_machine.max(1) as f64)
@@ -122,8 +122,8 @@
 }
 
 impl Leader {
-    /// Rents the cheapest machines that bring waiting work under way soon enough, first for jobs
-    /// that keep together.
+    /// Rents the cheapest machines that start waiting work within its horizon, for indivisible jobs
+    /// first.
     pub(super) fn scale_out(
         &mut self,
         waiting: &[UnplacedJob],
@@ -134,11 +134,11 @@
             return;
         }
         let mut requests = RentalRequests::new(cloud_client);
-        let (together, divisible): (Vec<_>, Vec<_>) = waiting
+        let (indivisible, divisible): (Vec<_>, Vec<_>) = waiting
             .iter()
             .filter(|job| job.unplaced_tasks > 0)
-            .partition(|job| job.keeps_together());
-        for job in together {
+            .partition(|job| job.is_indivisible());
+        for job in indivisible {
             if requests.is_exhausted() {
                 return;
             }
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Groups jobs by the one type that they fit on, flexible ones together and first, and claims
-    /// the capacity of machines being provisioned for them.
+    /// Groups jobs by the only type on which they fit, with all flexible jobs in the first group,
+    /// and claims the capacity of machines being provisioned for them.
     fn group_by_type<'a>(
         &mut self,
         jobs: Vec<&'a UnplacedJob>,
@@ -184,7 +184,8 @@
         };
         let flexibility = Flexibility::of(only_type);
         let mut shortage = self.shortage(only_type, group, context);
-        // With nothing that would ever hold a job, a machine is needed whatever the sums say.
+        // A job that fits on no existing machine needs a new one, regardless of the total
+        // processors.
         let mut unplaceable = group.jobs.iter().find(|job| !self.could_hold(job)).copied();
         while !requests.is_exhausted()
             && shortage.tasks > 0
@@ -232,13 +233,13 @@
         }
     }
 
-    /// Whether any machine, with nothing else on it, would hold a task of the job.
+    /// Whether any existing machine could hold a task of the job if the machine were empty.
     fn could_hold(&self, job: &UnplacedJob) -> bool {
         let mut machines = self.capacity.iter();
         machines.any(|c| c.max_tasks(&job.spec, job.flexibility()) > 0)
     }
 
-    /// Asks the cloud for machines, under an idempotency key that nobody ever used.
+    /// Queues a rental request with a new idempotency key that was never used before.
     pub(super) fn rent(
         &mut self,
         offer: Offer,
--- a/src/leader/term.rs
+++ b/src/leader/term.rs
@@ -2,16 +2,16 @@
 
 use salttiller_records::units::Micros;
 
-/// Set in every attempt number of a gang over several regions, so that it never equals an
-/// attempt number that a region's owner chooses for its own gangs.
+/// Flag in every attempt number of a multi-region gang, so that the number never equals an attempt
+/// number that a region's owner chooses for its own gangs.
 const MULTI_REGION_ATTEMPT_FLAG: u64 = 1 << 62;
-/// Bits of such an attempt number that hold the sequence number within the term.
+/// Number of low bits of a multi-region attempt number that hold the sequence number of the term.
 const ATTEMPT_SEQUENCE_BITS: u32 = 20;
 
-/// One term of leadership, named by the revision of the leader's record.
+/// One term of leadership, identified by the revision of the leader's record.
 ///
-/// Invariant: no two terms have the same version, so what is derived from the version and the
-/// sequence number is never issued twice, by no other controller either.
+/// Invariant: no two terms have the same version, so an identifier derived from the version and the
+/// sequence number is never issued twice, not even by another controller.
 #[derive(Debug)]
 pub(super) struct Term {
     version: u64,
@@ -20,7 +20,7 @@
 }
 
 impl Term {
-    /// A term that begins with the leader's record at this revision.
+    /// Starts a term. `version` is the revision of the leader's record.
     pub(super) fn new(version: u64, now: Micros) -> Self {
         Term {
             version,
@@ -29,24 +29,24 @@
         }
     }
 
-    /// Revision of the leader's record; every write names it as a condition.
+    /// Revision of the leader's record; every write is conditional on this revision.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// How long the term has lasted.
+    /// Age of the term.
     pub(super) fn age(&self, now: Micros) -> Micros {
         now.saturating_sub(self.started_at)
     }
 
-    /// A name that nobody has ever used: host, term, sequence number. Names machine batches and
-    /// serves as idempotency key of rental requests.
+    /// Returns a globally unique name made of host, term and sequence number. The name serves as
+    /// the name of a machine batch or as the idempotency key of a rental request.
     pub(super) fn next_unique_name(&mut self, host: &str) -> String {
         let sequence = self.next_sequence();
         format!("{host}-{}-{sequence}", self.version)
     }
 
-    /// An attempt number that no owner and no other term ever uses.
+    /// Returns an attempt number that no region's owner and no other term ever uses.
     pub(super) fn next_attempt(&mut self) -> u64 {
         let sequence_mask = (1 << ATTEMPT_SEQUENCE_BITS) - 1;
         let sequence = self.next_sequence() & sequence_mask;
--- a/src/leader/term/tests.rs
+++ b/src/leader/term/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Names and attempts come from one sequence; the forms are read by other versions and by the
-/// cloud, so they stay.
+/// Guards against reused identifiers and changed formats: names and attempt numbers share one
+/// sequence, and other versions and the cloud read their formats.
 #[test]
 fn identifiers_are_issued_once() {
     let mut term = Term::new(431, 7);
--- a/src/leader/unknown_machines.rs
+++ b/src/leader/unknown_machines.rs
@@ -1,5 +1,5 @@
-//! Machines in the cloud's list that have no record: there before us, or rented by a request
-//! that was carried out late.
+//! Unknown machines: machines in the cloud's list without a record. Such machines were rented
+//! before the first start of the scheduler, or by a rental request that was carried out late.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,36 +7,38 @@
 use crate::region::SchedulingContext;
 use salttiller_records::units::{Micros, SECOND};
 
-/// How many list delays a machine must have been unknown, and must be old: a list is up to
-/// twice the nominal delay late, so what stays unknown for longer is.
-const LIST_DELAYS_UNTIL_CERTAIN: Micros = 2;
-/// How many list delays a removed machine is remembered: as long as a late list may show it.
+/// Number of list delays for which a machine must have been unknown, and minimum age of the machine
+/// in list delays, before its existence is confirmed. A list is at most twice the nominal delay
+/// late, so a machine that stays unknown for longer really has no record.
+const LIST_DELAYS_UNTIL_CONFIRMED: Micros = 2;
+/// Number of list delays for which a removed machine is remembered, because a late list may still
+/// include it.
 const LIST_DELAYS_REMEMBERED: Micros = 4;
-/// A removed machine is remembered for this time at least.
+/// Minimum time for which a removed machine is remembered.
 const MIN_REMEMBERED: Micros = 120 * SECOND;
 
-/// What is known of machines without a record.
+/// Tracks machines without a record.
 #[derive(Debug, Default)]
 pub(super) struct UnknownMachines {
-    /// Unknown machines of the last list, with when they were first listed.
+    /// Unknown machines of the last list, with the time at which each was first listed.
     first_listed_at: BTreeMap<String, Micros>,
-    /// Machines whose record was removed lately; lists may still show them.
+    /// Machines whose record was removed recently; lists may still include them.
     removed_at: BTreeMap<String, Micros>,
 }
 
 impl UnknownMachines {
-    /// A machine's record was removed.
+    /// Handles the removal of a machine's record.
     pub(super) fn on_machine_removed(&mut self, name: &str, now: Micros) {
         self.removed_at.insert(name.to_owned(), now);
     }
 
-    /// Whether the last list showed unknown machines.
+    /// Whether the last list contained no unknown machines.
     pub(super) fn is_empty(&self) -> bool {
         self.first_listed_at.is_empty()
     }
 
-    /// Records the unknown machines of a list. Returns, by offer, those that are certain to
-    /// exist; `provisioning` are machines whose record is being committed.
+    /// Records the unknown machines of a list. Returns, by offer, the unknown machines whose
+    /// existence is confirmed. `provisioning` are the machines whose record is being committed.
     pub(super) fn on_list(
         &mut self,
         list: &[ListedMachine],
@@ -47,27 +49,28 @@
         let remembered = (LIST_DELAYS_REMEMBERED * list_lag).max(MIN_REMEMBERED);
         self.removed_at
             .retain(|_, removed_at| context.now < *removed_at + remembered);
-        // When there never was a record of any machine, there is none that could be gone.
+        // If no machine ever had a record, no listed machine can be a removed one.
         let is_first_start =
             context.replica.machines.is_empty() && context.replica.activations.is_empty();
         let mut first_listed_at = BTreeMap::new();
-        let mut certain: BTreeMap<Offer, Vec<String>> = BTreeMap::new();
+        let mut confirmed: BTreeMap<Offer, Vec<String>> = BTreeMap::new();
         for machine in list {
             if !self.is_unknown(machine, provisioning, context) {
                 continue;
             }
-            let earlier = self.first_listed_at.get(&machine.name);
-            let listed_at = earlier.copied().unwrap_or(context.now);
+            let previously_listed_at = self.first_listed_at.get(&machine.name);
+            let listed_at = previously_listed_at.copied().unwrap_or(context.now);
             first_listed_at.insert(machine.name.clone(), listed_at);
-            let certain_after = LIST_DELAYS_UNTIL_CERTAIN * list_lag;
-            let is_certain = context.now > listed_at + certain_after && machine.age > certain_after;
-            if is_certain || is_first_start {
-                let machines = certain.entry(machine.offer.clone()).or_default();
+            let confirmed_after = LIST_DELAYS_UNTIL_CONFIRMED * list_lag;
+            let is_confirmed =
+                context.now > listed_at + confirmed_after && machine.age > confirmed_after;
+            if is_confirmed || is_first_start {
+                let machines = confirmed.entry(machine.offer.clone()).or_default();
                 machines.push(machine.name.clone());
             }
         }
         self.first_listed_at = first_listed_at;
-        certain
+        confirmed
     }
 
     fn is_unknown(
--- a/src/leader/unplaced_job.rs
+++ b/src/leader/unplaced_job.rs
@@ -1,4 +1,4 @@
-//! A job with tasks that wait in a region, as the plan sees it.
+//! Unplaced jobs: the plan's view of jobs with waiting tasks in a region.
 
 use std::rc::Rc;
 
@@ -10,14 +10,15 @@
 /// Whether a job fits on one machine type only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Flexibility {
-    /// Just one type can hold its tasks; capacity on that type is reserved for such jobs.
+    /// Only one type can hold the job's tasks; capacity of that type is reserved for such jobs.
     Constrained,
-    /// Several types can hold its tasks.
+    /// Several types can hold the job's tasks.
     Flexible,
 }
 
 impl Flexibility {
-    /// Of a job whose only fitting type is this one, if there is just one.
+    /// Returns the flexibility of a job; `only_type` is the only type on which the job fits, if
+    /// any.
     pub(super) fn of(only_type: Option<&str>) -> Self {
         match only_type {
             Some(_) => Flexibility::Constrained,
@@ -32,22 +33,22 @@
     pub(super) id: String,
     pub(super) region: String,
     pub(super) spec: Rc<JobSpec>,
-    /// Waiting tasks for which the plan has found no capacity yet.
+    /// Number of waiting tasks for which the plan has found no capacity yet.
     pub(super) unplaced_tasks: u64,
-    /// How long the oldest of them has waited.
+    /// Wait of the oldest waiting task.
     pub(super) waiting_for: Micros,
-    /// The one machine type that fits, if there is just one.
+    /// The only machine type on which the job fits, if there is exactly one.
     pub(super) only_type: Option<String>,
-    /// Its team's limit is used up.
+    /// Whether the quota of the job's team is exhausted.
     pub(super) is_quota_blocked: bool,
-    /// It failed on several machines without a result: it is rebound to free capacity, but
-    /// nothing is rented for it.
+    /// Whether the job failed on several machines without a result. A suspect job is rebound to
+    /// free capacity, but no machines are rented for it.
     pub(super) is_suspect: bool,
 }
 
 impl UnplacedJob {
-    /// A waiting job of a region's report; `None` if it is not on record as open, or if it is a
-    /// gang over several regions, which is coordinated apart.
+    /// Creates an unplaced job from an entry of a region's report. Returns `None` if the job has no
+    /// open record, or if it is a multi-region gang, which is coordinated separately.
     pub(super) fn from_report(
         pending: &PendingJob,
         report: &RegionReport,
@@ -79,37 +80,38 @@
         self.flexibility() == Flexibility::Flexible
     }
 
-    /// Whether its tasks stay in one region.
-    pub(super) fn keeps_together(&self) -> bool {
-        keeps_together(&self.spec)
+    /// Whether the job is indivisible, so that all of its tasks are bound to the same region.
+    pub(super) fn is_indivisible(&self) -> bool {
+        is_indivisible(&self.spec)
     }
 
-    /// All tasks of the job, waiting or not.
+    /// Number of all tasks of the job, waiting or not.
     pub(super) fn task_count(&self) -> u64 {
         u64::from(self.spec.task_count)
     }
 
-    /// How many tasks must find capacity in the same region for any to be bound there.
+    /// Minimum number of tasks that must fit in a region for any to be bound there.
     pub(super) fn min_tasks(&self) -> u64 {
         min_tasks(&self.spec)
     }
 }
 
-/// Whether a region finds a team's limit used up.
+/// Whether a region reports a team's quota as exhausted.
 fn is_quota_blocked(team: &str, report: &RegionReport) -> bool {
     let mut blocked_teams = report.quota_blocked_teams.iter();
     blocked_teams.any(|(blocked, _)| blocked == team)
 }
 
-/// Whether a job's tasks stay in one region as long as one region can hold them.
-pub(super) fn keeps_together(spec: &JobSpec) -> bool {
+/// Whether a job is indivisible: all of its tasks are bound to the same region as long as one
+/// region can hold them.
+pub(super) fn is_indivisible(spec: &JobSpec) -> bool {
     spec.kind == JobKind::Gang || spec.single_zone || spec.spread_zones
 }
 
-/// How many tasks must find capacity in the same region for any to be bound there: all of a job
-/// that keeps together, else one.
+/// Minimum number of tasks that must fit in a region for any to be bound there: all tasks of an
+/// indivisible job, else one.
 pub(super) fn min_tasks(spec: &JobSpec) -> u64 {
-    if keeps_together(spec) {
+    if is_indivisible(spec) {
         u64::from(spec.task_count)
     } else {
         1
--- a/src/leader/upstream_cancellations.rs
+++ b/src/leader/upstream_cancellations.rs
@@ -1,4 +1,4 @@
-//! Records of jobs that were cancelled along with a job that they depend on.
+//! Upstream cancellations: records jobs as cancelled that depend on a cancelled job.
 
 use crate::region::SchedulingContext;
 use crate::state_store::CommitPriority;
@@ -8,14 +8,14 @@
 use super::outbox::RecordChange;
 use super::Leader;
 
-/// Jobs that are put on record at a time as cancelled along with those that they need. Nobody
-/// waits for it, so it leaves the state service's limit to other changes.
+/// Maximum number of jobs recorded as cancelled at a time. Nothing waits for these records, so most
+/// of the state service's limit is left to other changes.
 const MAX_CANCELLATIONS_AT_ONCE: usize = 4;
 
 impl Leader {
-    /// Puts on record that jobs were cancelled along with those that they need. Everybody
-    /// derives it from the records, so nothing depends on when this happens: it is for the
-    /// versions before 0.3, should one ever be brought back, and for the index.
+    /// Records jobs as cancelled because a job that they depend on was cancelled. Every controller
+    /// derives these cancellations from the records anyway, so their timing doesn't matter: the
+    /// records serve versions before 0.3, in case of a downgrade, and the index.
     pub(super) fn record_upstream_cancellations(&mut self, context: &SchedulingContext<'_>) {
         let cancelled = context.replica.pipelines.cancelled_upstream().iter();
         let changes: Vec<RecordChange> = cancelled
