--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -8,7 +8,7 @@
 use crate::cloud::Offer;
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::peer_protocol::ProvisioningHealth;
-use crate::region::is_provisioning_trouble;
+use crate::region::is_provisioning_degraded;
 use salttiller_records::units::{Micros, SECOND};
 
 use super::pool::Pool;
@@ -37,7 +37,7 @@
 
 impl PoolProvisioning {
     fn is_in_trouble(&self) -> bool {
-        is_provisioning_trouble(self.overdue, self.arrived)
+        is_provisioning_degraded(self.overdue, self.arrived)
     }
 }
 
--- a/src/region.rs
+++ b/src/region.rs
@@ -62,7 +62,7 @@
 pub use machine::MachineState;
 pub use machine_pool::MachinePool;
 pub use objectives::start_windows;
-pub use provisioning::is_provisioning_trouble;
+pub use provisioning::is_provisioning_degraded;
 pub use task::TaskState;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -178,7 +178,7 @@
         let machines = self.inventory.machines();
         let activated = machines.filter(|(_, machine)| machine.record.activated);
         self.reconciliation
-            .expect(activated.map(|(name, _)| name.clone()));
+            .set_unreconciled(activated.map(|(name, _)| name.clone()));
         for id in &context.replica.ready_jobs {
             self.inherit_job(id, context);
         }
@@ -356,7 +356,7 @@
             };
             capacity.extend(
                 index
-                    .free_capacity_steps()
+                    .free_capacity_buckets()
                     .map(|(free, machines)| entry(true, free, machines)),
             );
             if !index.provisioning.is_empty() {
--- a/src/region/commits.rs
+++ b/src/region/commits.rs
@@ -131,10 +131,11 @@
             }
             CommitKind::Rebind(id) => self.on_hand_over_committed(&id, committed, context),
             CommitKind::ActivateMachines(names) => {
-                self.machine_records.activation_concluded(&names, committed);
+                self.machine_records
+                    .activation_commit_ended(&names, committed);
             }
             CommitKind::RemoveMachines(names) => {
-                self.machine_records.removal_concluded(&names, committed);
+                self.machine_records.removal_commit_ended(&names, committed);
             }
         }
     }
--- a/src/region/constrained_types.rs
+++ b/src/region/constrained_types.rs
@@ -1,7 +1,7 @@
-//! Machine types that some jobs depend on: capacity that is reserved for those jobs.
+//! Capacity reservations on machine types for constrained jobs.
 //!
-//! A job is constrained if it fits on one machine type only, else flexible. Regions and the
-//! leader each keep a [`ConstrainedTypes`] of the jobs they see.
+//! A job is constrained if it fits on exactly one machine type, and flexible otherwise. Each
+//! region and the leader keep a [`ConstrainedTypes`] for the jobs they see.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +11,13 @@
 
 use crate::state_store::replica::Replica;
 
-/// How long a type stays reserved for jobs that fit nowhere else, after the last of them was
-/// seen.
+/// Time for which capacity of a type stays reserved after its last constrained job was seen.
 const CONSTRAINED_TYPE_TTL: Micros = 180 * SECOND;
 
-/// What recent jobs that fit on one machine type only ask of it.
+/// Demand of recent constrained jobs for one machine type.
 #[derive(Debug, Clone, Copy)]
 struct Demand {
-    /// The most that one task takes, each amount by itself.
+    /// Maximum of each resource that one task requests.
     per_task: Resources,
     last_seen: Micros,
     largest_gang: u32,
@@ -30,16 +29,15 @@
     }
 }
 
-/// The machine types that are the only ones on which some recent job fits, with the capacity
-/// that is reserved on each of their machines. Flexible jobs, which fit elsewhere too, may use
-/// the rest.
+/// Machine types that recent constrained jobs depend on, with the capacity that is reserved
+/// on each machine of the type. Flexible jobs may use only the unreserved capacity.
 #[derive(Debug, Default)]
 pub struct ConstrainedTypes {
     types: BTreeMap<String, Demand>,
 }
 
 impl ConstrainedTypes {
-    /// Notes a job, if it is one that fits on one type only. Returns whether the capacity to
+    /// Records the demand of a job if the job is constrained. Returns whether the capacity to
     /// reserve has changed.
     pub fn note(&mut self, spec: &JobSpec, replica: &Replica, now: Micros) -> bool {
         let Some(machine_type) = only_fitting_type(spec, replica) else {
@@ -62,13 +60,13 @@
         is_new || !was_recent || reserved_before != demand.per_task
     }
 
-    /// What is reserved on each machine of a type for the jobs that depend on it.
+    /// Capacity reserved on each machine of a type for constrained jobs.
     pub fn reserved_on(&self, machine_type: &str, now: Micros) -> Option<Resources> {
         let demand = self.types.get(machine_type)?;
         demand.is_recent(now).then_some(demand.per_task)
     }
 
-    /// The largest gang seen that fits on this type only.
+    /// Number of tasks of the largest constrained gang seen for a type.
     pub fn largest_gang(&self, machine_type: &str) -> u32 {
         self.types
             .get(machine_type)
@@ -76,9 +74,10 @@
     }
 }
 
-/// The one type on which a job fits, if there is just one.
+/// Returns the machine type on which a job fits if there is exactly one.
 ///
-/// `None` as well while only one type is known: all jobs would depend on it.
+/// Returns `None` while only one machine type is known, because every job would count as
+/// constrained.
 #[must_use]
 pub fn only_fitting_type(spec: &JobSpec, replica: &Replica) -> Option<String> {
     let types = replica.machine_types.values().map(|record| &record.value);
--- a/src/region/hand_over.rs
+++ b/src/region/hand_over.rs
@@ -1,6 +1,7 @@
-//! Pending tasks that are handed over to another region.
+//! Hand-over of pending tasks to another region.
 //!
-//! The leader asks for it; the region that the tasks are bound to changes the job's record.
+//! The leader requests a hand-over. The region to which the tasks are bound commits the new
+//! binding to the job's record.
 
 use salttiller_records::key::Key;
 use salttiller_records::model::{JobId, RangeSet};
@@ -11,12 +12,13 @@
 use super::{Region, SchedulingContext};
 use crate::state_store::CommitPriority;
 
-/// Most ranges of tasks in a job's record: the record must stay small.
+/// Maximum number of task ranges in a job's record, which bounds the size of the record.
 const MAX_TASK_RANGES: usize = 24;
 
 impl Region {
-    /// The leader asks for pending tasks to be handed over to another region. Only tasks that
-    /// are on no machine move; a job whose tasks must keep together moves whole.
+    /// Hands over up to `count` pending tasks of a job to another region at the leader's
+    /// request. Only tasks that are on no machine move. A job whose tasks must be placed
+    /// together moves as a whole.
     pub fn hand_over_tasks(
         &mut self,
         job: &str,
@@ -41,7 +43,7 @@
             return;
         };
         log::debug!(
-            "region={} job={id}: {} tasks handed over to {to:?}",
+            "region={} job={id}: handing over {} tasks to {to:?}",
             self.name,
             tasks.len()
         );
@@ -67,8 +69,8 @@
     }
 }
 
-/// The tasks that may move, `count` at most unless the job's tasks must keep together; `None`
-/// if none may.
+/// Returns the tasks that may move, or `None` if there are none. At most `count` tasks move
+/// unless the job's tasks must be placed together.
 fn tasks_to_hand_over(job: &Job, count: u32) -> Option<RangeSet> {
     if job.tasks.pending().is_empty() {
         return None;
@@ -79,7 +81,8 @@
     (job.tasks.are_all_pending() && job.is_bound_as_a_whole()).then(|| job.tasks.pending().clone())
 }
 
-/// The job's record with these tasks bound to another region; `None` if it would get too large.
+/// Returns the job's record with these tasks bound to another region, or `None` if the record
+/// would exceed `MAX_TASK_RANGES`.
 fn rebound_record(
     record: &JobRecord,
     job: &Job,
@@ -88,7 +91,7 @@
     to: &str,
 ) -> Option<JobRecord> {
     let ranges = rebound_ranges(&record.task_ranges, tasks, from, to);
-    // Once the last part of a gang is bound to no region, the job is bound anew.
+    // Once no part of a gang is bound to a region, the leader binds the whole job again.
     let is_unbound = ranges.iter().all(TaskRange::is_unbound);
     let task_ranges = merge_adjacent(ranges);
     if task_ranges.len() > MAX_TASK_RANGES {
@@ -106,8 +109,8 @@
     })
 }
 
-/// The ranges of a job's tasks, by their first task, once some have moved from one region to
-/// another.
+/// Returns a job's task ranges, ordered by first task, after `tasks` have moved from one region
+/// to another.
 fn rebound_ranges(ranges: &[TaskRange], tasks: &RangeSet, from: &str, to: &str) -> Vec<TaskRange> {
     let mut rebound: Vec<TaskRange> = Vec::new();
     for range in ranges {
@@ -129,7 +132,7 @@
     rebound
 }
 
-/// Joins ranges of the same region that follow each other.
+/// Merges adjacent ranges of the same region.
 fn merge_adjacent(ranges: Vec<TaskRange>) -> Vec<TaskRange> {
     let mut merged: Vec<TaskRange> = Vec::new();
     for range in ranges {
--- a/src/region/hand_over/tests.rs
+++ b/src/region/hand_over/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of records whose tasks are handed over.
+//! Tests of the task ranges in job records after a hand-over.
 
 use super::*;
 
@@ -9,9 +9,10 @@
         .collect()
 }
 
-/// Only tasks of the former region move; neighbouring ranges of one region are joined.
+/// A hand-over rebinds only tasks of the region that hands them over, and adjacent ranges of
+/// one region are merged.
 #[test]
-fn ranges_after_a_hand_over() {
+fn hand_over_moves_only_tasks_of_former_region() {
     let before = ranges(&[(0, 4, "t-0"), (4, 6, "t-1"), (6, 8, "t-0")]);
     for (tasks, after) in [
         (
--- a/src/region/heartbeat_answers.rs
+++ b/src/region/heartbeat_answers.rs
@@ -1,4 +1,4 @@
-//! Commands in the answer to a heartbeat: stops and starts of the machine's tasks.
+//! Commands in the answer to a heartbeat, which stop and start tasks on the machine.
 
 use salttiller_records::model::JobId;
 
@@ -6,18 +6,18 @@
 use super::{Region, SchedulingContext, TaskState};
 use crate::worker_protocol::{Command, MAX_COMMANDS};
 
-/// Tasks of a machine that are to be stopped.
+/// Stop commands for a machine, and assigned tasks that are withdrawn instead.
 #[derive(Default)]
-struct Stops {
+struct StopCommands {
     commands: Vec<Command>,
-    /// Tasks that were not dispatched yet: they are pending again instead.
+    /// Tasks that were not dispatched yet and return to pending without a stop command.
     withdrawn: Vec<(JobId, u32)>,
 }
 
-impl Stops {
-    /// The stops of a machine, `limit` commands at the most.
-    fn of(machine: &Machine, limit: usize) -> Self {
-        let mut stops = Stops::default();
+impl StopCommands {
+    /// Collects up to `limit` stop commands for a machine.
+    fn for_machine(machine: &Machine, limit: usize) -> Self {
+        let mut stops = StopCommands::default();
         for ((id, task), assignment) in &machine.tasks {
             if stops.commands.len() >= limit {
                 break;
@@ -39,8 +39,8 @@
 }
 
 impl Region {
-    /// Completes the answer to a machine's heartbeat: replies about listed tasks, then stops,
-    /// then starts, `MAX_COMMANDS` at the most.
+    /// Builds the commands of the answer to a machine's heartbeat, `MAX_COMMANDS` at most:
+    /// first the replies about reported tasks, then stops, then starts.
     pub(super) fn answer_commands(
         &mut self,
         name: &str,
@@ -52,10 +52,10 @@
             return commands;
         };
         commands.truncate(MAX_COMMANDS);
-        let stops = Stops::of(machine, MAX_COMMANDS - commands.len());
+        let stops = StopCommands::for_machine(machine, MAX_COMMANDS - commands.len());
         commands.extend(stops.commands);
-        // Guards against starts of jobs whose cancellation was confirmed while the state
-        // service rejects this controller: what is known of jobs is some seconds old.
+        // Guards against starting tasks of jobs whose cancellation was already confirmed: while
+        // the state service rejects this controller, its view of jobs is some seconds old.
         if context.may_start {
             let starts = self.dispatch_assigned(name, MAX_COMMANDS - commands.len(), context);
             commands.extend(starts);
@@ -67,7 +67,8 @@
         commands
     }
 
-    /// Dispatches tasks that are assigned to a machine, `limit` at the most.
+    /// Dispatches up to `limit` tasks that are assigned to a machine, and returns their start
+    /// commands.
     fn dispatch_assigned(
         &mut self,
         machine: &str,
--- a/src/region/heartbeat_outcome.rs
+++ b/src/region/heartbeat_outcome.rs
@@ -1,16 +1,16 @@
-//! How the owner of a region answers a heartbeat.
+//! Outcome of a heartbeat at the region's owner.
 
 use crate::worker_protocol::Command;
 
-/// How a heartbeat is answered.
+/// Outcome of a heartbeat, which determines the HTTP answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// Status 200 with these commands.
+    /// The heartbeat is answered with status 200 and these commands.
     Accepted(Vec<Command>),
-    /// Late or repeated: it changes nothing and gets no 200.
+    /// The heartbeat is late or repeated. It has no effect and is not answered with status 200.
     Stale,
-    /// The machine has seen a higher fencing token than ours.
+    /// The machine has seen a higher fencing token than this owner's.
     Superseded,
-    /// No machine of this region.
+    /// The machine does not belong to this region.
     UnknownMachine,
 }
--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -1,7 +1,8 @@
-//! Acceptance of workers' heartbeats.
+//! Processing of workers' heartbeats.
 //!
-//! A heartbeat that is accepted lists all tasks on the machine (see `task_reports`): those
-//! missing are pending again. The answer stops and starts tasks (see `heartbeat_answers`).
+//! A heartbeat lists all tasks on the machine (see `task_reports`). Tasks that are missing from
+//! an accepted heartbeat return to pending. The answer stops and starts tasks (see
+//! `heartbeat_answers`).
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -15,18 +16,18 @@
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::worker_protocol::{Command, Heartbeat};
 
-/// What follows from all tasks that a heartbeat lists.
+/// Result of processing all tasks that a heartbeat lists.
 #[derive(Default)]
 struct ReportedTasks {
-    /// Tasks that run on the machine as they should.
+    /// Tasks that stay on the machine.
     kept: BTreeSet<(JobId, u32)>,
-    /// What the worker is sent about the others.
+    /// Commands to the worker about the other tasks.
     replies: Vec<Command>,
 }
 
 impl Region {
-    /// Applies a heartbeat and returns what to answer. The caller has checked that the region
-    /// is owned and checks it again when the answer is written.
+    /// Applies a heartbeat and returns its outcome. The caller has checked that this controller
+    /// owns the region, and checks that again when the answer is written.
     pub fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -35,8 +36,8 @@
         let Some(name) = self.inventory.shared_name(&heartbeat.machine) else {
             return HeartbeatOutcome::UnknownMachine;
         };
-        if let Some(refusal) = self.refusal(&name, heartbeat) {
-            return refusal;
+        if let Some(rejection) = self.rejection(&name, heartbeat) {
+            return rejection;
         }
         if heartbeat.token < self.token {
             return self.acknowledge_outdated_token(&name, context);
@@ -58,32 +59,32 @@
         HeartbeatOutcome::Accepted(self.answer_commands(&name, replies, context))
     }
 
-    /// Why a heartbeat is not to be applied, if so.
-    fn refusal(&self, name: &str, heartbeat: &Heartbeat) -> Option<HeartbeatOutcome> {
+    /// Returns the outcome of a heartbeat that must not be applied, or `None` if it may be.
+    fn rejection(&self, name: &str, heartbeat: &Heartbeat) -> Option<HeartbeatOutcome> {
         let machine = self.inventory.machine(name)?;
         let is_order_checked = !is_disabled(Safeguard::ReportOrder);
-        // Guards against heartbeats that were held back, and copies: they are as old as their
-        // sequence number says, and what they list may long be untrue.
+        // Guards against delayed and duplicated heartbeats. Their sequence number shows their
+        // age, and the tasks they list may be outdated.
         if heartbeat.id <= machine.last_heartbeat && is_order_checked {
             return Some(HeartbeatOutcome::Stale);
         }
-        // Guards against one that comes in after the machine's lease was found to be expired:
-        // had it been sent since, its session would be a later one.
+        // Guards against a heartbeat that was sent before the machine's lease expired and
+        // arrives afterwards. A heartbeat sent after the expiry has a later incarnation.
         if machine.state == MachineState::LeaseExpired
             && heartbeat.id.incarnation <= machine.last_heartbeat.incarnation
             && is_order_checked
         {
             return Some(HeartbeatOutcome::Stale);
         }
-        // The machine sent it before the cloud took the machine back.
+        // The machine sent the heartbeat before the cloud released the machine.
         if machine.is_gone {
             return Some(HeartbeatOutcome::UnknownMachine);
         }
         (heartbeat.token > self.token).then_some(HeartbeatOutcome::Superseded)
     }
 
-    /// Records a newer heartbeat under the current token. Returns whether it shows that the
-    /// answers before it did not arrive.
+    /// Records a newer heartbeat under the current token. Returns whether it shows that
+    /// earlier answers did not reach the machine.
     fn record_heartbeat(
         &mut self,
         name: &Rc<str>,
@@ -94,7 +95,7 @@
         let acquired_at = self.reconciliation.acquired_at();
         let machine = self.inventory.machine(name);
         let becomes_ready = machine.is_some_and(|machine| machine.state != MachineState::Ready);
-        let was_booting = machine.is_some_and(|machine| machine.is_booting_for(acquired_at));
+        let was_booting = machine.is_some_and(|machine| machine.is_booting_since(acquired_at));
         self.request_activation(name);
         let answers_lost = self
             .inventory
@@ -129,7 +130,7 @@
         reported
     }
 
-    /// Tasks that should be on the machine but are not among those kept are pending again.
+    /// Returns tasks to pending that should be on the machine but are not among `kept`.
     /// Returns whether one of them was dispatched in the last answer.
     fn return_missing_tasks(
         &mut self,
@@ -148,7 +149,7 @@
             .iter()
             .any(|(_, state)| *state == TaskState::Dispatched);
         for ((id, task), _) in missing {
-            self.return_to_pending(&id, task, "not on its machine", context);
+            self.return_to_pending(&id, task, "missing from its machine's heartbeat", context);
         }
         start_ignored
     }
--- a/src/region/interruption.rs
+++ b/src/region/interruption.rs
@@ -1,4 +1,4 @@
-//! Stops with time for a checkpoint: before a spot interruption, and for preemption.
+//! Stops that leave time for a checkpoint, used before a spot interruption and for preemption.
 
 use std::collections::BTreeSet;
 
@@ -8,20 +8,20 @@
 use super::machine::Machine;
 use super::{Region, SchedulingContext};
 
-/// Time that a stop takes beyond the checkpoint itself.
+/// Time that a stop takes in addition to the checkpoint.
 const CHECKPOINT_MARGIN: Micros = SECOND;
 
-/// Whether tasks of the job can write a checkpoint.
+/// Whether tasks of a job can write a checkpoint.
 fn can_checkpoint(spec: &JobSpec) -> bool {
     spec.checkpoint_interval > 0
 }
 
 impl Region {
-    /// Stops tasks that can write a checkpoint in good time on machines that the cloud is
-    /// about to take; others run on as long as they can.
+    /// Stops checkpointing tasks on spot machines that are about to be interrupted, early
+    /// enough to write a checkpoint. Tasks without checkpoints run until the interruption.
     pub(super) fn checkpoint_before_interruption(&mut self, context: &SchedulingContext<'_>) {
         for id in self.jobs_to_checkpoint(context) {
-            self.stop_with_checkpoint(&id, "spot interruption of its machine", |_, machine| {
+            self.stop_with_checkpoint(&id, "spot interruption of the machine", |_, machine| {
                 machine.interruption_at.is_some()
             });
         }
@@ -37,8 +37,8 @@
                 let Some(job) = self.jobs.get(id) else {
                     continue;
                 };
-                // The stop is sent in the answer to the machine's next heartbeat, and to the
-                // other tasks of a gang with theirs.
+                // The stop is sent in the answer to the machine's next heartbeat. The other
+                // tasks of a gang receive theirs with the heartbeats of their own machines.
                 let needed = job.spec.checkpoint_time
                     + 2 * context.settings.heartbeat_interval
                     + CHECKPOINT_MARGIN;
@@ -53,13 +53,14 @@
         due
     }
 
-    /// Stops a job's tasks with enough time for a checkpoint: all of a gang's, since a gang
-    /// can only checkpoint as a whole, of others those on machines that `on` selects.
+    /// Stops a job's tasks with a grace period for a checkpoint. A gang is stopped as a whole,
+    /// since it can only checkpoint as a whole. Of other jobs, the tasks on machines that
+    /// `is_affected` selects are stopped.
     pub(super) fn stop_with_checkpoint(
         &mut self,
         id: &JobId,
         reason: &str,
-        on: impl Fn(&str, &Machine) -> bool,
+        is_affected: impl Fn(&str, &Machine) -> bool,
     ) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -72,7 +73,7 @@
         };
         for (task, name) in job.tasks.on_machines() {
             let machine = self.inventory.machine(name);
-            if !machine.is_some_and(|machine| is_gang || on(name, machine)) {
+            if !machine.is_some_and(|machine| is_gang || is_affected(name, machine)) {
                 continue;
             }
             let Some(assignment) = self.inventory.assignment_mut(name, id, *task) else {
@@ -80,7 +81,7 @@
             };
             if assignment.stop_grace.is_none() {
                 log::info!(
-                    "region={} machine={name} job={id} task={task}: to be stopped: {reason}",
+                    "region={} machine={name} job={id} task={task}: stop requested: {reason}",
                     self.name
                 );
                 assignment.stop_grace = Some(grace);
--- a/src/region/machine.rs
+++ b/src/region/machine.rs
@@ -1,8 +1,7 @@
-//! A machine of the region as the region's owner knows it.
+//! State of a single machine as the region's owner knows it.
 //!
-//! The records of machines are kept by [`MachineInventory`](super::machine_inventory), which
-//! alone changes them: all other modules of the region read the fields only, since the
-//! inventory's indexes must follow each change.
+//! Only the [`MachineInventory`](super::machine_inventory) changes a [`Machine`], because its
+//! indexes must follow each change. All other modules of the region read the fields only.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -20,38 +19,38 @@
 use crate::settings::Settings;
 use crate::worker_protocol::{Heartbeat, HeartbeatId};
 
-/// The boot time that is assumed of a machine whose type is not known yet.
+/// Boot time assumed for a machine whose type is not known yet.
 const DEFAULT_BOOT_TIME: Micros = 60 * SECOND;
 
-/// What the heartbeats of a machine show of it.
+/// State of a machine as derived from its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// No heartbeat under this ownership's fencing token yet.
+    /// The machine has not sent a heartbeat under this ownership's fencing token yet.
     Provisioning,
-    /// It has sent a heartbeat under this ownership's fencing token.
+    /// The machine has sent a heartbeat under this ownership's fencing token.
     Ready,
-    /// No heartbeat for longer than its lease: it runs no task any more.
+    /// The machine has sent no heartbeat for longer than its lease, so it runs no task.
     LeaseExpired,
 }
 
-/// Why a machine gets no more tasks.
+/// Reason for which a machine is cordoned and receives no more tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CordonReason {
-    /// Not needed: drained, then released. The only reason that is taken back.
+    /// The machine is not needed: it is drained, then released. Only this cordon can be reverted.
     Surplus,
-    /// Idle for longer than its idle timeout.
+    /// The machine was idle for longer than its idle timeout.
     Idle,
-    /// No heartbeat while most other machines send theirs, or past its lease.
-    Silent,
-    /// The cloud announced a spot interruption, and the heartbeats ended.
+    /// The machine sent no heartbeat while most other machines did, or its lease expired.
+    NoHeartbeat,
+    /// The cloud announced a spot interruption, and heartbeats stopped.
     Interrupted,
-    /// No heartbeat within the provisioning timeout.
+    /// The machine sent no heartbeat within the provisioning timeout.
     ProvisioningTimeout,
-    /// The cloud no longer has it.
+    /// The machine no longer exists in the cloud.
     Gone,
-    /// The region's answers did not reach it several times.
+    /// The machine was found unreachable by the region's answers several times.
     Unreachable,
-    /// Tasks keep failing on it.
+    /// Tasks keep failing on the machine.
     Faulty,
 }
 
@@ -60,7 +59,7 @@
         f.write_str(match self {
             CordonReason::Surplus => "surplus",
             CordonReason::Idle => "idle",
-            CordonReason::Silent => "no heartbeat",
+            CordonReason::NoHeartbeat => "no heartbeat",
             CordonReason::Interrupted => "spot interruption",
             CordonReason::ProvisioningTimeout => "provisioning timeout",
             CordonReason::Gone => "gone from the cloud",
@@ -70,59 +69,61 @@
     }
 }
 
-/// A machine with its record, its tasks and the state derived from its heartbeats. Times are
-/// those of the steady clock.
+/// A machine with its record, its tasks and the state derived from its heartbeats. All times
+/// are times of the steady clock.
 #[derive(Debug)]
 pub(super) struct Machine {
     pub(super) record: MachineRecord,
     pub(super) pool: MachinePool,
-    /// What the machine type provides; zero while the type is unknown.
+    /// Resources that the machine type provides; zero while the type is unknown.
     pub(super) capacity: Resources,
-    /// What the assigned tasks take.
+    /// Resources in use by the assigned tasks.
     used: Resources,
-    /// The part of `used` taken by flexible tasks, which fit on other machine types too.
+    /// Part of `used` that flexible tasks take, which fit on other machine types too.
     used_by_flexible: Resources,
-    /// Where the machine index lists it.
+    /// The machine's current entry in the machine index.
     pub(super) index_entry: IndexEntry,
     pub(super) state: MachineState,
-    /// The newest heartbeat under this ownership's fencing token.
+    /// Newest heartbeat under this ownership's fencing token.
     pub(super) last_heartbeat: HeartbeatId,
-    /// When a heartbeat was last answered by this owner, or the last time at which a former
-    /// owner may have answered one. The machine's lease runs from here at the latest.
+    /// Time at which this owner last answered a heartbeat, or the last time at which a former
+    /// owner may have answered one. The machine's lease starts at this time at the latest.
     pub(super) last_answered_at: Micros,
-    /// When `last_heartbeat` came in; before the first, when the machine became known.
+    /// Time at which `last_heartbeat` arrived, or at which the machine became known if there was
+    /// no heartbeat yet.
     pub(super) last_heartbeat_at: Micros,
-    /// Since when its heartbeats have come in and been answered without a gap.
+    /// Time since which heartbeats have arrived and been answered without a gap.
     answered_without_gap_since: Micros,
-    /// Answers to heartbeats with an outdated token since the last one with the current token.
+    /// Number of answers to heartbeats with an outdated token since the last heartbeat with the
+    /// current token.
     pub(super) unconfirmed_answers: u32,
     pub(super) reachability: Reachability,
-    /// When the machine was assigned to the region, or first seen by this owner.
+    /// Time at which the machine was assigned to the region, or was first seen by this owner.
     pub(super) assigned_at: Micros,
-    /// How long machines of its type usually take to boot.
+    /// Usual boot time of the machine type.
     pub(super) boot_time: Micros,
-    /// When the cloud takes the machine away, once it has announced that.
+    /// Time of the spot interruption that the cloud has announced.
     pub(super) interruption_at: Option<Micros>,
     /// Tasks on the machine or assigned to it, by job and number.
     pub(super) tasks: BTreeMap<(JobId, u32), Assignment>,
     pub(super) idle_since: Micros,
     pub(super) failures: MachineFailures,
-    /// Container images that it has or that assigned tasks bring to it.
+    /// Container images that are on the machine, or that assigned tasks will fetch to it.
     images: BTreeSet<String>,
-    /// Why it gets no more tasks, if so.
+    /// Reason of the cordon if the machine is cordoned.
     pub(super) cordoned: Option<CordonReason>,
-    /// A request for its release is under way.
+    /// Whether a release request is in flight.
     pub(super) releasing: bool,
-    /// The cloud has confirmed that it no longer exists.
+    /// Whether the cloud has confirmed that the machine no longer exists.
     pub(super) is_gone: bool,
-    /// It should have booted by now.
+    /// Whether the machine has exceeded its expected boot time.
     pub(super) is_overdue: bool,
-    /// When it is checked next; `Micros::MAX` if no check is scheduled.
+    /// Time of the next check; `Micros::MAX` if no check is scheduled.
     pub(super) next_check_at: Micros,
 }
 
 impl Machine {
-    /// A machine that becomes known at `now`.
+    /// Creates a machine that becomes known at `now`.
     pub(super) fn new(
         record: MachineRecord,
         pool: MachinePool,
@@ -158,13 +159,13 @@
         }
     }
 
-    /// Capacity that no task takes.
+    /// Free capacity of the machine.
     pub(super) fn free(&self) -> Resources {
         self.capacity.minus(self.used)
     }
 
-    /// The part of its free capacity that flexible tasks may take, which fit on other machine
-    /// types too. `reserved`: what is reserved on each machine of its pool.
+    /// Part of the free capacity that flexible tasks may use. `reserved` is the capacity reserved
+    /// on each machine of the pool.
     fn free_for_flexible(&self, reserved: Option<Resources>) -> Resources {
         match reserved {
             Some(reserved) => {
@@ -175,7 +176,8 @@
         }
     }
 
-    /// How the index is to list it. `reserved`: what is reserved on each machine of its pool.
+    /// Index entry that matches the machine's current state. `reserved` is the capacity reserved
+    /// on each machine of the pool.
     pub(super) fn expected_index_entry(&self, reserved: Option<Resources>) -> IndexEntry {
         if self.is_unreachable() {
             IndexEntry::Unlisted
@@ -192,12 +194,12 @@
         }
     }
 
-    /// Whether it has a container image, or an assigned task brings it.
+    /// Whether a container image is on the machine, or an assigned task will fetch it.
     pub(super) fn has_image(&self, image: &str) -> bool {
         self.images.contains(image)
     }
 
-    /// Whether the machine index may list it, now or once it has booted.
+    /// Whether the machine can accept tasks, now or once it has booted.
     pub(super) fn is_usable(&self) -> bool {
         self.cordoned.is_none()
             && self.interruption_at.is_none()
@@ -205,36 +207,36 @@
             && self.capacity != Resources::ZERO
     }
 
-    /// Whether it holds tasks of the kind that justify its cost: of a `reserved` pool those of
-    /// constrained jobs, of any other pool all.
-    pub(super) fn serves_its_purpose(&self, reserved: bool) -> bool {
+    /// Whether a task on the machine justifies its cost. In a pool with reserved capacity
+    /// (`reserved`) only tasks of constrained jobs do, in any other pool all tasks.
+    pub(super) fn justifies_its_cost(&self, reserved: bool) -> bool {
         self.tasks
             .values()
             .any(|assignment| assignment.constrained || !reserved)
     }
 
-    /// Whether tasks may be assigned to it, reachability aside.
+    /// Whether tasks may be assigned to the machine, regardless of its reachability.
     pub(super) fn accepts_tasks(&self) -> bool {
         self.state == MachineState::Ready && self.record.activated && self.is_usable()
     }
 
-    /// Whether the region's answers are known not to reach it.
+    /// Whether the region's answers are known not to reach the machine.
     pub(super) fn is_unreachable(&self) -> bool {
         matches!(self.reachability, Reachability::Unreachable { .. })
     }
 
-    /// Whether it has sent no heartbeat under this ownership's fencing token.
+    /// Whether the machine has sent no heartbeat under this ownership's fencing token.
     pub(super) fn has_never_reported(&self) -> bool {
         self.last_heartbeat == HeartbeatId::NONE
     }
 
-    /// Whether it was assigned to the region under this ownership and has not reported yet. No
-    /// former owner can have started tasks on it.
-    pub(super) fn is_booting_for(&self, acquired_at: Micros) -> bool {
+    /// Whether the machine was assigned to the region after `acquired_at` and has not sent a
+    /// heartbeat yet. No former owner can have started tasks on such a machine.
+    pub(super) fn is_booting_since(&self, acquired_at: Micros) -> bool {
         self.has_never_reported() && self.assigned_at > acquired_at
     }
 
-    /// Adds a task, which brings its image to the machine.
+    /// Adds a task and its container image to the machine.
     pub(super) fn add_assignment(
         &mut self,
         task: (JobId, u32),
@@ -251,8 +253,9 @@
         self.tasks.insert(task, assignment);
     }
 
-    /// Removes a task. The machine is idle from `now` on if the task was on it and no other
-    /// task justifies its cost; see [`Machine::serves_its_purpose`] for `reserved`.
+    /// Removes a task. The machine counts as idle from `now` on if the task was dispatched and
+    /// was the last one that justified the machine's cost; see [`Machine::justifies_its_cost`]
+    /// for `reserved`.
     pub(super) fn remove_assignment(
         &mut self,
         task: &(JobId, u32),
@@ -264,9 +267,9 @@
         if !assignment.constrained {
             self.used_by_flexible = self.used_by_flexible.minus(assignment.resources());
         }
-        let served_its_purpose = assignment.constrained || !reserved;
-        if served_its_purpose
-            && !self.serves_its_purpose(reserved)
+        let justified_cost = assignment.constrained || !reserved;
+        if justified_cost
+            && !self.justifies_its_cost(reserved)
             && assignment.state != TaskState::Assigned
         {
             self.idle_since = now;
@@ -274,8 +277,8 @@
         Some(assignment)
     }
 
-    /// A task that was to bring an image to the machine is not started there: unless another
-    /// task of its job is, the machine won't have the image.
+    /// Handles the removal of an undispatched task that would have fetched an image. The image
+    /// is removed from the machine unless another task of the same job will fetch it.
     pub(super) fn forget_image(&mut self, id: &JobId, image: &str) {
         let first = (id.clone(), 0);
         let mut others = self.tasks.range_mut(first..);
@@ -287,9 +290,9 @@
         }
     }
 
-    /// Takes over a newer heartbeat under the current token. Returns whether the worker's
-    /// session restarted although its heartbeats had been answered without a gap, which shows
-    /// that the answers do not arrive.
+    /// Applies a newer heartbeat under the current token. Returns whether the worker's session
+    /// restarted although its heartbeats had been answered without a gap, which shows that the
+    /// answers do not reach the machine.
     pub(super) fn record_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -301,8 +304,8 @@
         if now > self.last_answered_at + 2 * settings.heartbeat_interval + SECOND {
             self.answered_without_gap_since = now;
         }
-        // Answered without a gap for the better part of a lease: one answer alone may have
-        // been to a heartbeat that came late.
+        // A single answer is no evidence, since it may have answered a delayed heartbeat. The
+        // answers must have been without a gap for three quarters of a lease.
         let answered = now > self.answered_without_gap_since + settings.worker_lease * 3 / 4;
         self.last_heartbeat = heartbeat.id;
         self.last_heartbeat_at = now;
--- a/src/region/machine_checks.rs
+++ b/src/region/machine_checks.rs
@@ -1,7 +1,7 @@
-//! Periodic checks of single machines: silent, late to boot, idle, or surplus.
+//! Periodic checks that find machines without heartbeats, late to boot, idle, or surplus.
 //!
-//! Each machine has a time of its next check in the inventory. A check depends on the
-//! machine's state: one function for each state decides what is to be done.
+//! The inventory schedules the next check of each machine. For each machine state, one function
+//! decides whether the machine is released or checked again later.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -14,47 +14,47 @@
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::settings::Settings;
 
-/// Machines are billed for a minute at least: none is released before that is nearly over.
+/// Minimum age at which an idle machine is released. Machines are billed for at least a minute.
 pub(super) const MIN_BILLED_AGE: Micros = 50 * SECOND;
-/// Added to a lease before it counts as expired.
+/// Margin after the end of a lease before the lease counts as expired.
 const LEASE_MARGIN: Micros = SECOND;
-/// Time past its lease for which a machine whose lease expired may still report.
+/// Time after its lease expired during which a machine may still report before it is released.
 const EXPIRED_LEASE_GRACE: Micros = 5 * SECOND;
-/// Least time between two checks of a machine.
+/// Minimum time between two checks of a machine.
 const MIN_CHECK_INTERVAL: Micros = SECOND / 2;
-/// Time between checks of an idle machine that pending jobs may use.
-const WANTED_CHECK_INTERVAL: Micros = 2 * SECOND;
+/// Time between checks of an idle machine that pending jobs may need.
+const PENDING_DEMAND_CHECK_INTERVAL: Micros = 2 * SECOND;
 /// Time between checks of an overdue machine.
 const OVERDUE_CHECK_INTERVAL: Micros = 10 * SECOND;
-/// Idle timeout of machines of a reserved pool beyond what is likely to be needed next.
-const SPARE_IDLE_TIMEOUT: Micros = 5 * SECOND;
-/// Least idle timeout of machines of a reserved pool while the pool's provisioning is in trouble.
-const TROUBLED_IDLE_TIMEOUT: Micros = 300 * SECOND;
-/// How many of the next pending jobs are considered for an idle machine.
+/// Idle timeout in a reserved pool while it has more idle machines than its largest gang needs.
+const SURPLUS_IDLE_TIMEOUT: Micros = 5 * SECOND;
+/// Minimum idle timeout in a reserved pool while the pool's provisioning is degraded.
+const DEGRADED_POOL_IDLE_TIMEOUT: Micros = 300 * SECOND;
+/// Number of pending jobs, in queue order, that are considered for an idle machine.
 const PENDING_JOBS_CONSIDERED: usize = 20;
-/// How many times the boot time a machine idles at the most, by its price advantage.
+/// Maximum factor by which a price advantage extends the idle timeout beyond the boot time.
 const MAX_PRICE_ADVANTAGE: f64 = 10.0;
 
-/// How long no heartbeat may come from a machine before it counts as silent: three and a
-/// half report intervals and some delay.
-fn silence_timeout(settings: &Settings) -> Micros {
+/// Time without a heartbeat after which a machine counts as lost: three and a half heartbeat
+/// intervals and some delay.
+fn heartbeat_timeout(settings: &Settings) -> Micros {
     settings.heartbeat_interval * 18 / 5
 }
 
-/// The same for an unreconciled machine: the longest report interval, one heartbeat to a
-/// controller that is gone, a second to the next, and a margin. Work that was bound before
-/// the change of ownership waits for all of these machines.
-fn unreconciled_silence_timeout(settings: &Settings) -> Micros {
-    (settings.heartbeat_interval * 5 / 4 + 8 * SECOND).min(silence_timeout(settings))
+/// Heartbeat timeout of an unreconciled machine: the longest heartbeat interval, one heartbeat
+/// to a controller that no longer runs, a second until the next one, and a margin. The timeout
+/// is short because all tasks bound before the change of ownership wait for these machines.
+fn unreconciled_heartbeat_timeout(settings: &Settings) -> Micros {
+    (settings.heartbeat_interval * 5 / 4 + 8 * SECOND).min(heartbeat_timeout(settings))
 }
 
-/// When a machine whose interruption time has passed counts as taken by the cloud: after a
-/// report interval and a half without a heartbeat.
-fn interrupted_silence_timeout(settings: &Settings) -> Micros {
+/// Heartbeat timeout of a machine whose interruption time has passed: one and a half heartbeat
+/// intervals.
+fn interrupted_heartbeat_timeout(settings: &Settings) -> Micros {
     settings.heartbeat_interval * 3 / 2
 }
 
-/// The longest time for which a worker keeps tasks after an answer, its clock's drift included.
+/// Maximum time for which a worker keeps tasks after an answer, including its clock drift.
 fn lease_time(settings: &Settings) -> Micros {
     if is_disabled(Safeguard::LeaseWait) {
         settings.heartbeat_interval
@@ -63,45 +63,45 @@
     }
 }
 
-/// When a machine that is still booting is overdue: the leader stops counting on it, though
-/// it may yet boot.
+/// Time at which a booting machine becomes overdue. The leader no longer counts on an overdue
+/// machine, although it may still boot.
 fn overdue_at(machine: &Machine) -> Micros {
     machine.assigned_at + machine.boot_time * 8 / 5 + 4 * SECOND
 }
 
-/// What a check decides.
+/// Decision of a check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CheckOutcome {
     /// Check the machine again at this time.
     CheckAt(Micros),
     /// Release the machine.
     Release(CordonReason),
-    /// No further checks: the machine is gone, or its release is under way.
+    /// Stop checking the machine, which is gone or whose release is in flight.
     Stop,
 }
 
-/// What the lack of heartbeats shows of a machine.
+/// Liveness of a machine as shown by its last heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Silence {
-    /// It reports, or may still do.
-    NotSilent,
-    /// It runs no task any more.
+enum Liveness {
+    /// The machine sends heartbeats, or may still do so.
+    Alive,
+    /// The lease expired, so the machine runs no task.
     LeaseExpired,
-    /// It is gone or cut off: the cloud's answer to its release proves it empty long before
-    /// its lease would.
+    /// The machine is gone or disconnected. The cloud's confirmation of its release proves that
+    /// it runs no task, long before its lease expires.
     Lost(CordonReason),
 }
 
-/// What the checks of one pass have in common.
+/// State shared by the checks of one pass.
 struct CheckPass<'a> {
     context: &'a SchedulingContext<'a>,
-    /// Whether most machines report. If not, the fault is on this side. Counted when a check
-    /// first asks for it: most passes have no silent machine.
+    /// Whether most machines send heartbeats. If they do not, this controller is probably at
+    /// fault. Computed on first use, since most passes find every machine alive.
     most_report: OnceCell<bool>,
 }
 
 impl Region {
-    /// Checks the machines whose next check is due, and requests releases.
+    /// Checks the machines whose next check is due, and requests releases from the cloud.
     pub(super) fn check_due_machines(&mut self, context: &SchedulingContext<'_>) {
         let pass = CheckPass {
             context,
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Whether at least half of the activated machines reported lately.
+    /// Whether at least half of the activated machines sent a heartbeat within the last three
+    /// heartbeat intervals.
     fn most_machines_report(&self, context: &SchedulingContext<'_>) -> bool {
         let since = context
             .now
@@ -142,10 +143,10 @@
         if machine.is_gone || machine.releasing {
             return CheckOutcome::Stop;
         }
-        match self.silence(name, machine, pass) {
-            Silence::NotSilent => {}
-            Silence::Lost(reason) => return CheckOutcome::Release(reason),
-            Silence::LeaseExpired => {
+        match self.liveness(name, machine, pass) {
+            Liveness::Alive => {}
+            Liveness::Lost(reason) => return CheckOutcome::Release(reason),
+            Liveness::LeaseExpired => {
                 log::info!("region={} machine={name}: lease expired", self.name);
                 self.on_machine_empty(name, pass.context);
                 self.try_complete_reconciliation(pass.context);
@@ -160,60 +161,62 @@
         }
     }
 
-    /// What a machine's last heartbeat shows, if it is to send any.
-    fn silence(&self, name: &str, machine: &Machine, pass: &CheckPass<'_>) -> Silence {
-        let must_report = match machine.state {
+    /// Liveness of a machine. A machine that is not expected to send heartbeats counts as alive.
+    fn liveness(&self, name: &str, machine: &Machine, pass: &CheckPass<'_>) -> Liveness {
+        let heartbeat_expected = match machine.state {
             MachineState::LeaseExpired => false,
             MachineState::Ready => true,
             MachineState::Provisioning => {
                 machine.record.activated
-                    && !machine.is_booting_for(self.reconciliation.acquired_at())
+                    && !machine.is_booting_since(self.reconciliation.acquired_at())
             }
         };
-        if !must_report {
-            return Silence::NotSilent;
+        if !heartbeat_expected {
+            return Liveness::Alive;
         }
         let (now, settings) = (pass.context.now, pass.context.settings);
-        let silent_for = |timeout: Micros| now > machine.last_heartbeat_at + timeout;
+        let no_heartbeat_for = |timeout: Micros| now > machine.last_heartbeat_at + timeout;
         let was_interrupted = machine
             .interruption_at
             .is_some_and(|interruption_at| now > interruption_at + SECOND);
         if now > Self::lease_expires_at(machine, settings) {
-            Silence::LeaseExpired
-        } else if was_interrupted && silent_for(interrupted_silence_timeout(settings)) {
-            Silence::Lost(CordonReason::Interrupted)
-        } else if silent_for(self.silence_timeout_of(name, settings))
+            Liveness::LeaseExpired
+        } else if was_interrupted && no_heartbeat_for(interrupted_heartbeat_timeout(settings)) {
+            Liveness::Lost(CordonReason::Interrupted)
+        } else if no_heartbeat_for(self.heartbeat_timeout_of(name, settings))
             && machine.record.activated
             && *pass
                 .most_report
                 .get_or_init(|| self.most_machines_report(pass.context))
         {
-            Silence::Lost(CordonReason::Silent)
+            Liveness::Lost(CordonReason::NoHeartbeat)
         } else {
-            Silence::NotSilent
+            Liveness::Alive
         }
     }
 
-    fn silence_timeout_of(&self, name: &str, settings: &Settings) -> Micros {
+    fn heartbeat_timeout_of(&self, name: &str, settings: &Settings) -> Micros {
         if self.reconciliation.is_unreconciled(name) {
-            unreconciled_silence_timeout(settings)
+            unreconciled_heartbeat_timeout(settings)
         } else {
-            silence_timeout(settings)
+            heartbeat_timeout(settings)
         }
     }
 
-    /// When a machine that stays silent is certain to run no task. Nobody else can have
-    /// answered it since the region was acquired, and any answer before is older than that.
+    /// Time from which a machine without heartbeats is certain to run no task. No other
+    /// controller can have answered it since the region was acquired, and all earlier answers
+    /// are older than `last_answered_at`.
     fn lease_expires_at(machine: &Machine, settings: &Settings) -> Micros {
         machine.last_answered_at + lease_time(settings) + LEASE_MARGIN
     }
 
-    /// A machine whose lease expired is released unless it reports again.
+    /// Checks a machine whose lease expired. It is released unless it sends a heartbeat again.
     fn check_expired(&self, name: &str, context: &SchedulingContext<'_>) -> CheckOutcome {
         let Some(machine) = self.inventory.machine(name) else {
             return CheckOutcome::Stop;
         };
-        // Known since the region was acquired and never seen to report: it may be booting.
+        // A machine that was inherited with the region and has never sent a heartbeat may still
+        // be booting.
         let boot_time = if machine.has_never_reported() {
             3 * machine.boot_time
         } else {
@@ -224,13 +227,14 @@
             + lease_time(context.settings)
             + EXPIRED_LEASE_GRACE;
         if context.now > release_at {
-            CheckOutcome::Release(CordonReason::Silent)
+            CheckOutcome::Release(CordonReason::NoHeartbeat)
         } else {
             CheckOutcome::CheckAt(release_at)
         }
     }
 
-    /// A machine that boots is first overdue, then released.
+    /// Checks a machine without a heartbeat yet. A booting machine first becomes overdue, and is
+    /// released after the provisioning timeout.
     fn check_provisioning(
         &mut self,
         name: &Rc<str>,
@@ -240,12 +244,12 @@
         let Some(machine) = self.inventory.machine(name) else {
             return CheckOutcome::Stop;
         };
-        let is_booting = machine.is_booting_for(self.reconciliation.acquired_at());
+        let is_booting = machine.is_booting_since(self.reconciliation.acquired_at());
         if machine.record.activated && !is_booting {
-            let silent_at =
-                machine.last_heartbeat_at + self.silence_timeout_of(name, context.settings);
+            let heartbeat_timeout_at =
+                machine.last_heartbeat_at + self.heartbeat_timeout_of(name, context.settings);
             let expires_at = Self::lease_expires_at(machine, context.settings);
-            return CheckOutcome::CheckAt((now + SECOND).max(silent_at.min(expires_at)));
+            return CheckOutcome::CheckAt((now + SECOND).max(heartbeat_timeout_at.min(expires_at)));
         }
         let overdue_at = overdue_at(machine);
         let (pool, boot_time) = (machine.pool.clone(), machine.boot_time);
@@ -269,7 +273,7 @@
     fn on_overdue(&mut self, name: &Rc<str>, pool: &MachinePool, now: Micros) {
         if let Some(overdue) = self.inventory.machine_overdue(name, now) {
             log::info!(
-                "region={}: provisioning in trouble: {overdue} machines of type {} in zone {} \
+                "region={}: provisioning degraded: {overdue} machines of type {} in zone {} \
                  overdue",
                 self.name,
                 pool.machine_type,
@@ -278,7 +282,7 @@
         }
     }
 
-    /// A machine that reports is released, or drained, once it idles for too long.
+    /// Checks a machine that sends heartbeats. It is released or drained after its idle timeout.
     fn check_ready(&mut self, name: &Rc<str>, context: &SchedulingContext<'_>) -> CheckOutcome {
         let now = context.now;
         self.inventory.set_overdue(name, false);
@@ -286,19 +290,20 @@
             return CheckOutcome::Stop;
         };
         let regular = next_regular_check(machine, context);
-        if machine.serves_its_purpose(self.inventory.is_reserved(machine)) {
+        if machine.justifies_its_cost(self.inventory.is_reserved(machine)) {
             return CheckOutcome::CheckAt(regular);
         }
         let idle_since = machine.idle_since.max(machine.assigned_at);
         let surplus_at = (machine.assigned_at + MIN_BILLED_AGE)
             .max(idle_since + self.idle_timeout(machine, context));
-        let is_surplus = now > surplus_at && !self.is_wanted_by_pending_jobs(machine);
+        let is_surplus = now > surplus_at && !self.is_needed_by_pending_jobs(machine);
         if machine.cordoned.is_some() || is_surplus {
             if machine.tasks.is_empty() {
                 return CheckOutcome::Release(CordonReason::Idle);
             }
-            // Guards against a large machine that stays for the sake of small tasks in the
-            // corner that is left beside a large one: it gets no more of them.
+            // Guards against keeping a large machine of a reserved pool only for small flexible
+            // tasks that filled the capacity beside a large task. Draining it keeps further
+            // flexible tasks away.
             if machine.cordoned.is_none() {
                 log::debug!(
                     "region={} machine={name}: draining, only flexible tasks left",
@@ -311,19 +316,19 @@
         let again = if surplus_at > now {
             surplus_at
         } else {
-            now + WANTED_CHECK_INTERVAL
+            now + PENDING_DEMAND_CHECK_INTERVAL
         };
         CheckOutcome::CheckAt(regular.min(again))
     }
 
-    /// How long a machine may idle before it is released. To idle for as long as a new
-    /// machine takes to boot costs as much as that boot: beyond it, releasing is the cheaper
-    /// guess. Of a reserved pool no more machines wait than the largest gang takes: those
-    /// beyond are needed later than a new one would be up.
+    /// Time for which a machine may idle before it is released. Idling for one boot time costs
+    /// as much as booting a new machine, so beyond that a release is expected to be cheaper.
+    /// Idle machines of a reserved pool beyond the size of its largest gang are released early,
+    /// because a new machine would boot before they are needed.
     fn idle_timeout(&self, machine: &Machine, context: &SchedulingContext<'_>) -> Micros {
         let usual = context.settings.operator.idle_timeout.unwrap_or_else(|| {
-            // Idle time of a cheap machine costs less than the expensive ones that work would
-            // go to instead: those are to leave first.
+            // Idling a cheap machine costs less than running its work on an expensive machine,
+            // so expensive machines are released first.
             let price_advantage = self.price_advantage(&machine.pool, context);
             (machine.boot_time as f64 * price_advantage) as Micros
         });
@@ -331,21 +336,21 @@
         let Some(pool) = pool.filter(|pool| pool.reserved.is_some()) else {
             return usual;
         };
-        if self.inventory.provisioning().is_in_trouble(&machine.pool) {
-            // Machines that are up can't be replaced at present.
-            return usual.max(TROUBLED_IDLE_TIMEOUT);
+        if self.inventory.provisioning().is_degraded(&machine.pool) {
+            // Running machines cannot be replaced while provisioning is degraded.
+            return usual.max(DEGRADED_POOL_IDLE_TIMEOUT);
         }
         let constrained_types = self.inventory.constrained_types();
         let largest_gang = constrained_types.largest_gang(&machine.record.machine_type);
         if pool.idle_count() > largest_gang as usize {
-            usual.min(SPARE_IDLE_TIMEOUT)
+            usual.min(SURPLUS_IDLE_TIMEOUT)
         } else {
             usual
         }
     }
 
-    /// The highest price of a processor open to all work, as a multiple of the pool's; between
-    /// 1 and `MAX_PRICE_ADVANTAGE`.
+    /// Ratio of the highest price per processor among unreserved pools to the price of this
+    /// pool, clamped to between 1 and `MAX_PRICE_ADVANTAGE`.
     fn price_advantage(&self, pool: &MachinePool, context: &SchedulingContext<'_>) -> f64 {
         let price = |pool: &MachinePool| {
             let machine_type = context.replica.machine_types.get(&*pool.machine_type)?;
@@ -354,15 +359,15 @@
         let pools = self.inventory.index().pools();
         let highest = pools
             .filter(|(_, index)| index.available_count > 0 && index.reserved.is_none())
-            .filter_map(|(open, _)| price(open))
+            .filter_map(|(unreserved, _)| price(unreserved))
             .fold(0.0, f64::max);
         price(pool)
             .filter(|own| *own > 0.0)
             .map_or(1.0, |own| (highest / own).clamp(1.0, MAX_PRICE_ADVANTAGE))
     }
 
-    /// Whether one of the next pending jobs may run on a machine.
-    fn is_wanted_by_pending_jobs(&self, machine: &Machine) -> bool {
+    /// Whether one of the next pending jobs could run on a machine.
+    fn is_needed_by_pending_jobs(&self, machine: &Machine) -> bool {
         let reserved = self.inventory.is_reserved(machine);
         self.queue
             .first(PENDING_JOBS_CONSIDERED)
@@ -372,10 +377,11 @@
     }
 }
 
-/// When a machine that reports is checked if nothing else happens.
+/// Time of the next check of a machine that sends heartbeats, if no event requests an earlier
+/// one.
 fn next_regular_check(machine: &Machine, context: &SchedulingContext<'_>) -> Micros {
-    let silent_at = machine.last_heartbeat_at + silence_timeout(context.settings);
-    let next = silent_at.max(context.now + context.settings.heartbeat_interval);
+    let heartbeat_timeout_at = machine.last_heartbeat_at + heartbeat_timeout(context.settings);
+    let next = heartbeat_timeout_at.max(context.now + context.settings.heartbeat_interval);
     match machine.interruption_at {
         Some(interruption_at) => next.min(interruption_at + 2 * SECOND),
         None => next,
--- a/src/region/machine_index.rs
+++ b/src/region/machine_index.rs
@@ -1,8 +1,7 @@
-//! The index that placement searches: the region's machines by pool, free capacity and number
-//! of tasks.
+//! Index of the region's machines by pool, free capacity and number of tasks.
 //!
-//! The machine inventory keeps it up to date with each change of a machine, so that no event
-//! has to walk all machines.
+//! Placement searches this index. The machine inventory updates it with each change of a
+//! machine, so that no event has to iterate over all machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -12,59 +11,62 @@
 
 use super::machine_pool::MachinePool;
 
-/// Steps into which each resource of a machine is divided.
-const STEPS: u8 = 32;
-/// How many machines of a step are compared: those with the fewest tasks.
-const CANDIDATES_PER_STEP: usize = 6;
+/// Number of equal divisions of each resource of a machine.
+const DIVISIONS_PER_RESOURCE: u8 = 32;
+/// Number of machines of a bucket that are compared, those with the fewest tasks first.
+const CANDIDATES_PER_BUCKET: usize = 6;
 
-/// Free capacity in steps of the machine's capacity: processors, GPUs, memory. Machines of the
-/// same step are listed together.
-type Step = (u8, u8, u8);
+/// Free processors, GPUs and memory in divisions of the machine's capacity. Machines with equal
+/// values are indexed together.
+type CapacityBucket = (u8, u8, u8);
 
-/// The step of a machine with this free capacity.
-fn step_of(free: Resources, capacity: Resources) -> Step {
-    let steps = |free: u64, capacity: u64| {
-        let all = u64::from(STEPS);
+/// Bucket of a machine with this free capacity, rounded down.
+fn bucket_of(free: Resources, capacity: Resources) -> CapacityBucket {
+    let divisions = |free: u64, capacity: u64| {
+        let all = u64::from(DIVISIONS_PER_RESOURCE);
         (free * all).checked_div(capacity).unwrap_or(all).min(all) as u8
     };
     (
-        steps(free.cpus, capacity.cpus),
-        steps(free.gpus, capacity.gpus),
-        steps(free.memory, capacity.memory),
+        divisions(free.cpus, capacity.cpus),
+        divisions(free.gpus, capacity.gpus),
+        divisions(free.memory, capacity.memory),
     )
 }
 
-/// The least free capacity of a machine in this step.
-fn least_free(step: Step, capacity: Resources) -> Resources {
-    let least = |steps: u8, capacity: u64| (capacity * u64::from(steps)).div_ceil(u64::from(STEPS));
+/// Minimum free capacity of a machine in this bucket.
+fn least_free(bucket: CapacityBucket, capacity: Resources) -> Resources {
+    let least = |divisions: u8, capacity: u64| {
+        (capacity * u64::from(divisions)).div_ceil(u64::from(DIVISIONS_PER_RESOURCE))
+    };
     Resources {
-        cpus: least(step.0, capacity.cpus),
-        gpus: least(step.1, capacity.gpus),
-        memory: least(step.2, capacity.memory),
+        cpus: least(bucket.0, capacity.cpus),
+        gpus: least(bucket.1, capacity.gpus),
+        memory: least(bucket.2, capacity.memory),
     }
 }
 
-/// How the index lists a machine.
+/// Entry of a machine in the index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) enum IndexEntry {
-    /// Not at all.
+    /// The machine is not in the index.
     #[default]
     Unlisted,
-    /// Expected to boot.
+    /// The machine is expected to boot.
     Provisioning,
-    /// Tasks may be assigned to it.
+    /// Tasks may be assigned to the machine.
     Available {
         /// Free capacity.
         free: Resources,
-        /// The part of it open to flexible tasks, which fit on other machine types too.
+        /// Part of the free capacity that flexible tasks may use.
         free_for_flexible: Resources,
-        /// Number of tasks on it or assigned to it.
+        /// Number of tasks on the machine or assigned to it.
         task_count: u32,
     },
 }
 
 impl IndexEntry {
-    /// Free capacity of an available machine for flexible or constrained tasks.
+    /// Free capacity of an available machine for flexible or constrained tasks; `None` if the
+    /// machine is not available.
     pub(super) fn free_for(self, flexible: bool) -> Option<Resources> {
         match self {
             IndexEntry::Available {
@@ -76,44 +78,44 @@
     }
 }
 
-/// Available machines by step, then by number of tasks.
+/// Available machines by bucket, then by number of tasks.
 #[derive(Debug, Default)]
-struct MachinesByStep(BTreeMap<Step, BTreeSet<(u32, Rc<str>)>>);
+struct MachinesByBucket(BTreeMap<CapacityBucket, BTreeSet<(u32, Rc<str>)>>);
 
-impl MachinesByStep {
-    fn insert(&mut self, step: Step, task_count: u32, name: &Rc<str>) {
-        let machines = self.0.entry(step).or_default();
+impl MachinesByBucket {
+    fn insert(&mut self, bucket: CapacityBucket, task_count: u32, name: &Rc<str>) {
+        let machines = self.0.entry(bucket).or_default();
         machines.insert((task_count, name.clone()));
     }
 
-    fn remove(&mut self, step: Step, task_count: u32, name: &Rc<str>) {
-        if let Some(machines) = self.0.get_mut(&step) {
+    fn remove(&mut self, bucket: CapacityBucket, task_count: u32, name: &Rc<str>) {
+        if let Some(machines) = self.0.get_mut(&bucket) {
             machines.remove(&(task_count, name.clone()));
             if machines.is_empty() {
-                self.0.remove(&step);
+                self.0.remove(&bucket);
             }
         }
     }
 }
 
-/// The machines of one pool.
+/// Index of the machines of one pool.
 #[derive(Debug, Default)]
 pub(super) struct PoolIndex {
-    /// What each machine provides.
+    /// Capacity of each machine.
     pub capacity: Resources,
-    /// What is reserved on each machine for tasks that fit on no other type.
+    /// Capacity reserved on each machine for constrained tasks.
     pub reserved: Option<Resources>,
-    by_free_capacity: MachinesByStep,
-    by_flexible_capacity: MachinesByStep,
+    by_free_capacity: MachinesByBucket,
+    by_flexible_capacity: MachinesByBucket,
     /// Machines that are expected to boot.
     pub provisioning: BTreeSet<Rc<str>>,
-    /// How many machines are available.
+    /// Number of available machines.
     pub available_count: u32,
 }
 
 impl PoolIndex {
-    /// Machines by their free capacity for flexible or constrained tasks.
-    fn by_capacity_for(&self, flexible: bool) -> &MachinesByStep {
+    /// Available machines by their free capacity for flexible or constrained tasks.
+    fn by_capacity_for(&self, flexible: bool) -> &MachinesByBucket {
         if flexible && self.reserved.is_some() {
             &self.by_flexible_capacity
         } else {
@@ -121,28 +123,29 @@
         }
     }
 
-    /// For each step with available machines the least free capacity and their number.
-    pub(super) fn free_capacity_steps(&self) -> impl Iterator<Item = (Resources, u32)> + '_ {
-        let steps = self.by_free_capacity.0.iter();
-        steps.map(|(step, machines)| (least_free(*step, self.capacity), machines.len() as u32))
+    /// Returns the minimum free capacity and the number of machines of each non-empty bucket.
+    pub(super) fn free_capacity_buckets(&self) -> impl Iterator<Item = (Resources, u32)> + '_ {
+        let buckets = self.by_free_capacity.0.iter();
+        buckets
+            .map(|(bucket, machines)| (least_free(*bucket, self.capacity), machines.len() as u32))
     }
 
-    /// How many available machines hold no task.
+    /// Number of available machines without tasks.
     pub(super) fn idle_count(&self) -> usize {
-        let all_free = step_of(self.capacity, self.capacity);
+        let all_free = bucket_of(self.capacity, self.capacity);
         let machines = self.by_free_capacity.0.get(&all_free).into_iter().flatten();
         machines
             .take_while(|(task_count, _)| *task_count == 0)
             .count()
     }
 
-    /// All available machines, those with the fewest tasks of each step first.
+    /// All available machines by bucket, within a bucket ordered by number of tasks.
     pub(super) fn available_machines(&self) -> impl Iterator<Item = &Rc<str>> + '_ {
         let machines = self.by_free_capacity.0.values().flatten();
         machines.map(|(_, name)| name)
     }
 
-    /// Machines that are available or expected to boot.
+    /// Number of machines that are available or expected to boot.
     fn machine_count(&self) -> u64 {
         u64::from(self.available_count) + self.provisioning.len() as u64
     }
@@ -159,10 +162,10 @@
                 task_count,
             } => {
                 self.available_count -= 1;
-                let (step, flexible_step) = self.steps_of(free, free_for_flexible);
-                self.by_free_capacity.remove(step, task_count, name);
+                let (bucket, flexible_bucket) = self.buckets_of(free, free_for_flexible);
+                self.by_free_capacity.remove(bucket, task_count, name);
                 self.by_flexible_capacity
-                    .remove(flexible_step, task_count, name);
+                    .remove(flexible_bucket, task_count, name);
             }
         }
     }
@@ -179,18 +182,22 @@
                 task_count,
             } => {
                 self.available_count += 1;
-                let (step, flexible_step) = self.steps_of(free, free_for_flexible);
-                self.by_free_capacity.insert(step, task_count, name);
+                let (bucket, flexible_bucket) = self.buckets_of(free, free_for_flexible);
+                self.by_free_capacity.insert(bucket, task_count, name);
                 self.by_flexible_capacity
-                    .insert(flexible_step, task_count, name);
+                    .insert(flexible_bucket, task_count, name);
             }
         }
     }
 
-    fn steps_of(&self, free: Resources, free_for_flexible: Resources) -> (Step, Step) {
+    fn buckets_of(
+        &self,
+        free: Resources,
+        free_for_flexible: Resources,
+    ) -> (CapacityBucket, CapacityBucket) {
         (
-            step_of(free, self.capacity),
-            step_of(free_for_flexible, self.capacity),
+            bucket_of(free, self.capacity),
+            bucket_of(free_for_flexible, self.capacity),
         )
     }
 }
@@ -202,17 +209,17 @@
 }
 
 impl MachineIndex {
-    /// All pools that machines were ever listed in, in their order.
+    /// All pools that have ever had an indexed machine, ordered by key.
     pub(super) fn pools(&self) -> impl Iterator<Item = (&MachinePool, &PoolIndex)> + '_ {
         self.pools.iter()
     }
 
-    /// The machines of a pool.
+    /// Index of a pool's machines.
     pub(super) fn pool(&self, key: &MachinePool) -> Option<&PoolIndex> {
         self.pools.get(key)
     }
 
-    /// The index's own copy of a pool's key, so that machines of a pool share its names.
+    /// Returns the index's copy of a pool's key, so that machines of a pool share its strings.
     pub(super) fn shared_key(&self, key: MachinePool) -> MachinePool {
         match self.pools.get_key_value(&key) {
             Some((shared, _)) => shared.clone(),
@@ -220,7 +227,7 @@
         }
     }
 
-    /// All processors and GPUs of machines that are available or expected to boot.
+    /// Total processors and GPUs of machines that are available or expected to boot.
     pub(super) fn total_quota(&self) -> QuotaAmount {
         let mut total = QuotaAmount::default();
         for pool in self.pools.values() {
@@ -233,13 +240,13 @@
         total
     }
 
-    /// What is reserved on each machine of a pool for tasks that fit on no other type.
+    /// Capacity reserved on each machine of a pool for constrained tasks.
     pub(super) fn reserved(&self, key: &MachinePool) -> Option<Resources> {
         self.pools.get(key)?.reserved
     }
 
-    /// Sets what is reserved on each machine of a pool. Returns the available machines, whose
-    /// entries the caller must update.
+    /// Sets the capacity reserved on each machine of a pool. Returns the available machines,
+    /// whose entries the caller must update.
     #[must_use]
     pub(super) fn set_reserved(
         &mut self,
@@ -264,16 +271,17 @@
     ) {
         let pool = self.pools.entry(key.clone()).or_default();
         pool.remove(name, old);
-        // The steps of listed machines refer to the capacity: it changes between machines only.
+        // Buckets are relative to the pool's capacity, so it may change only while no machine is
+        // available.
         if pool.available_count == 0 {
             pool.capacity = capacity;
         }
         pool.insert(name, new);
     }
 
-    /// The fitting machine of the lowest rank. Searched are the pools that `allowed` selects;
-    /// `rank` orders their machines (`None`: does not fit). Of each step only the machines
-    /// with the fewest tasks are compared.
+    /// Returns the machine with the lowest rank among the pools that `allowed` selects. `rank`
+    /// returns `None` for a machine that does not fit. Of each bucket only the
+    /// `CANDIDATES_PER_BUCKET` fitting machines with the fewest tasks are compared.
     pub(super) fn best_machine<K: Ord>(
         &self,
         spec: &JobSpec,
@@ -283,13 +291,14 @@
     ) -> Option<Rc<str>> {
         let mut best: Option<(K, &Rc<str>)> = None;
         for (key, pool) in self.candidate_pools(spec, &allowed) {
-            let needed = step_of(spec.resources_per_task(), pool.capacity);
-            let steps = pool.by_capacity_for(flexible).0.range((needed.0, 0, 0)..);
-            for (_, machines) in steps.filter(|(step, _)| has_gpus_and_memory(**step, needed)) {
+            let needed = bucket_of(spec.resources_per_task(), pool.capacity);
+            let buckets = pool.by_capacity_for(flexible).0.range((needed.0, 0, 0)..);
+            for (_, machines) in buckets.filter(|(bucket, _)| has_gpus_and_memory(**bucket, needed))
+            {
                 let ranked = machines.iter().filter_map(|(task_count, name)| {
                     rank(key, *task_count, name).map(|rank| (rank, name))
                 });
-                for (rank, name) in ranked.take(CANDIDATES_PER_STEP) {
+                for (rank, name) in ranked.take(CANDIDATES_PER_BUCKET) {
                     if best.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
                         best = Some((rank, name));
                     }
@@ -299,8 +308,8 @@
         best.map(|(_, name)| name.clone())
     }
 
-    /// How many tasks of a job the available machines of the allowed pools take now, at
-    /// least; counted up to `limit`.
+    /// Lower bound of the number of tasks of a job that fit now on the available machines of the
+    /// allowed pools, counted up to `limit`.
     pub(super) fn tasks_fitting_now(
         &self,
         spec: &JobSpec,
@@ -311,12 +320,12 @@
     ) -> u64 {
         let mut count = 0u64;
         for (_, pool) in self.candidate_pools(spec, &allowed) {
-            let needed = step_of(spec.resources_per_task(), pool.capacity);
-            for (step, machines) in pool.by_capacity_for(flexible).0.range((needed.0, 0, 0)..) {
-                let each = spec.tasks_fitting_in(least_free(*step, pool.capacity));
+            let needed = bucket_of(spec.resources_per_task(), pool.capacity);
+            for (bucket, machines) in pool.by_capacity_for(flexible).0.range((needed.0, 0, 0)..) {
+                let each = spec.tasks_fitting_in(least_free(*bucket, pool.capacity));
                 if each > 0 {
                     count += each * machines.len() as u64;
-                } else if has_gpus_and_memory(*step, needed) {
+                } else if has_gpus_and_memory(*bucket, needed) {
                     let fitting = machines
                         .iter()
                         .map(|(_, name)| spec.tasks_fitting_in(free(name)));
@@ -330,8 +339,8 @@
         count
     }
 
-    /// How many tasks of a job the machines of the allowed pools would take with nothing else
-    /// on them, those that are expected to boot included.
+    /// Number of tasks of a job that would fit on the machines of the allowed pools if the
+    /// machines were empty. Machines that are expected to boot are included.
     pub(super) fn tasks_fitting_when_empty(
         &self,
         spec: &JobSpec,
@@ -351,7 +360,7 @@
             .sum()
     }
 
-    /// Allowed pools with available machines on which a task of the job fits at all.
+    /// Allowed pools with available machines whose total capacity fits a task of the job.
     fn candidate_pools<'a>(
         &'a self,
         spec: &'a JobSpec,
@@ -363,9 +372,9 @@
     }
 }
 
-/// Whether a step has at least the GPUs and the memory of another.
-fn has_gpus_and_memory(step: Step, needed: Step) -> bool {
-    step.1 >= needed.1 && step.2 >= needed.2
+/// Whether a bucket has at least the needed GPUs and memory.
+fn has_gpus_and_memory(bucket: CapacityBucket, needed: CapacityBucket) -> bool {
+    bucket.1 >= needed.1 && bucket.2 >= needed.2
 }
 
 #[cfg(test)]
--- a/src/region/machine_index/tests.rs
+++ b/src/region/machine_index/tests.rs
@@ -12,8 +12,9 @@
 }
 
 proptest! {
-    /// Whatever changes were made, the index finds a machine exactly when one
-    /// fits, and one that holds the fewest tasks of those.
+    /// After any sequence of updates, the index finds a machine exactly if one fits, and
+    /// returns one with the fewest tasks among those that fit. Guards against stale entries and
+    /// against rounding in the buckets.
     #[test]
     fn finds_the_least_loaded(
         changes in proptest::collection::vec((0usize..12, 0u64..9, 0u64..9, 0u32..6), 1..60),
--- a/src/region/machine_inventory.rs
+++ b/src/region/machine_inventory.rs
@@ -1,8 +1,8 @@
-//! The region's machines and the indexes by which they are found.
+//! The region's machines and their indexes.
 //!
-//! [`MachineInventory`] alone changes a [`Machine`]: each method is told one event, and changes
-//! the machine together with all indexes that depend on it. What an event means for jobs,
-//! quotas and reconciliation is up to [`Region`](super::Region), which calls these methods.
+//! Only [`MachineInventory`] changes a [`Machine`]. Each method applies one event to a machine
+//! and to all indexes that depend on it. [`Region`](super::Region) calls these methods, and
+//! handles the consequences of an event for jobs, quotas and reconciliation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -25,14 +25,14 @@
 use crate::state_store::replica::Replica;
 use crate::worker_protocol::Heartbeat;
 
-/// When a machine that became known is checked first.
+/// Delay of the first check of a new machine.
 const FIRST_CHECK_AFTER: Micros = 2 * SECOND;
 
-/// The region's machines, and the indexes by which they are found.
+/// The region's machines and their indexes.
 #[derive(Debug, Default)]
 pub(super) struct MachineInventory {
     machines: BTreeMap<Rc<str>, Machine>,
-    /// Free capacity by pool.
+    /// Machines by pool, free capacity and number of tasks.
     index: MachineIndex,
     /// Activated machines by the time of their last heartbeat.
     by_last_heartbeat: BTreeSet<(Micros, Rc<str>)>,
@@ -42,20 +42,20 @@
     interrupted: BTreeSet<Rc<str>>,
     /// Machines cordoned as surplus.
     draining: BTreeSet<Rc<str>>,
-    /// How machines of each pool boot.
+    /// Recent boots and overdue machines of each pool.
     provisioning: ProvisioningTracker,
-    /// Machine types of which capacity is reserved.
+    /// Machine types with capacity reserved for constrained jobs.
     constrained_types: ConstrainedTypes,
 }
 
 /// Queries.
 impl MachineInventory {
-    /// A machine by its name.
+    /// Returns a machine by name.
     pub(super) fn machine(&self, name: &str) -> Option<&Machine> {
         self.machines.get(name)
     }
 
-    /// The shared copy of a known machine's name.
+    /// Returns the shared copy of a known machine's name.
     pub(super) fn shared_name(&self, name: &str) -> Option<Rc<str>> {
         let (shared, _) = self.machines.get_key_value(name)?;
         Some(shared.clone())
@@ -71,17 +71,17 @@
         self.machines.len()
     }
 
-    /// Available machines by pool, free capacity and number of tasks.
+    /// Index of machines by pool, free capacity and number of tasks.
     pub(super) fn index(&self) -> &MachineIndex {
         &self.index
     }
 
-    /// Number of activated machines, those that are gone excluded.
+    /// Number of activated machines, excluding machines that are gone.
     pub(super) fn activated_count(&self) -> usize {
         self.by_last_heartbeat.len()
     }
 
-    /// How many activated machines sent their last heartbeat at `since` or later.
+    /// Number of activated machines whose last heartbeat arrived at `since` or later.
     pub(super) fn count_reported_since(&self, since: Micros) -> usize {
         let reported = self.by_last_heartbeat.range((since, Rc::from(""))..);
         reported.count()
@@ -104,7 +104,7 @@
         self.index.reserved(&machine.pool).is_some()
     }
 
-    /// The tasks on a machine or assigned to it.
+    /// Tasks on a machine or assigned to it.
     pub(super) fn tasks(
         &self,
         name: &str,
@@ -113,17 +113,17 @@
         machine.into_iter().flat_map(|machine| &machine.tasks)
     }
 
-    /// How machines of each pool boot.
+    /// Recent boots and overdue machines of each pool.
     pub(super) fn provisioning(&self) -> &ProvisioningTracker {
         &self.provisioning
     }
 
-    /// Pools with overdue machines.
+    /// Provisioning health of the pools with overdue machines.
     pub(super) fn provisioning_health(&mut self, now: Micros) -> Vec<ProvisioningHealth> {
         self.provisioning.health(now)
     }
 
-    /// Machine types of which capacity is reserved.
+    /// Machine types with capacity reserved for constrained jobs.
     pub(super) fn constrained_types(&self) -> &ConstrainedTypes {
         &self.constrained_types
     }
@@ -152,7 +152,7 @@
         self.reindex(name);
     }
 
-    /// Replaces a known machine's record. Returns whether the machine was activated with it.
+    /// Replaces a known machine's record. Returns whether the new record activates the machine.
     #[must_use]
     pub(super) fn update_record(&mut self, name: &str, record: &MachineRecord) -> bool {
         let Some(machine) = self.machines.get_mut(name) else {
@@ -172,7 +172,7 @@
 
     /// Removes a machine from the inventory and all indexes.
     pub(super) fn remove(&mut self, name: &str) {
-        self.stop_waiting_for_boot(name);
+        self.forget_provisioning(name);
         self.set_index_entry(name, IndexEntry::Unlisted);
         let Some((shared, machine)) = self.machines.remove_entry(name) else {
             return;
@@ -185,7 +185,7 @@
         self.draining.remove(&shared);
     }
 
-    /// Machine types became known or changed.
+    /// Applies new or changed machine types to all machines.
     pub(super) fn update_machine_types(&mut self, replica: &Replica) {
         let names: Vec<Rc<str>> = self.machines.keys().cloned().collect();
         for name in &names {
@@ -203,13 +203,14 @@
         }
     }
 
-    /// Notes a job's constraints. Returns whether the capacity to reserve has changed.
+    /// Records a job's demand if the job is constrained. Returns whether the capacity to reserve
+    /// has changed.
     #[must_use]
     pub(super) fn note_job(&mut self, spec: &JobSpec, replica: &Replica, now: Micros) -> bool {
         self.constrained_types.note(spec, replica, now)
     }
 
-    /// Reserves capacity for the constrained jobs of late. Returns whether anything changed.
+    /// Updates the capacity reserved for recent constrained jobs. Returns whether it changed.
     #[must_use]
     pub(super) fn update_reserved_capacity(&mut self, now: Micros) -> bool {
         let changed: Vec<(MachinePool, Option<Resources>)> = self
@@ -234,8 +235,8 @@
 
 /// Heartbeats and leases.
 impl MachineInventory {
-    /// A newer heartbeat under the current token came in. Returns whether it shows that the
-    /// answers before it did not arrive; see [`Machine::record_heartbeat`].
+    /// Records a newer heartbeat under the current token. Returns whether it shows that earlier
+    /// answers did not reach the machine; see [`Machine::record_heartbeat`].
     #[must_use]
     pub(super) fn record_heartbeat(
         &mut self,
@@ -262,7 +263,7 @@
         answers_lost
     }
 
-    /// A heartbeat with an outdated token is answered.
+    /// Records that a heartbeat with an outdated token is answered.
     pub(super) fn record_unconfirmed_answer(&mut self, name: &str, now: Micros) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.unconfirmed_answers += 1;
@@ -270,7 +271,7 @@
         }
     }
 
-    /// It was concluded anew whether answers reach the machine.
+    /// Sets whether the region's answers reach the machine.
     pub(super) fn set_reachability(&mut self, name: &str, reachability: Reachability) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.reachability = reachability;
@@ -278,8 +279,8 @@
         }
     }
 
-    /// The machine is proven to run nothing any more. Returns the tasks it was last known to
-    /// have, which the caller must take off it.
+    /// Records that the machine is proven to run no task. Returns the tasks that the inventory
+    /// still lists on it, which the caller must remove.
     #[must_use]
     pub(super) fn expire_lease(&mut self, name: &str) -> Vec<(JobId, u32)> {
         let Some(machine) = self.machines.get_mut(name) else {
@@ -295,22 +296,22 @@
 
 /// Provisioning, cordons and release.
 impl MachineInventory {
-    /// A machine that was rented for the region has booted.
+    /// Records that a machine that was rented for the region has booted.
     pub(super) fn machine_booted(&mut self, name: &str, now: Micros) {
         if let Some(machine) = self.machines.get(name) {
             self.provisioning.machine_booted(&machine.pool, name, now);
         }
     }
 
-    /// A machine should have booted by now. Returns the number of overdue machines of its pool
-    /// if this one puts the pool in trouble.
+    /// Records that a machine exceeds its expected boot time. Returns the number of overdue
+    /// machines of its pool if the pool becomes degraded with this one.
     pub(super) fn machine_overdue(&mut self, name: &Rc<str>, now: Micros) -> Option<usize> {
         self.set_overdue(name, true);
         let machine = self.machines.get(name)?;
         self.provisioning.machine_overdue(&machine.pool, name, now)
     }
 
-    /// Sets whether a machine should have booted by now.
+    /// Sets whether a machine exceeds its expected boot time.
     pub(super) fn set_overdue(&mut self, name: &str, overdue: bool) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.is_overdue = overdue;
@@ -318,13 +319,13 @@
         }
     }
 
-    fn stop_waiting_for_boot(&mut self, name: &str) {
+    fn forget_provisioning(&mut self, name: &str) {
         if let Some(machine) = self.machines.get(name) {
             self.provisioning.forget(&machine.pool, name);
         }
     }
 
-    /// Cordons a machine. Returns the reason that it is cordoned for: the first one stays.
+    /// Cordons a machine. Returns the effective reason, which is the first one given.
     pub(super) fn cordon(&mut self, name: &str, reason: CordonReason) -> Option<CordonReason> {
         let machine = self.machines.get_mut(name)?;
         let first = *machine.cordoned.get_or_insert(reason);
@@ -332,8 +333,8 @@
         Some(first)
     }
 
-    /// Cordons a machine as surplus: it is released once it holds no task, unless it is needed
-    /// again before.
+    /// Cordons a machine as surplus. The machine is released once it holds no task, unless it is
+    /// uncordoned before that.
     pub(super) fn drain(&mut self, name: &Rc<str>) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.cordoned = Some(CordonReason::Surplus);
@@ -342,8 +343,8 @@
         }
     }
 
-    /// Uncordons surplus machines of pools with (`reserved`) or without reserved capacity,
-    /// unless their release is under way. Returns their names.
+    /// Uncordons surplus machines, either of pools with reserved capacity (`reserved`) or of
+    /// pools without, unless their release is in flight. Returns their names.
     #[must_use]
     pub(super) fn uncordon_surplus(&mut self, reserved: bool) -> Vec<Rc<str>> {
         let mut uncordoned = Vec::new();
@@ -362,13 +363,13 @@
         uncordoned
     }
 
-    /// A machine's release is requested from the cloud. Returns the reason of its cordon.
+    /// Cordons a machine and marks it as being released. Returns the reason of its cordon.
     pub(super) fn begin_release(
         &mut self,
         name: &str,
         reason: CordonReason,
     ) -> Option<CordonReason> {
-        self.stop_waiting_for_boot(name);
+        self.forget_provisioning(name);
         let first = self.cordon(name, reason)?;
         if let Some(machine) = self.machines.get_mut(name) {
             machine.releasing = true;
@@ -376,7 +377,7 @@
         Some(first)
     }
 
-    /// The cloud has confirmed that a machine no longer exists.
+    /// Records that the cloud has confirmed that a machine no longer exists.
     pub(super) fn machine_gone(&mut self, name: &Rc<str>) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.is_gone = true;
@@ -387,7 +388,7 @@
         }
     }
 
-    /// The failures that count against a machine.
+    /// Returns the failures attributed to a machine.
     pub(super) fn failures_mut(&mut self, name: &str) -> Option<&mut MachineFailures> {
         let machine = self.machines.get_mut(name)?;
         Some(&mut machine.failures)
@@ -396,7 +397,7 @@
 
 /// Tasks on machines.
 impl MachineInventory {
-    /// A task on a machine or assigned to it.
+    /// Returns the assignment of a task that is on a machine or assigned to it.
     pub(super) fn assignment_mut(
         &mut self,
         machine: &str,
@@ -407,7 +408,7 @@
         machine.tasks.get_mut(&(id.clone(), task))
     }
 
-    /// All tasks on a machine or assigned to it.
+    /// Returns the assignments of all tasks on a machine or assigned to it.
     pub(super) fn assignments_mut(
         &mut self,
         machine: &str,
@@ -418,7 +419,7 @@
             .flat_map(|machine| machine.tasks.iter_mut())
     }
 
-    /// Adds a task, which brings its image to the machine.
+    /// Adds a task and its container image to a machine.
     pub(super) fn add_assignment(
         &mut self,
         name: &str,
@@ -432,7 +433,7 @@
         }
     }
 
-    /// Removes a task.
+    /// Removes a task from a machine.
     pub(super) fn remove_assignment(
         &mut self,
         name: &str,
@@ -447,7 +448,8 @@
         Some(assignment)
     }
 
-    /// A task that was to bring an image to the machine is not started there.
+    /// Handles the removal of an undispatched task that would have fetched an image; see
+    /// [`Machine::forget_image`].
     pub(super) fn forget_image(&mut self, name: &str, id: &JobId, image: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.forget_image(id, image);
@@ -457,7 +459,7 @@
 
 /// The schedule of checks, and the index.
 impl MachineInventory {
-    /// Schedules a machine's next check at this time, if not before.
+    /// Schedules a machine's next check at this time unless an earlier check is scheduled.
     pub(super) fn schedule_check(&mut self, name: &str, at: Micros) {
         let Some(shared) = self.shared_name(name) else {
             return;
@@ -473,7 +475,8 @@
         }
     }
 
-    /// Takes the machine whose check has been due for longest off the schedule.
+    /// Removes the machine whose check has been due for the longest time from the schedule, and
+    /// returns its name.
     pub(super) fn take_due_check(&mut self, now: Micros) -> Option<Rc<str>> {
         let (at, _) = self.next_checks.first()?;
         if *at > now {
@@ -486,7 +489,7 @@
         Some(name)
     }
 
-    /// Brings the index up to date with what is known of a machine.
+    /// Updates the index entry of a machine to match its state.
     fn reindex(&mut self, name: &str) {
         if let Some(machine) = self.machines.get(name) {
             let reserved = self.index.reserved(&machine.pool);
--- a/src/region/machine_lifecycle.rs
+++ b/src/region/machine_lifecycle.rs
@@ -1,5 +1,7 @@
-//! The end of machines' service: surplus machines are drained, releases are requested from the
-//! cloud, and machines that are proven to run nothing give their tasks back.
+//! Draining and release of machines.
+//!
+//! Surplus machines are drained, releases are requested from the cloud, and the tasks of
+//! machines that are proven to run nothing return to pending.
 
 use std::rc::Rc;
 
@@ -11,7 +13,7 @@
 use super::{Region, SchedulingContext};
 
 impl Region {
-    /// The machine is proven to run no task any more: its tasks are pending again.
+    /// Returns the tasks of a machine to pending once it is proven to run no task.
     pub(super) fn on_machine_empty(&mut self, name: &str, context: &SchedulingContext<'_>) {
         if self.inventory.machine(name).is_none() {
             return;
@@ -19,27 +21,27 @@
         let tasks: Vec<(JobId, u32)> = self.inventory.expire_lease(name);
         if !tasks.is_empty() {
             log::info!(
-                "region={} machine={name}: runs nothing any more, {} tasks start again",
+                "region={} machine={name}: runs no tasks, {} tasks return to pending",
                 self.name,
                 tasks.len()
             );
         }
         for (id, task) in tasks {
-            self.return_to_pending(&id, task, "its machine runs nothing any more", context);
+            self.return_to_pending(&id, task, "its machine runs no tasks", context);
         }
         self.reconciliation.machine_reconciled(name);
     }
 
-    /// Marks a machine as being released; the caller requests it from the cloud.
+    /// Marks a machine as being released. The caller requests the release from the cloud.
     pub(super) fn begin_release(&mut self, name: &str, reason: CordonReason) {
         if let Some(reason) = self.inventory.begin_release(name, reason) {
             log::info!("region={} machine={name}: released: {reason}", self.name);
         }
     }
 
-    /// Jobs are pending: surplus machines accept tasks again, unless their release is under
-    /// way; those of pools with reserved capacity only when constrained jobs are pending
-    /// (`reserved`).
+    /// Uncordons surplus machines for pending jobs, unless their release is in flight. With
+    /// `reserved`, machines of pools with reserved capacity are uncordoned for pending constrained
+    /// jobs; without, machines of all other pools.
     pub(super) fn uncordon(&mut self, reserved: bool) {
         let uncordoned = self.inventory.uncordon_surplus(reserved);
         for name in &uncordoned {
@@ -47,8 +49,9 @@
         }
     }
 
-    /// The leader finds that all regions together can do without some machines of a pool:
-    /// those with the fewest tasks are drained. Tasks are never moved or stopped for it.
+    /// Drains up to `count` machines of a pool, those with the fewest tasks first. The leader
+    /// requests this when all regions together have surplus machines. Tasks are never moved or
+    /// stopped to drain a machine.
     pub fn cordon_surplus(
         &mut self,
         pool: &MachinePool,
@@ -75,8 +78,8 @@
         }
     }
 
-    /// The cloud has confirmed that machines no longer exist. Names of other regions' machines
-    /// may be among them.
+    /// Handles the cloud's confirmation that machines no longer exist. The names may include
+    /// machines of other regions, which are ignored.
     pub fn on_released(&mut self, names: &[String], context: &SchedulingContext<'_>) {
         for name in names {
             let Some(name) = self.inventory.shared_name(name) else {
--- a/src/region/machine_membership.rs
+++ b/src/region/machine_membership.rs
@@ -1,17 +1,17 @@
-//! Machines that join and leave the region as their records come and go, and changes of
-//! machine types.
+//! Machines that join and leave the region when their records change, and changes of machine
+//! types.
 
 use super::{Region, SchedulingContext};
 
 impl Region {
-    /// A machine's record has changed: adds the machine, takes over the change, or removes a
-    /// machine whose record is gone. The record goes only once the machine is proven gone, by
-    /// this owner.
+    /// Handles a changed machine record: adds the machine, applies the change, or removes a
+    /// machine whose record is gone. The owner removes a record only once the machine is proven
+    /// gone.
     pub fn on_machine(&mut self, name: &str, context: &SchedulingContext<'_>) {
         let replica = context.replica;
         let record = replica.machines.get(name).map(|record| &record.value);
         let Some(record) = record.filter(|record| record.region == self.name) else {
-            self.drop_machine(name, context);
+            self.remove_machine(name, context);
             return;
         };
         if self.inventory.machine(name).is_none() {
@@ -23,21 +23,21 @@
         }
     }
 
-    /// Machine types became known or changed.
+    /// Handles new or changed machine types.
     pub fn on_machine_types_changed(&mut self, context: &SchedulingContext<'_>) {
         self.inventory.update_machine_types(context.replica);
         self.update_reserved_capacity(context);
         self.triggers.everything_changed();
     }
 
-    /// Reserves capacity for the jobs that fit on one machine type only.
+    /// Updates the capacity reserved for constrained jobs.
     pub(super) fn update_reserved_capacity(&mut self, context: &SchedulingContext<'_>) {
         if self.inventory.update_reserved_capacity(context.now) {
             self.triggers.everything_changed();
         }
     }
 
-    fn drop_machine(&mut self, name: &str, context: &SchedulingContext<'_>) {
+    fn remove_machine(&mut self, name: &str, context: &SchedulingContext<'_>) {
         if self.inventory.machine(name).is_none() {
             return;
         }
--- a/src/region/machine_records.rs
+++ b/src/region/machine_records.rs
@@ -1,9 +1,9 @@
-//! Commits of machine records: activations before a machine's first start, and removals of
-//! machines that are gone.
+//! Commits of machine records, which activate machines and remove machines that are gone.
 //!
-//! A machine's activation tells later owners that it may run tasks; see the reconciliation.
-//! Activations of machines of one batch share a bitmap, and many changes go into one
-//! transaction, since the state service limits the rate of changes.
+//! A machine is recorded as activated before its first task starts, so that later owners know
+//! that it may run tasks (see `reconciliation`). Activations of machines of one batch share a
+//! bitmap, and many changes share one transaction, because the state service limits the write
+//! rate.
 
 mod transactions;
 
@@ -17,20 +17,22 @@
 use crate::state_store::CommitPriority;
 use transactions::{ActivationBuilder, RecordTransaction, RemovalBuilder};
 
-/// The part of the state service's rate of changes that all regions' activations may take.
+/// Share of the state service's write rate that activations of all regions may use.
 const ACTIVATION_WRITE_SHARE: f64 = 0.4;
-/// The same for removals, which nothing waits for.
+/// Share of the state service's write rate that removals of all regions may use. Nothing waits
+/// for removals.
 const REMOVAL_WRITE_SHARE: f64 = 0.1;
-/// From how many booting machines on they are activated before they are up.
+/// Number of booting machines from which machines are activated before their first heartbeat.
 const MIN_BOOTING_FOR_EARLY_ACTIVATION: usize = 40;
 
-/// Time between two commits of a region that takes its part of a share of the write rate.
+/// Time between two commits of a region, such that all regions together use `write_share` of the
+/// write rate.
 fn commit_interval(settings: &Settings, write_share: f64) -> Micros {
     let regions = settings.region_count() as f64;
     (regions / (settings.store_write_rate * write_share) * 1e6) as Micros
 }
 
-/// Machines whose records are to be changed in one way.
+/// Machines with a pending record change of one kind.
 #[derive(Debug, Default)]
 struct PendingChanges {
     machines: BTreeSet<Rc<str>>,
@@ -39,8 +41,8 @@
 }
 
 impl PendingChanges {
-    /// Whether a commit is due; if so, the next one is after `interval`.
-    fn take_turn(&mut self, now: Micros, interval: Micros) -> bool {
+    /// Returns whether a commit is due, and if so delays the next one by `interval`.
+    fn claim_commit_slot(&mut self, now: Micros, interval: Micros) -> bool {
         if self.in_flight || self.machines.is_empty() || now < self.next_commit_at {
             return false;
         }
@@ -48,8 +50,8 @@
         true
     }
 
-    /// A commit for these machines has ended.
-    fn concluded(&mut self, machines: &[Rc<str>], committed: bool) {
+    /// Handles the end of a commit for these machines.
+    fn commit_ended(&mut self, machines: &[Rc<str>], committed: bool) {
         self.in_flight = false;
         if committed {
             for name in machines {
@@ -59,7 +61,7 @@
     }
 }
 
-/// Changes of machine records that are to be committed, and those in flight.
+/// Pending and in-flight changes of machine records.
 #[derive(Debug, Default)]
 pub(super) struct MachineRecordChanges {
     activations: PendingChanges,
@@ -67,57 +69,58 @@
 }
 
 impl MachineRecordChanges {
-    /// A machine must be recorded as activated before its first start.
+    /// Requests that a machine be recorded as activated, which its first task start requires.
     pub(super) fn request_activation(&mut self, name: Rc<str>) {
         self.activations.machines.insert(name);
     }
 
-    /// A machine is proven gone: its record is to be removed.
+    /// Requests the removal of the record of a machine that is proven gone.
     pub(super) fn request_removal(&mut self, name: Rc<str>) {
         self.removals.machines.insert(name);
     }
 
-    /// A machine has left the inventory.
+    /// Drops the pending changes of a machine that has left the inventory.
     pub(super) fn forget(&mut self, name: &str) {
         self.activations.machines.remove(name);
         self.removals.machines.remove(name);
     }
 
-    /// Whether machines that are gone are still on record.
+    /// Whether machines that are gone still have records.
     pub(super) fn has_pending_removals(&self) -> bool {
         !self.removals.machines.is_empty()
     }
 
-    /// A commit of activations has ended.
-    pub(super) fn activation_concluded(&mut self, machines: &[Rc<str>], committed: bool) {
-        self.activations.concluded(machines, committed);
+    /// Handles the end of a commit of activations.
+    pub(super) fn activation_commit_ended(&mut self, machines: &[Rc<str>], committed: bool) {
+        self.activations.commit_ended(machines, committed);
     }
 
-    /// A commit of removals has ended.
-    pub(super) fn removal_concluded(&mut self, machines: &[Rc<str>], committed: bool) {
-        self.removals.concluded(machines, committed);
+    /// Handles the end of a commit of removals.
+    pub(super) fn removal_commit_ended(&mut self, machines: &[Rc<str>], committed: bool) {
+        self.removals.commit_ended(machines, committed);
     }
 }
 
-/// How long after its assignment a machine is activated ahead of its first heartbeat: two fifths
-/// of its boot time, early enough for the commit to be done when the first of many are up.
+/// Time after its assignment at which a machine is activated ahead of its first heartbeat: two
+/// fifths of its boot time, so that the commit ends before the first of many machines are up.
 fn early_activation_delay(boot_time: Micros) -> Micros {
     boot_time * 2 / 5
 }
 
 impl Region {
-    /// Commits the activation of machines before their first starts, and the removal of
-    /// machines that are proven gone; changes that are due together share a transaction.
+    /// Commits activations of machines, which must precede their first task starts, and removals
+    /// of machines that are proven gone. Changes of one kind that are due together share a
+    /// transaction.
     pub(super) fn commit_machine_records(&mut self, context: &SchedulingContext<'_>) {
         self.request_early_activations(context);
         let interval = commit_interval(context.settings, ACTIVATION_WRITE_SHARE);
         let activations = &mut self.machine_records.activations;
-        if activations.take_turn(context.now, interval) {
+        if activations.claim_commit_slot(context.now, interval) {
             self.commit_activations(context);
         }
         let interval = commit_interval(context.settings, REMOVAL_WRITE_SHARE);
         let removals = &mut self.machine_records.removals;
-        if removals.take_turn(context.now, interval) {
+        if removals.claim_commit_slot(context.now, interval) {
             self.commit_removals(context);
         }
     }
@@ -130,9 +133,9 @@
         }
     }
 
-    /// Requests the activation of machines before they are up, when so many are booting that
-    /// activating each as it reports would take more changes than the rate allows. The price
-    /// is that the next owner of the region waits for them all, so it isn't done for a few.
+    /// Requests the activation of machines before their first heartbeat while so many are booting
+    /// that separate activations would exceed the write rate. The next owner of the region must
+    /// wait for all activated machines, so this is not done for a few machines.
     fn request_early_activations(&mut self, context: &SchedulingContext<'_>) {
         let pools = self.inventory.index().pools();
         let booting: usize = pools.map(|(_, pool)| pool.provisioning.len()).sum();
@@ -186,7 +189,7 @@
         self.machine_records.removals.in_flight = is_in_flight;
     }
 
-    /// Commits changes of machines' records; returns whether there are any.
+    /// Commits a transaction unless it is empty. Returns whether it was committed.
     fn commit_records(
         &mut self,
         transaction: RecordTransaction,
--- a/src/region/machine_records/transactions.rs
+++ b/src/region/machine_records/transactions.rs
@@ -1,7 +1,7 @@
 //! Transactions that activate machines or remove their records.
 //!
 //! A machine has its own record or, since version 0.2, a position in the record of its batch.
-//! The builders collect changes up to the state service's limit; machines that do not fit wait
+//! The builders collect changes up to the state service's limit. Machines that do not fit wait
 //! for the next transaction.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,12 +18,12 @@
 use crate::settings::Settings;
 use crate::state_store::replica::Replica;
 
-/// Most changes of one transaction, besides the condition of ownership.
+/// Maximum number of changes in one transaction, not counting the ownership condition.
 fn max_changes(settings: &Settings) -> usize {
     settings.max_txn_ops.saturating_sub(1).max(1)
 }
 
-/// Conditions and changes of a transaction, and the machines that it concerns.
+/// Conditions and changes of a transaction, and the machines whose records it changes.
 pub(super) struct RecordTransaction {
     pub(super) conditions: Vec<(Key, u64)>,
     pub(super) changes: Vec<(Key, Option<serde_json::Value>)>,
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Adds a record's new value, or its removal, on condition that it is as the replica has it.
+    /// Adds a record's new value or its removal, on condition that the record still has the
+    /// replica's version.
     fn change(&mut self, key: Key, new: Option<serde_json::Value>, replica: &Replica) {
         self.conditions.push((key.clone(), replica.version(&key)));
         self.changes.push((key, new));
@@ -51,7 +52,7 @@
     region: &'a str,
     replica: &'a Replica,
     max_changes: usize,
-    /// The region's activation records by number, with the activations added so far.
+    /// The region's activation records by number, including the activations added so far.
     records: BTreeMap<u32, ActivationRecord>,
     /// Numbers of the records that have changed.
     changed: BTreeSet<u32>,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// A machine with a record of its own, as versions before 0.2 wrote it.
+    /// Adds a machine that has its own record, as versions before 0.2 wrote it.
     fn add_single(&mut self, name: &Rc<str>, record: &MachineRecord) {
         if self.is_full() {
             return;
@@ -113,7 +114,7 @@
         let replica = self.replica;
         let ActivationRecord { bitmaps } = self.records.entry(number).or_default();
         if is_first_change {
-            // Batches that are gone leave their place to others.
+            // Bitmaps of batches that no longer exist are dropped to make room for others.
             bitmaps.retain(|batch, _| replica.batches.contains_key(batch));
         }
         let mut positions = RangeSet::default();
@@ -126,8 +127,8 @@
         self.transaction.machines.push(name.clone());
     }
 
-    /// The number of the record that has the batch, else of one with a free place, else of a
-    /// new one.
+    /// Returns the number of the record that contains the batch, else of a record with room for
+    /// another batch, else of a new record.
     fn record_for(&self, batch: &str) -> u32 {
         let find = |condition: &dyn Fn(&ActivationRecord) -> bool| {
             let mut records = self.records.iter();
@@ -141,7 +142,7 @@
         }
     }
 
-    /// The transaction of all that was added.
+    /// Returns the transaction of all changes added.
     pub(super) fn finish(mut self) -> RecordTransaction {
         for number in &self.changed {
             if let Some(record) = self.records.get(number) {
@@ -202,13 +203,14 @@
         }
         let record = self.batches.get_mut(batch);
         if let Some(entry) = record.and_then(|record| record.machines.get_mut(position)) {
-            // Positions never shift, since activations count by them.
+            // The entry is cleared rather than removed: activations refer to machines by
+            // position, so positions must not shift.
             entry.clear();
             self.transaction.machines.push(name.clone());
         }
     }
 
-    /// The transaction of all that was added.
+    /// Returns the transaction of all changes added.
     pub(super) fn finish(mut self) -> RecordTransaction {
         for (batch, record) in self.batches {
             let is_empty = record.machines.iter().all(String::is_empty);
--- a/src/region/provisioning.rs
+++ b/src/region/provisioning.rs
@@ -1,7 +1,7 @@
-//! Provisioning of machines by pool: how many are overdue, and how many booted lately.
+//! Provisioning health by pool, derived from overdue machines and recent boots.
 //!
-//! [`ProvisioningTracker`] is part of the machine inventory; the leader receives a summary
-//! ([`ProvisioningHealth`]) and rents machines of a pool in trouble by single probes.
+//! [`ProvisioningTracker`] is part of the machine inventory. The leader receives a summary
+//! ([`ProvisioningHealth`]) and rents only a few machines of a degraded pool at a time, as probes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -13,45 +13,45 @@
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::peer_protocol::ProvisioningHealth;
 
-/// How long a machine that booted counts as evidence for its pool.
-const ARRIVAL_VALID: Micros = 120 * SECOND;
-/// Most arrivals that are remembered of a pool; more would say the same.
-const MAX_ARRIVALS: usize = 64;
-/// Fewer overdue machines do not put their pool in trouble.
+/// Time for which a booted machine counts as evidence that its pool is healthy.
+const BOOT_EVIDENCE_TTL: Micros = 120 * SECOND;
+/// Maximum number of recent boots kept per pool; more would add no evidence.
+const MAX_RECENT_BOOTS: usize = 64;
+/// Minimum number of overdue machines for a pool to be degraded.
 const MIN_OVERDUE: u32 = 2;
-/// Time beyond three usual boots after which a machine will hardly boot at all.
+/// Margin beyond three usual boot times after which a machine is unlikely to boot.
 const BOOT_MARGIN: Micros = 30 * SECOND;
-/// The provisioning timeout of a pool in trouble, in boot times.
-const TROUBLED_BOOT_TIMES: u64 = 12;
-/// The longest provisioning timeout of a pool in trouble.
-const MAX_TROUBLED_TIMEOUT: Micros = 300 * SECOND;
+/// Provisioning timeout of a degraded pool, in boot times.
+const DEGRADED_TIMEOUT_BOOT_TIMES: u64 = 12;
+/// Maximum provisioning timeout of a degraded pool.
+const MAX_DEGRADED_TIMEOUT: Micros = 300 * SECOND;
 
-/// Whether a pool as a whole boots late or never: several machines are overdue, and more
-/// than have booted lately.
+/// Whether a pool's machines as a whole boot late or never: at least `MIN_OVERDUE` machines are
+/// overdue, and more than have booted recently.
 #[must_use]
-pub fn is_provisioning_trouble(overdue: u32, arrived: u32) -> bool {
+pub fn is_provisioning_degraded(overdue: u32, arrived: u32) -> bool {
     overdue >= MIN_OVERDUE && overdue > arrived
 }
 
-/// What was observed of one pool.
+/// Overdue machines and recent boots of one pool.
 #[derive(Debug, Default)]
 struct ProvisioningHistory {
-    /// Overdue machines, each with the time at which that was found.
+    /// Overdue machines, each with the time at which it was found overdue.
     overdue: BTreeMap<Rc<str>, Micros>,
-    /// When machines booted, oldest first.
-    arrivals: VecDeque<Micros>,
+    /// Times at which machines booted, oldest first.
+    recent_boots: VecDeque<Micros>,
 }
 
 impl ProvisioningHistory {
     fn expire(&mut self, now: Micros) {
-        let expired = |at: &Micros| now > *at + ARRIVAL_VALID;
-        while self.arrivals.front().is_some_and(expired) {
-            self.arrivals.pop_front();
+        let expired = |at: &Micros| now > *at + BOOT_EVIDENCE_TTL;
+        while self.recent_boots.front().is_some_and(expired) {
+            self.recent_boots.pop_front();
         }
     }
 
-    fn is_in_trouble(&self) -> bool {
-        is_provisioning_trouble(self.overdue.len() as u32, self.arrivals.len() as u32)
+    fn is_degraded(&self) -> bool {
+        is_provisioning_degraded(self.overdue.len() as u32, self.recent_boots.len() as u32)
     }
 }
 
@@ -68,18 +68,18 @@
         history
     }
 
-    /// A machine that was rented for the region has booted.
+    /// Records that a machine that was rented for the region has booted.
     pub(super) fn machine_booted(&mut self, pool: &MachinePool, name: &str, now: Micros) {
         let history = self.history(pool, now);
         history.overdue.remove(name);
-        if history.arrivals.len() == MAX_ARRIVALS {
-            history.arrivals.pop_front();
+        if history.recent_boots.len() == MAX_RECENT_BOOTS {
+            history.recent_boots.pop_front();
         }
-        history.arrivals.push_back(now);
+        history.recent_boots.push_back(now);
     }
 
-    /// A machine should have booted by now. Returns the number of overdue machines if this
-    /// one puts the pool in trouble.
+    /// Records that a machine exceeds its expected boot time. Returns the number of overdue
+    /// machines if the pool becomes degraded with this one.
     pub(super) fn machine_overdue(
         &mut self,
         pool: &MachinePool,
@@ -87,39 +87,39 @@
         now: Micros,
     ) -> Option<usize> {
         let history = self.history(pool, now);
-        let was_in_trouble = history.is_in_trouble();
+        let was_degraded = history.is_degraded();
         history.overdue.entry(name.clone()).or_insert(now);
-        (!was_in_trouble && history.is_in_trouble()).then_some(history.overdue.len())
+        (!was_degraded && history.is_degraded()).then_some(history.overdue.len())
     }
 
-    /// A machine is no longer waited for.
+    /// Removes a machine that is no longer expected to boot.
     pub(super) fn forget(&mut self, pool: &MachinePool, name: &str) {
         if let Some(history) = self.by_pool.get_mut(pool) {
             history.overdue.remove(name);
         }
     }
 
-    /// Whether machines of the pool boot late or never at present.
-    pub(super) fn is_in_trouble(&self, pool: &MachinePool) -> bool {
+    /// Whether machines of the pool currently boot late or never.
+    pub(super) fn is_degraded(&self, pool: &MachinePool) -> bool {
         !is_disabled(Safeguard::BootTrouble)
             && self
                 .by_pool
                 .get(pool)
-                .is_some_and(ProvisioningHistory::is_in_trouble)
+                .is_some_and(ProvisioningHistory::is_degraded)
     }
 
-    /// How long a machine may take to boot before it is released. While its whole pool is in
-    /// trouble a replacement would be no sooner, so the timeout is longer.
+    /// Time that a machine may take to boot before it is released. The timeout is longer while
+    /// the pool is degraded, because a replacement would not boot sooner.
     pub(super) fn timeout(&self, pool: &MachinePool, boot_time: Micros) -> Micros {
         let usual = 3 * boot_time + BOOT_MARGIN;
-        if self.is_in_trouble(pool) {
-            usual.max((TROUBLED_BOOT_TIMES * boot_time).min(MAX_TROUBLED_TIMEOUT))
+        if self.is_degraded(pool) {
+            usual.max((DEGRADED_TIMEOUT_BOOT_TIMES * boot_time).min(MAX_DEGRADED_TIMEOUT))
         } else {
             usual
         }
     }
 
-    /// Pools with overdue machines.
+    /// Returns the provisioning health of the pools with overdue machines.
     pub(super) fn health(&mut self, now: Micros) -> Vec<ProvisioningHealth> {
         let mut pools = Vec::new();
         for (pool, history) in &mut self.by_pool {
@@ -132,7 +132,7 @@
                 zone: pool.zone.to_string(),
                 spot: pool.spot,
                 overdue: history.overdue.len() as u32,
-                arrived: history.arrivals.len() as u32,
+                arrived: history.recent_boots.len() as u32,
                 overdue_us: now - first,
             });
         }
@@ -141,7 +141,8 @@
 }
 
 impl Region {
-    /// What the leader is sent about provisioning in this region: pools with overdue machines.
+    /// Returns the provisioning health of the region's pools with overdue machines, which is
+    /// reported to the leader.
     pub fn provisioning_health(&mut self, now: Micros) -> Vec<ProvisioningHealth> {
         self.inventory.provisioning_health(now)
     }
--- a/src/region/reachability.rs
+++ b/src/region/reachability.rs
@@ -1,7 +1,8 @@
-//! Whether the region's answers reach a machine, concluded from the machine's heartbeats.
+//! Detection of machines that the region's answers do not reach.
 //!
-//! Heartbeats that arrive are no evidence of that: the way back may be cut alone, and such a
-//! machine would attract tasks again and again and start none of them.
+//! Received heartbeats do not prove that answers arrive, because only the path back to the
+//! machine may be broken. Such a machine would be assigned tasks repeatedly and start none of
+//! them. Evidence comes from session restarts and from starts that were not carried out.
 
 use std::rc::Rc;
 
@@ -11,41 +12,43 @@
 use super::machine::CordonReason;
 use super::{HeartbeatOutcome, Region, SchedulingContext, TaskState};
 
-/// How many heartbeats with an outdated token are answered before one with the current token
-/// must come in.
+/// Maximum number of heartbeats with an outdated token that are answered before a heartbeat with
+/// the current token arrives.
 const MAX_UNCONFIRMED_ANSWERS: u32 = 4;
-/// Starts in a row that were not carried out before a machine counts as unreachable.
+/// Number of consecutive ignored starts from which a machine counts as unreachable.
 const MAX_IGNORED_STARTS: u32 = 2;
-/// How often a machine is found unreachable before it is cordoned and released.
+/// Number of times a machine is found unreachable before it is cordoned and released.
 const MAX_TIMES_UNREACHABLE: u32 = 4;
 
 /// Whether the region's answers reach a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Reachability {
-    /// They do, as far as is known.
+    /// No evidence suggests that answers are lost.
     Reachable,
-    /// So many starts in a row were not carried out.
+    /// This number of consecutive starts was not carried out.
     Suspect(u32),
-    /// They do not, as of this time: no task is assigned. If they did again, the worker's
-    /// session would last; once it has lasted for longer than a lease, they do.
+    /// Answers have not reached the machine as of `since`, and no task is assigned to it. The
+    /// worker restarts its session when its lease expires, so a session that lasts for longer
+    /// than a lease shows that answers arrive again.
     Unreachable { since: Micros, times: u32 },
 }
 
-/// What a heartbeat shows of the answers before it.
+/// Evidence that a heartbeat gives about earlier answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AnswerEvidence {
     /// The worker's session restarted although every heartbeat was answered.
     SessionRestarted,
-    /// A start that was sent was not carried out.
+    /// At least one of the starts sent was not carried out.
     StartIgnored,
-    /// All starts that were sent were carried out.
+    /// All starts sent were carried out.
     StartsCarriedOut,
     /// No start was sent.
     NoStartSent,
 }
 
 impl AnswerEvidence {
-    /// A restarted session outweighs what became of the starts in the last answer.
+    /// Derives the evidence. A restarted session takes precedence over the outcome of the starts
+    /// in the last answer.
     pub(super) fn new(session_restarted: bool, starts_sent: bool, start_ignored: bool) -> Self {
         if session_restarted {
             AnswerEvidence::SessionRestarted
@@ -60,8 +63,8 @@
 }
 
 impl Reachability {
-    /// The state after a heartbeat. `recovery_time`: how long an unreachable machine's session
-    /// must last before it is reachable again.
+    /// Returns the state after a heartbeat. `recovery_time` is the time for which an unreachable
+    /// machine's session must last before the machine counts as reachable again.
     #[must_use]
     pub(super) fn after(
         self,
@@ -86,12 +89,14 @@
 }
 
 impl Region {
-    /// Answers a heartbeat that does not carry the current token: from a machine that has not
-    /// received an answer of this owner yet, or a copy from a former owner's time. It proves
-    /// nothing, not even that the machine exists; but it is answered, so that the machine
-    /// learns the token. Guards against a machine that never does, because the answers don't
-    /// reach it or only copies come in: each answer might renew its lease, so after a few
-    /// there are none, and its lease expires for sure.
+    /// Answers a heartbeat with an outdated token, so that the machine learns the current one.
+    /// The machine has not received an answer of this owner yet, or the heartbeat is a duplicate
+    /// from the time of a former owner. Such a heartbeat proves nothing, not even that the
+    /// machine exists.
+    ///
+    /// Guards against renewing the lease of a machine forever when it never learns the token,
+    /// because answers do not reach it or only duplicates arrive. After
+    /// `MAX_UNCONFIRMED_ANSWERS` no more answers are sent, so the lease is certain to expire.
     pub(super) fn acknowledge_outdated_token(
         &mut self,
         name: &Rc<str>,
@@ -108,8 +113,8 @@
         HeartbeatOutcome::Accepted(Vec::new())
     }
 
-    /// Concludes from a heartbeat whether the region's answers reach the machine. Tasks that
-    /// were assigned to an unreachable one are pending again.
+    /// Updates a machine's reachability from the evidence of a heartbeat. If the machine becomes
+    /// unreachable, its undispatched tasks return to pending.
     pub(super) fn update_reachability(
         &mut self,
         name: &Rc<str>,
--- a/src/region/reachability/tests.rs
+++ b/src/region/reachability/tests.rs
@@ -1,12 +1,13 @@
-//! Tests of reachability.
+//! Tests of the reachability state machine.
 
 use super::*;
 
 const LEASE: Micros = 20;
 
-/// Every transition: the state before, what the heartbeat shows, and the state after.
+/// Every transition, given by the state before, the evidence of the heartbeat, and the expected
+/// state after. Guards against assigning tasks to machines that answers do not reach.
 #[test]
-fn transitions() {
+fn heartbeat_evidence_changes_reachability() {
     use AnswerEvidence::{NoStartSent, SessionRestarted, StartIgnored, StartsCarriedOut};
     use Reachability::{Reachable, Suspect};
     let unreachable = |since, times| Reachability::Unreachable { since, times };
@@ -20,12 +21,12 @@
         (Suspect(1), StartsCarriedOut, Reachable),
         (Suspect(1), StartIgnored, unreachable(now, 1)),
         (Suspect(1), SessionRestarted, unreachable(now, 1)),
-        // Reachable again only once the session has lasted for longer than a lease.
+        // A machine is reachable again only after its session has lasted for longer than a lease.
         (unreachable(80, 1), NoStartSent, unreachable(80, 1)),
         (unreachable(80, 1), StartsCarriedOut, unreachable(80, 1)),
         (unreachable(79, 1), NoStartSent, Reachable),
         (unreachable(79, 1), StartsCarriedOut, Reachable),
-        // Found unreachable again: the time starts anew, and the times are counted.
+        // A machine that is found unreachable again restarts the time and increments the count.
         (unreachable(79, 1), StartIgnored, unreachable(now, 2)),
         (unreachable(79, 3), SessionRestarted, unreachable(now, 4)),
     ] {
@@ -37,9 +38,10 @@
     }
 }
 
-/// A restarted session outweighs starts that were carried out; no start proves nothing.
+/// A restarted session takes precedence over the outcome of starts. Without a start there is no
+/// evidence.
 #[test]
-fn evidence() {
+fn session_restart_outweighs_starts() {
     for (restarted, sent, ignored, expected) in [
         (false, false, false, AnswerEvidence::NoStartSent),
         (false, true, false, AnswerEvidence::StartsCarriedOut),
--- a/src/region/reassignment.rs
+++ b/src/region/reassignment.rs
@@ -1,9 +1,8 @@
-//! Assigned tasks that a machine which reports now would start sooner than the one that they
-//! are assigned to.
+//! Reassignment of undispatched tasks to a reporting machine that would start them sooner.
 //!
-//! Starts are dispatched in the answers to heartbeats alone, so a task may wait a whole
-//! interval for the heartbeat of its machine. Nothing of it was dispatched yet, so to assign it
-//! to another machine dispatches it still once.
+//! Starts are dispatched only in the answers to heartbeats, so a task may wait a whole interval
+//! for the next heartbeat of its machine. A task that is not dispatched yet can move to another
+//! machine without being dispatched twice.
 
 use std::rc::Rc;
 
@@ -18,32 +17,33 @@
 use super::undispatched::UndispatchedTask;
 use super::{Region, SchedulingContext};
 
-/// How many of the oldest undispatched tasks are considered.
+/// Maximum number of undispatched tasks that are considered, oldest first.
 const MAX_CANDIDATES: usize = 64;
-/// The least time by which a task must start sooner to be reassigned.
+/// Minimum time by which a task must start sooner to be reassigned.
 const MIN_GAIN: Micros = 300 * MILLISECOND;
 
-/// An assignment that is to move to another machine.
+/// Machine and attempt of an assignment that moves to another machine.
 struct Reassignment {
     from: Rc<str>,
     attempt: u64,
 }
 
-/// How long a task is left to its machine although another, with as many tasks or more, could
-/// start it sooner.
-fn patience(context: &SchedulingContext<'_>) -> Micros {
+/// Time for which a task stays assigned to its machine although another machine, with at least
+/// as many tasks, could start it sooner.
+fn reassignment_delay(context: &SchedulingContext<'_>) -> Micros {
     context.settings.heartbeat_interval / 8
 }
 
-/// By when a machine is expected to report again: the interval and an eighth of it for jitter.
+/// Time by which a machine is expected to report again: the heartbeat interval and an eighth of
+/// it for jitter.
 fn next_heartbeat_at(machine: &Machine, context: &SchedulingContext<'_>) -> Micros {
     machine.last_heartbeat_at + context.settings.heartbeat_interval * 9 / 8
 }
 
 impl Region {
-    /// Assigns to a machine whose heartbeat is being answered tasks of other machines that
-    /// would start later there. A machine that holds fewer tasks gets them at once, any other
-    /// after a while.
+    /// Reassigns undispatched tasks of other machines to a machine whose heartbeat is being
+    /// answered if they would start sooner on it. A machine with fewer tasks than the current one
+    /// receives them at once, any other machine after `reassignment_delay`.
     pub(super) fn reassign_to_reporting(
         &mut self,
         name: &Rc<str>,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Whether a task is to move to a machine that reports.
+    /// Returns the reassignment if a task should move to a reporting machine.
     fn reassignment(
         &self,
         task: &UndispatchedTask,
@@ -89,13 +89,14 @@
         let from = self.inventory.machine(from_name)?;
         let assignment = from.tasks.get(&(task.job.clone(), task.task))?;
         let holds_fewer = to.tasks.len() < from.tasks.len();
-        let is_due = holds_fewer || context.now >= task.since + patience(context);
-        // Where the tasks of a job are together is decided; only the machine may change.
-        let is_place_kept = !job.has_dependent_places() || to.pool == from.pool;
+        let is_due = holds_fewer || context.now >= task.since + reassignment_delay(context);
+        // If the placements of a job's tasks depend on each other, their pool is already chosen,
+        // and a task may only move within it.
+        let is_placement_kept = !job.has_dependent_places() || to.pool == from.pool;
         let may_move = is_due
-            && is_place_kept
+            && is_placement_kept
             && assignment.stop_grace.is_none()
-            && self.may_take(task, job, name, to, context)
+            && self.can_place_on(task, job, name, to, context)
             && Self::starts_sooner(&job.spec, assignment, from, to, context);
         may_move.then(|| Reassignment {
             from: from_name.clone(),
@@ -103,8 +104,8 @@
         })
     }
 
-    /// Whether a machine has the capacity for a task, and the task may be there.
-    fn may_take(
+    /// Whether a machine has free capacity for a task and the task may run on it.
+    fn can_place_on(
         &self,
         task: &UndispatchedTask,
         job: &Job,
@@ -122,7 +123,7 @@
             && self.may_use_pool(&task.job, job, &machine.pool, &ZoneLimits::none(), context)
     }
 
-    /// Whether a task would start sooner on the machine that reports now.
+    /// Whether a task would start sooner on the reporting machine.
     fn starts_sooner(
         spec: &JobSpec,
         assignment: &Assignment,
@@ -137,14 +138,14 @@
                 0
             }
         };
-        let delay_there = fetch_time(!to.has_image(&spec.image), &to.pool);
+        let delay_on_target = fetch_time(!to.has_image(&spec.image), &to.pool);
         let until_heartbeat = next_heartbeat_at(from, context).saturating_sub(context.now);
-        let delay_here = until_heartbeat + fetch_time(assignment.image_missing, &from.pool);
-        delay_there + MIN_GAIN < delay_here
+        let delay_on_source = until_heartbeat + fetch_time(assignment.image_missing, &from.pool);
+        delay_on_target + MIN_GAIN < delay_on_source
     }
 }
 
-/// How long a machine takes to fetch a job's image; 0 if its type is not known.
+/// Time that a machine takes to fetch a job's image; 0 if its type is not known.
 fn image_fetch_time(spec: &JobSpec, pool: &MachinePool, context: &SchedulingContext<'_>) -> Micros {
     let bytes_per_second = context
         .replica
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -1,8 +1,8 @@
 //! Reconciliation after a change of ownership.
 //!
-//! A new owner does not know which tasks its predecessor started. Until every machine that
-//! the predecessor may have used has sent a heartbeat under the new fencing token, or is
-//! proven to run nothing, tasks bound before stay unreconciled and are not started again.
+//! A new owner does not know which tasks its predecessor started. Tasks that were bound before
+//! the change stay unreconciled and are not restarted until every machine that the predecessor
+//! may have used has sent a heartbeat under the new fencing token or is proven to run nothing.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -12,17 +12,17 @@
 
 use super::{Region, SchedulingContext};
 
-/// Which machines of a former owner are still unreconciled.
+/// Progress of reconciliation after a region was acquired.
 #[derive(Debug)]
 pub(super) struct Reconciliation {
     is_complete: bool,
     acquired_at: Micros,
-    /// Activated machines of a former owner that have neither reported nor been proven empty.
+    /// Machines activated by a former owner that have neither reported nor been proven empty.
     unreconciled: BTreeSet<Rc<str>>,
 }
 
 impl Reconciliation {
-    /// Begins when the region is acquired.
+    /// Begins reconciliation at the time of acquisition.
     pub(super) fn new(now: Micros) -> Self {
         Reconciliation {
             is_complete: false,
@@ -32,16 +32,16 @@
     }
 
     /// Sets the machines that a former owner may have used.
-    pub(super) fn expect(&mut self, machines: impl Iterator<Item = Rc<str>>) {
+    pub(super) fn set_unreconciled(&mut self, machines: impl Iterator<Item = Rc<str>>) {
         self.unreconciled = machines.collect();
     }
 
-    /// A machine has reported under the current token, or is proven to run nothing.
+    /// Marks a machine that has reported under the current token or is proven to run nothing.
     pub(super) fn machine_reconciled(&mut self, name: &str) {
         self.unreconciled.remove(name);
     }
 
-    /// Whether a former owner's tasks may still run on the machine.
+    /// Whether tasks of a former owner may still run on the machine unreported.
     pub(super) fn is_unreconciled(&self, name: &str) -> bool {
         self.unreconciled.contains(name)
     }
@@ -51,28 +51,28 @@
         self.is_complete
     }
 
-    /// When the region was acquired.
+    /// Time at which the region was acquired.
     pub(super) fn acquired_at(&self) -> Micros {
         self.acquired_at
     }
 }
 
 impl Region {
-    /// Completes reconciliation once no machine is left to wait for.
+    /// Completes reconciliation if no machine is left unreconciled.
     pub(super) fn try_complete_reconciliation(&mut self, context: &SchedulingContext<'_>) {
         if self.reconciliation.is_complete {
             return;
         }
         if let Some(machine) = self.reconciliation.unreconciled.first() {
             log::debug!(
-                "region={} machine={machine}: unreconciled, with {} more",
+                "region={} machine={machine}: not reconciled yet, {} more machines pending",
                 self.name,
                 self.reconciliation.unreconciled.len() - 1
             );
             return;
         }
-        // Guards against records of machines that can't be read: tasks on those have ended
-        // for sure only when every lease that a former owner granted has expired.
+        // Guards against restarting tasks of machines whose records cannot be read. Such tasks
+        // have certainly ended only once every lease granted by a former owner has expired.
         if !context.replica.unreadable.is_empty()
             && context.now
                 < self.reconciliation.acquired_at
@@ -84,7 +84,7 @@
         self.complete_reconciliation(context);
     }
 
-    /// Completes reconciliation: tasks that no machine has reported are pending from now on.
+    /// Completes reconciliation. Tasks that no machine has reported become pending.
     pub(super) fn complete_reconciliation(&mut self, context: &SchedulingContext<'_>) {
         self.reconciliation.is_complete = true;
         self.triggers.everything_changed();
@@ -107,7 +107,7 @@
             return;
         };
         job.tasks.reconcile(context.now);
-        // A gang of which only a part still runs can't go on.
+        // A gang cannot continue if only some of its tasks are running.
         if job.spec.kind == JobKind::Gang
             && !job.tasks.on_machines().is_empty()
             && !job.tasks.pending().is_empty()
--- a/src/region/task_transition.rs
+++ b/src/region/task_transition.rs
@@ -124,7 +124,7 @@
             return;
         };
         let is_idle =
-            machine.tasks.is_empty() || (left.constrained && !machine.serves_its_purpose(true));
+            machine.tasks.is_empty() || (left.constrained && !machine.justifies_its_cost(true));
         if is_idle {
             let delay = if machine.cordoned.is_some() {
                 0
