--- a/src/region.rs
+++ b/src/region.rs
@@ -1,16 +1,16 @@
-//! The second level of scheduling: the owner of a region places the region's tasks on its
-//! machines.
+//! Second level of scheduling: the owner of a region places tasks on the region's machines.
 //!
-//! [`Region`] is made of parts that own their state: the queue of pending jobs, the machine
-//! inventory, the shares of quotas, the commits in flight, the triggers of placement. What
-//! concerns several parts is done by methods of [`Region`], one module for each duty. The
-//! controller calls it with every event (heartbeats, changed records, outcomes of commits,
-//! messages of the leader, time) and carries out the [`Action`]s that it asks for.
+//! [`Region`] consists of components that own their state: the queue of pending jobs, the
+//! machine inventory, the quota shares, the commits in flight and the placement triggers.
+//! Operations that span several components are methods of [`Region`], with one module for each
+//! responsibility. The controller passes every event to the region (heartbeats, changed
+//! records, commit outcomes, messages of the leader, timer ticks) and executes the [`Action`]s
+//! that the region returns.
 //!
-//! Invariants: every task of a job that is bound here is in one [`TaskState`];
-//! `task_transition` lists what leads from one to another. What is known of machines comes from
-//! their heartbeats alone, and a task that may be on a machine stays there until that machine
-//! reports otherwise or is proven empty.
+//! Invariants: every task of a job that is bound to the region is in one
+//! [`TaskState`]; `task_transition` lists the transitions. The region learns the state of
+//! machines from their heartbeats alone. A task that may be on a machine stays assigned to it
+//! until the machine reports otherwise or is proven empty.
 
 mod action;
 mod commits;
@@ -88,37 +88,39 @@
 use triggers::PlacementTriggers;
 use undispatched::UndispatchedTasks;
 
-/// How often upkeep runs.
+/// Interval between two runs of the upkeep.
 const UPKEEP_INTERVAL: Micros = 250 * MILLISECOND;
-/// How long after its acquisition a region isn't handed over while records of machines that
-/// are gone are yet to be removed.
+/// Time after its acquisition during which a region is not handed over while the removal of
+/// records of terminated machines is pending.
 const MAX_REMOVAL_WAIT: Micros = 60 * SECOND;
-/// Most pending jobs, and most jobs with running tasks, in a report.
+/// Maximum number of pending jobs in a report.
 const MAX_REPORTED_PENDING_JOBS: usize = 200;
+/// Maximum number of jobs with running tasks in a report.
 const MAX_REPORTED_RUNNING_JOBS: usize = 500;
-/// A region receives few heartbeats if fewer than one in four of its machines reported of late.
+/// A region receives few heartbeats if fewer than one in four of its activated machines
+/// reported within the last heartbeat window.
 const FEW_HEARTBEATS_DIVISOR: usize = 4;
 
-/// The time in which each machine reports at least once: the interval, a quarter of it for
-/// jitter, and some seconds for delays.
+/// Time in which each machine reports at least once: the heartbeat interval, a quarter of it
+/// for jitter, and 4 seconds for delays.
 fn heartbeat_window(settings: &Settings) -> Micros {
     settings.heartbeat_interval * 5 / 4 + 4 * SECOND
 }
 
-/// A region that this controller owns; see the module.
+/// A region that this controller owns; see the module documentation.
 #[derive(Debug)]
 pub struct Region {
-    /// Name.
+    /// Name of the region.
     pub name: String,
-    /// Fencing token of this ownership.
+    /// Fencing token under which this controller owns the region.
     pub token: u64,
-    /// Revision of the region's record when we became its owner.
+    /// Revision of the region's record at which this controller became the owner.
     pub version: u64,
     reconciliation: Reconciliation,
     inventory: MachineInventory,
     machine_records: MachineRecordChanges,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs with results that are not yet recorded.
+    /// Jobs with results that are not yet committed.
     unrecorded_jobs: BTreeSet<JobId>,
     undispatched: UndispatchedTasks,
     queue: JobQueue,
@@ -126,7 +128,7 @@
     reservation: Option<GangReservation>,
     quotas: QuotaShares,
     commits: CommitTracker,
-    /// Counts attempts under this token.
+    /// Number of attempts started under this fencing token.
     attempt_sequence: u64,
     triggers: PlacementTriggers,
     next_upkeep_at: Micros,
@@ -134,9 +136,9 @@
 }
 
 impl Region {
-    /// Acquires a region whose record was just committed as ours. The replica
-    /// must be complete up to that commit, so that every machine and every job
-    /// that a former owner may have used is in it.
+    /// Creates the state of a region whose record this controller has just committed as its
+    /// own. The replica must be complete up to that commit, so that it contains every machine
+    /// and every job that a former owner may have used.
     #[must_use]
     pub fn new(name: &str, token: u64, version: u64, context: &SchedulingContext<'_>) -> Self {
         let mut region = Region {
@@ -168,7 +170,7 @@
         region
     }
 
-    /// Adds the machines, jobs and shares that a former owner may have used.
+    /// Adds the machines, jobs and quota shares that a former owner may have used.
     fn inherit_records(&mut self, context: &SchedulingContext<'_>) {
         for (machine, record) in &context.replica.machines {
             if record.value.region == self.name {
@@ -192,26 +194,28 @@
         }
     }
 
-    /// Whether all machines of a former owner are reconciled.
+    /// Whether all machines that a former owner may have used are reconciled.
     pub fn is_reconciled(&self) -> bool {
         self.reconciliation.is_complete()
     }
 
-    /// Whether another may acquire the region without waiting for machines that we know
-    /// are gone: the next owner would look for them all over again.
+    /// Whether another controller can take over the region without waiting for terminated
+    /// machines: the next owner would have to reconcile each machine whose record is not
+    /// removed yet. After `MAX_REMOVAL_WAIT`, pending removals no longer delay the handover.
     pub fn is_ready_to_hand_over(&self, now: Micros) -> bool {
         let has_waited = now > self.reconciliation.acquired_at() + MAX_REMOVAL_WAIT;
         self.reconciliation.is_complete()
             && (!self.machine_records.has_pending_removals() || has_waited)
     }
 
-    /// How many machines may hold tasks.
+    /// Number of activated machines: those that may hold tasks.
     pub fn activated_machines(&self) -> usize {
         self.inventory.activated_count()
     }
 
-    /// Whether few of the activated machines have reported of late, though they could have been
-    /// answered since `reachable_since` and there was time for all.
+    /// Whether only few activated machines reported within the last heartbeat window. Returns
+    /// `false` until this controller has been reachable (`reachable_since`) and has owned the
+    /// region for two windows, so that every machine had time to report.
     pub fn receives_few_heartbeats(
         &self,
         reachable_since: Micros,
@@ -227,13 +231,13 @@
         recent * FEW_HEARTBEATS_DIVISOR < self.inventory.activated_count()
     }
 
-    /// A task's assignment to a machine.
+    /// Returns the assignment of a task to a machine.
     fn assignment_mut(&mut self, id: &JobId, task: u32, machine: &str) -> Option<&mut Assignment> {
         self.inventory.assignment_mut(machine, id, task)
     }
 
-    /// Runs upkeep if it is due, and places pending tasks. Returns the time of the steady clock
-    /// for the next call.
+    /// Runs the upkeep if it is due, and places pending tasks. Returns the monotonic time of
+    /// the next call.
     pub fn tick(&mut self, context: &SchedulingContext<'_>) -> Micros {
         if context.now >= self.next_upkeep_at {
             self.next_upkeep_at = context.now + UPKEEP_INTERVAL;
@@ -264,8 +268,8 @@
         }
     }
 
-    /// Re-evaluates the jobs whose wake-up is due: their rank changes, a back-off is over, or
-    /// they were at the start barrier for too long.
+    /// Re-evaluates the jobs whose wake-up is due because their rank changes, their backoff has
+    /// ended, or their wait at the start barrier has timed out.
     fn process_wakeups(&mut self, context: &SchedulingContext<'_>) {
         while let Some(id) = self.queue.pop_due(context.now) {
             self.leave_expired_barrier(&id, context);
@@ -274,7 +278,7 @@
         }
     }
 
-    /// The replica was read anew as a whole.
+    /// Handles a complete reload of the replica.
     pub fn on_replica_reloaded(&mut self, context: &SchedulingContext<'_>) {
         let mut names: BTreeSet<Rc<str>> = self
             .inventory
@@ -303,24 +307,24 @@
         self.on_machine_types_changed(context);
     }
 
-    /// The recorded shares of a team's quota changed.
+    /// Handles a change of the recorded shares of a team's quota.
     pub fn on_quota(&mut self, team: &str) {
         self.triggers.team_changed(team);
     }
 
-    /// Whether tasks could be placed but for their team's limit.
+    /// Whether only a team's quota keeps some pending tasks from being placed.
     pub fn is_quota_blocked(&self) -> bool {
         self.quotas.has_unmet_demand()
     }
 
-    /// How many tasks of a job are on machines here.
+    /// Number of tasks of a job that are on machines of this region.
     pub fn running_tasks(&self, job: &str) -> u32 {
         self.jobs
             .get(job)
             .map_or(0, |job| job.tasks.on_machines().len() as u32)
     }
 
-    /// The report of the region to the other controllers.
+    /// Returns the region's report to the other controllers.
     pub fn report(&self, context: &SchedulingContext<'_>) -> RegionReport {
         RegionReport {
             region: self.name.clone(),
--- a/src/region/action.rs
+++ b/src/region/action.rs
@@ -1,4 +1,4 @@
-//! What the region asks its controller to do: commits and releases of machines.
+//! Actions that the region requests from its controller: commits and releases of machines.
 
 use std::rc::Rc;
 
@@ -6,28 +6,28 @@
 
 use crate::state_store::{CommitPriority, Transaction};
 
-/// What a commit was for; handed back to the region with the commit's outcome.
+/// Purpose of a commit; the controller returns it to the region with the commit's outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitKind {
-    /// These finished tasks of a job are recorded.
+    /// Records these finished tasks of a job.
     Progress(JobId, RangeSet),
-    /// A job's end is recorded.
+    /// Records the end of a job.
     JobDone(JobId),
-    /// The region's share of this team's quota changes.
+    /// Changes the region's share of this team's quota.
     QuotaShare(String),
-    /// Pending tasks of a job are handed over to another region.
+    /// Hands pending tasks of a job over to another region.
     Rebind(JobId),
-    /// Machines that are about to get their first tasks are recorded as activated.
+    /// Records machines as activated before their first tasks are dispatched.
     ActivateMachines(Vec<Rc<str>>),
-    /// Records of machines that are proven gone are removed.
+    /// Removes the records of machines that are proven to be terminated.
     RemoveMachines(Vec<Rc<str>>),
 }
 
-/// What the region asks its controller to do.
+/// Action that the region requests from its controller.
 #[derive(Debug)]
 pub enum Action {
-    /// Commit this transaction.
+    /// Commits this transaction.
     Commit(Transaction, CommitPriority, CommitKind),
-    /// Return these machines to the cloud.
+    /// Releases these machines to the cloud provider.
     Release(Vec<String>),
 }
--- a/src/region/commits.rs
+++ b/src/region/commits.rs
@@ -1,8 +1,7 @@
-//! Commits of the region: how they are handed to the controller, and what follows from each
-//! commit's outcome.
+//! Commits of the region: submission to the controller and handling of their outcomes.
 //!
-//! [`CommitTracker`] owns the actions that the controller has yet to take, the commits in
-//! flight and those whose conflict the replica does not explain yet.
+//! [`CommitTracker`] owns the actions that the controller has not taken yet, the commits in
+//! flight, and the conflicted commits whose cause the replica does not show yet.
 
 use std::collections::BTreeMap;
 
@@ -13,20 +12,20 @@
 use super::{Region, SchedulingContext};
 use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
 
-/// Commits in flight, and the actions that the controller has yet to take.
+/// Commits in flight, conflicted commits, and actions that the controller has not taken yet.
 #[derive(Debug, Default)]
 pub(super) struct CommitTracker {
-    /// By commit number.
+    /// Commits in flight, by commit number.
     in_flight: BTreeMap<u64, CommitKind>,
     conflicts: Vec<ConflictedCommit>,
     actions: Vec<Action>,
 }
 
-/// A commit that failed on a condition. Nothing is concluded from it before the replica shows
-/// why.
+/// A commit that failed because one of its conditions did not hold. The commit is concluded
+/// only once the replica has reached the revision of the conflicting change.
 #[derive(Debug)]
 struct ConflictedCommit {
-    /// The revision that the replica must reach.
+    /// Revision that the replica must reach before the commit is concluded.
     revision: u64,
     kind: CommitKind,
 }
@@ -43,38 +42,39 @@
             .push(Action::Commit(transaction, priority, kind));
     }
 
-    /// Queues the return of machines to the cloud.
+    /// Queues the release of machines to the cloud provider.
     pub(super) fn release(&mut self, machines: Vec<String>) {
         self.actions.push(Action::Release(machines));
     }
 
-    /// Removes and returns the actions since the last call.
+    /// Removes and returns the actions queued since the last call.
     pub(super) fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Removes and returns the conflicted commits that a replica at this revision explains.
-    fn take_explained(&mut self, revision: u64) -> Vec<CommitKind> {
-        let (explained, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.conflicts)
+    /// Removes and returns the conflicted commits whose conflicting change is visible in a
+    /// replica at this revision.
+    fn take_resolvable(&mut self, revision: u64) -> Vec<CommitKind> {
+        let (resolvable, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.conflicts)
             .into_iter()
             .partition(|commit| commit.revision <= revision);
         self.conflicts = rest;
-        explained.into_iter().map(|commit| commit.kind).collect()
+        resolvable.into_iter().map(|commit| commit.kind).collect()
     }
 }
 
 impl Region {
-    /// What the controller is to do since the last call.
+    /// Removes and returns the actions that the region has requested since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         self.commits.take_actions()
     }
 
-    /// Notes the number under which the controller has sent a commit.
+    /// Registers a commit that the controller has sent under this commit number.
     pub fn commit_sent(&mut self, number: u64, kind: CommitKind) {
         self.commits.in_flight.insert(number, kind);
     }
 
-    /// Concludes a commit by its outcome. Returns whether it was a commit of this region.
+    /// Handles the outcome of a commit. Returns whether the commit belongs to this region.
     pub fn on_committed(
         &mut self,
         number: u64,
@@ -91,22 +91,24 @@
                 .conflicts
                 .push(ConflictedCommit { revision, kind }),
             CommitOutcome::Refused => self.conclude_commit(kind, false, context),
-            // May yet be carried out: what it would change stays set aside.
+            // The state service may still apply the commit, so everything that it would change
+            // stays marked as in flight.
             CommitOutcome::Unknown => {
-                log::error!("region={}: {kind:?}: outcome of commit unknown", self.name);
+                log::error!("region={}: {kind:?}: commit outcome unknown", self.name);
             }
         }
         true
     }
 
-    /// Concludes the conflicted commits that the replica explains by now.
+    /// Concludes the conflicted commits whose conflicting change the replica shows by now.
     pub(super) fn resolve_conflicts(&mut self, context: &SchedulingContext<'_>) {
-        for kind in self.commits.take_explained(context.replica.revision) {
+        for kind in self.commits.take_resolvable(context.replica.revision) {
             log::debug!("region={}: {kind:?}: conflict resolved", self.name);
             self.conclude_commit(kind, false, context);
         }
     }
 
+    /// Applies the result of a commit to the region's state.
     pub(super) fn conclude_commit(
         &mut self,
         kind: CommitKind,
@@ -151,7 +153,7 @@
         };
         job.commit_in_flight = false;
         if committed {
-            job.tasks.results_recorded(tasks);
+            job.tasks.mark_results_recorded(tasks);
             if job.tasks.unrecorded_done().is_empty() {
                 self.unrecorded_jobs.remove(id);
             }
@@ -171,15 +173,17 @@
         }
         self.triggers.job_changed(id);
         self.update_queue_position(id, context);
-        self.after_tasks_left(id);
+        self.clean_up_if_inactive(id);
     }
 
-    /// The condition of every commit: the region's record as it was when we became its owner.
+    /// Returns the condition of every commit: the region's record still has the revision at
+    /// which this controller became the owner.
     pub(super) fn ownership_condition(&self) -> Vec<(Key, u64)> {
         vec![(Key::Region(self.name.clone()), self.version)]
     }
 
-    /// Submits changes that are committed only if the records still have these versions.
+    /// Submits changes that are committed only if the records still have the versions in
+    /// `conditions`.
     pub(super) fn commit(
         &mut self,
         conditions: Vec<(Key, u64)>,
--- a/src/region/context.rs
+++ b/src/region/context.rs
@@ -1,4 +1,4 @@
-//! What a step of a region may read beside the region's own state.
+//! Inputs of a region's scheduling steps apart from the region's own state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,28 +8,29 @@
 use crate::settings::Settings;
 use crate::state_store::replica::Replica;
 
-/// All that a step of the region may read beside its own state; built by the controller for
-/// each step.
+/// Everything that a scheduling step may read apart from the region's own state. The controller
+/// builds a new context for each step.
 pub struct SchedulingContext<'a> {
-    /// The replica of the records.
+    /// Local replica of the state service's records.
     pub replica: &'a Replica,
-    /// The settings.
+    /// Settings of the controller.
     pub settings: &'a Settings,
-    /// Steady clock.
+    /// Monotonic time.
     pub now: Micros,
-    /// Time of day.
+    /// Wall-clock time.
     pub wall: Micros,
-    /// Teams whose limit other regions find used up, with the scheduling rank of the first job
-    /// that lacks some.
+    /// Teams whose quota blocks jobs in other regions, with the scheduling rank of the first
+    /// blocked job.
     pub quota_blocked_teams: &'a BTreeMap<String, u64>,
-    /// Whether tasks may be started, not just kept running.
+    /// Whether new tasks may be started; otherwise running tasks are only kept running.
     pub may_start: bool,
-    /// Jobs that are surely cancelled though the replica may not show it yet.
+    /// Jobs that peers reported as cancelled; the replica may not show the cancellation yet.
     pub reported_cancelled: &'a BTreeSet<String>,
 }
 
 impl SchedulingContext<'_> {
-    /// Whether nothing of a job is to run any more, or it has no record.
+    /// Whether no task of a job may run any more: the job has ended, has been reported
+    /// cancelled, or has no record.
     pub(super) fn is_job_over(&self, id: &str) -> bool {
         let stage = self.replica.stage(id);
         stage != Some(JobStage::Open) || self.reported_cancelled.contains(id)
--- a/src/region/failure_attribution.rs
+++ b/src/region/failure_attribution.rs
@@ -1,9 +1,9 @@
-//! Attribution of task failures: to a job that was submitted with a mistake, or to a faulty
-//! machine.
+//! Attribution of task failures to a faulty job or to a faulty machine.
 //!
-//! The evidence for a mistake is one job that fails on several machines without any
-//! result; the evidence for a faulty machine is several jobs, or tasks of a job that has
-//! results elsewhere, failing on it.
+//! A job that fails on several machines without any result is considered faulty (suspect). A
+//! machine is considered faulty if several jobs fail on it, or if tasks of a job that has
+//! results elsewhere keep failing on it. Suspect jobs are retried a few tasks at a time; faulty
+//! machines are cordoned.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -15,36 +15,39 @@
 use super::{Region, SchedulingContext, TaskState};
 use crate::fault_injection::{is_disabled, Safeguard};
 
-/// On how many machines a job without any result fails before it is suspect. Two may be
-/// faulty at the same time; three of a few hundred hardly are.
+/// Number of machines on which a job without any result must fail before it becomes suspect.
+/// Two machines may be faulty at the same time; three out of a few hundred are unlikely to be.
 const MIN_SUSPECT_MACHINES: usize = 3;
-/// Most machines that are remembered for a job: enough to try it elsewhere.
-const MAX_REMEMBERED_MACHINES: usize = 32;
-/// The longest back-off between attempts. Below the 90 s for which no job may wait beside a
-/// machine with free capacity.
+/// Maximum number of failed machines kept for a job: enough to retry the job on others.
+const MAX_FAILED_MACHINES: usize = 32;
+/// Maximum backoff between attempts of a job. Must stay below 90 s, the longest time for which
+/// a job may be pending while a machine has free capacity for it.
 const MAX_BACKOFF: Micros = 30 * SECOND;
-/// The same for a suspect job, whose attempts fail after a while only.
+/// Maximum backoff of a suspect job. Longer than [`MAX_BACKOFF`], since attempts of a suspect
+/// job fail only after some run time.
 const MAX_SUSPECT_BACKOFF: Micros = 40 * SECOND;
-/// The back-off doubles with each failure, up to this one.
+/// Number of failures after which the backoff stops doubling.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// When a suspect job gets a further task though one is still on a machine.
-pub(super) const TRY_AGAIN_AFTER: Micros = 45 * SECOND;
-/// Failures that count against a machine before it is cordoned.
-const FAULTY_AFTER: u32 = 3;
-/// Most jobs whose failures are remembered for a machine.
-const MAX_REMEMBERED_JOBS: usize = 8;
-
-/// Whether a job itself seems to be at fault.
+/// Time since the last assignment after which a suspect job gets another task even if one is
+/// still on a machine.
+pub(super) const SUSPECT_RETRY_DELAY: Micros = 45 * SECOND;
+/// Number of failures attributed to a machine at which it is cordoned.
+const CORDON_FAILURE_COUNT: u32 = 3;
+/// Maximum number of jobs whose failures are kept for a machine.
+const MAX_FAILED_JOBS: usize = 8;
+
+/// Whether a job's failures are attributed to the job itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum JobHealth {
-    /// No evidence against it.
+    /// The failures are not attributed to the job.
     #[default]
-    Sound,
-    /// It failed wherever it ran: attempted again now and then, a task or a gang at a time.
+    Healthy,
+    /// The job failed on every machine where it ran. The job is retried at intervals, one task or
+    /// one gang at a time.
     Suspect,
 }
 
-/// The failures of a job since its last result.
+/// Failures of a job since its last result.
 #[derive(Debug, Default)]
 pub(super) struct JobFailures {
     count: u32,
@@ -53,12 +56,12 @@
 }
 
 impl JobFailures {
-    /// Notes a failure on a machine. `has_results`: some task of the job was done before,
-    /// so the job as a whole isn't at fault. Returns whether it has become suspect.
+    /// Records a failure on a machine. `has_results`: a task of the job has finished before, so
+    /// the job itself is not faulty. Returns whether this failure made the job suspect.
     #[must_use]
-    fn failed(&mut self, machine: &str, has_results: bool) -> bool {
+    fn record_failure(&mut self, machine: &str, has_results: bool) -> bool {
         self.count += 1;
-        if self.machines.len() < MAX_REMEMBERED_MACHINES {
+        if self.machines.len() < MAX_FAILED_MACHINES {
             self.machines.insert(Rc::from(machine));
         }
         let health_before = self.health;
@@ -71,26 +74,27 @@
         health_before != self.health
     }
 
-    /// A task of the job is done: whatever failed before, the job isn't at fault.
-    pub(super) fn succeeded(&mut self) {
+    /// Clears the failures after a task of the job has finished, which shows that the job
+    /// itself is not faulty.
+    pub(super) fn record_success(&mut self) {
         *self = JobFailures::default();
     }
 
-    /// Whether the job itself seems to be at fault.
+    /// Whether the failures are attributed to the job itself.
     pub(super) fn is_suspect(&self) -> bool {
         self.health == JobHealth::Suspect
     }
 
-    /// Whether it failed on this machine since its last result.
+    /// Whether the job has failed on this machine since its last result.
     pub(super) fn failed_on(&self, machine: &str) -> bool {
         self.machines.contains(machine)
     }
 
-    /// How long to wait before the next attempt.
+    /// Returns the delay before the next attempt.
     fn backoff(&self) -> Micros {
         let backoff = SECOND << self.count.min(MAX_BACKOFF_DOUBLINGS);
         match self.health {
-            JobHealth::Sound => backoff.min(MAX_BACKOFF),
+            JobHealth::Healthy => backoff.min(MAX_BACKOFF),
             JobHealth::Suspect => backoff.clamp(MAX_BACKOFF / 2, MAX_SUSPECT_BACKOFF),
         }
     }
@@ -103,34 +107,34 @@
 }
 
 impl MachineFailures {
-    /// Notes a failure. One of a job that has results elsewhere counts against the machine each
-    /// time, others only once for each job: such a job may be at fault itself.
-    fn failed(&mut self, job: &JobId, has_results: bool) {
+    /// Records a failure. Each failure of a job that has results elsewhere counts against the
+    /// machine. A job without results counts only once, since the job itself may be faulty.
+    fn record_failure(&mut self, job: &JobId, has_results: bool) {
         if let Some(count) = self.jobs.get_mut(job) {
             *count += u32::from(has_results);
-        } else if self.jobs.len() < MAX_REMEMBERED_JOBS {
+        } else if self.jobs.len() < MAX_FAILED_JOBS {
             self.jobs.insert(job.clone(), 1);
         }
     }
 
-    /// A job turned out to be at fault itself.
-    fn forgive(&mut self, job: &JobId) {
+    /// Removes the failures of a job that has become suspect.
+    fn remove_job(&mut self, job: &JobId) {
         self.jobs.remove(job);
     }
 
-    /// A task was done on the machine.
-    pub(super) fn succeeded(&mut self) {
+    /// Clears the failures after a task has finished on the machine.
+    pub(super) fn record_success(&mut self) {
         self.jobs.clear();
     }
 
-    /// Whether enough failures count against the machine to cordon it.
+    /// Whether enough failures are attributed to the machine to cordon it.
     fn is_faulty(&self) -> bool {
-        self.jobs.values().sum::<u32>() >= FAULTY_AFTER
+        self.jobs.values().sum::<u32>() >= CORDON_FAILURE_COUNT
     }
 }
 
 impl Region {
-    /// A task of a job failed on a machine. Returns the job's back-off.
+    /// Handles the failure of a task on a machine. Returns the job's backoff.
     pub(super) fn on_task_failed(
         &mut self,
         machine: &str,
@@ -140,30 +144,30 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return 0;
         };
-        // A service has no results, so nothing could ever clear it.
+        // A service never has results, so a suspect service could never become healthy again.
         let has_results = job.spec.kind == JobKind::Service
             || !job.tasks.done().is_empty()
             || context.replica.progress.contains_key(&**id);
-        let became_suspect = job.failures.failed(machine, has_results);
+        let became_suspect = job.failures.record_failure(machine, has_results);
         let is_suspect = job.failures.is_suspect();
         let backoff = job.failures.backoff();
         if became_suspect {
             self.on_job_suspected(id);
         } else if !is_suspect {
-            self.note_machine_failure(machine, id, has_results, context);
+            self.record_machine_failure(machine, id, has_results, context);
         }
         backoff
     }
 
-    /// A job has become suspect: its failures no longer count against machines, and no
-    /// capacity is reserved for it.
+    /// Handles a job that has become suspect: removes its failures from the machines and
+    /// releases the capacity reserved for it.
     fn on_job_suspected(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
         log::info!(
-            "region={} job={id}: suspect: failed on {} machines without a result, attempted now \
-             and then; team {}, class {}",
+            "region={} job={id}: suspect: failed on {} machines without a result, retried at \
+             intervals; team {}, class {}",
             self.name,
             job.failures.machines.len(),
             job.spec.team,
@@ -171,14 +175,14 @@
         );
         for name in &job.failures.machines {
             if let Some(failures) = self.inventory.failures_mut(name) {
-                failures.forgive(id);
+                failures.remove_job(id);
             }
         }
         self.release_reservation_of(id);
     }
 
-    /// Withdraws the assigned tasks of a suspect array that are not dispatched yet: it is
-    /// attempted a task at a time.
+    /// Withdraws the assigned tasks of a suspect job array that are not dispatched yet, since
+    /// a suspect array is retried one task at a time.
     pub(super) fn withdraw_undispatched(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -203,7 +207,7 @@
         }
     }
 
-    fn note_machine_failure(
+    fn record_machine_failure(
         &mut self,
         name: &str,
         id: &JobId,
@@ -213,7 +217,7 @@
         let Some(failures) = self.inventory.failures_mut(name) else {
             return;
         };
-        failures.failed(id, has_results);
+        failures.record_failure(id, has_results);
         let is_faulty = failures.is_faulty();
         let machine = self.inventory.machine(name);
         if is_faulty && machine.is_some_and(|machine| machine.cordoned.is_none()) {
--- a/src/region/failure_attribution/tests.rs
+++ b/src/region/failure_attribution/tests.rs
@@ -3,8 +3,8 @@
 use super::super::tests::TestCluster;
 use super::*;
 
-/// Plays `span` seconds from `from` on; returns the time reached.
-fn play(cluster: &mut TestCluster, from: u64, span: u64) -> u64 {
+/// Simulates `span` seconds starting at second `from`. Returns the second that follows.
+fn run_for(cluster: &mut TestCluster, from: u64, span: u64) -> u64 {
     for s in from..from + span {
         cluster.play_second(s * SECOND, None);
     }
@@ -17,12 +17,14 @@
     faulty.map(|(name, _)| &**name).collect()
 }
 
-/// What each kind of failing job does to machines and to the number of attempts, and what a
-/// faulty machine still causes.
+/// Guards against healthy machines that are cordoned because of a failing job, and against
+/// healthy jobs that become suspect because of a faulty machine. A job that fails on every
+/// machine becomes suspect, is retried a limited number of times, and no machine is cordoned. A
+/// machine on which several jobs with results elsewhere fail is cordoned.
 #[test]
-fn jobs_at_fault_are_told_from_faulty_machines() {
-    // JobKind, tasks, processors of each, most starts in five minutes.
-    for (kind, tasks, cpus, most) in [
+fn failing_jobs_are_distinguished_from_faulty_machines() {
+    // Job kind, number of tasks, millionths of a CPU per task, maximum starts in five minutes.
+    for (kind, tasks, cpus, max_starts) in [
         ("a", 40, 1_000_000, 60),
         ("a", 1, 1_000_000, 14),
         ("g", 4, 2_000_000, 60),
@@ -30,20 +32,26 @@
         let mut cluster = TestCluster::new(6);
         cluster.submit("req-1", kind, "red", tasks, cpus, 2 * SECOND);
         cluster.broken.insert("req-1".into());
-        play(&mut cluster, 3, 300);
+        run_for(&mut cluster, 3, 300);
         let starts = cluster.starts["req-1"];
-        assert!(starts >= 4, "{kind} of {tasks}: tried {starts} times");
-        assert!(starts <= most, "{kind} of {tasks}: {starts} starts");
+        assert!(
+            starts >= 4,
+            "{kind} of {tasks}: expected at least 4 starts, got {starts}"
+        );
+        assert!(
+            starts <= max_starts,
+            "{kind} of {tasks}: expected at most {max_starts} starts, got {starts}"
+        );
         assert_eq!(cordoned(&cluster), [""; 0], "{kind} of {tasks}");
         assert!(cluster.region.jobs["req-1"].failures.is_suspect());
     }
-    // Several jobs, all with results elsewhere, fail on one machine.
+    // Several jobs, all with results on other machines, fail on one machine.
     let mut cluster = TestCluster::new(6);
     cluster.faulty.insert("m-3".into());
     for i in 0..6 {
         cluster.submit(&format!("req-{i}"), "a", "red", 8, 2_000_000, 2 * SECOND);
     }
-    play(&mut cluster, 3, 120);
+    run_for(&mut cluster, 3, 120);
     assert_eq!(cordoned(&cluster), ["m-3"]);
     let suspect = cluster
         .region
@@ -53,73 +61,82 @@
     assert!(!suspect);
 }
 
-/// A faulty machine is cordoned also when suspect jobs ran on it.
+/// Guards against a faulty machine that is not cordoned because its failures are attributed to
+/// a suspect job that also ran on it.
 #[test]
-fn a_faulty_machine_is_cordoned_beside_jobs_at_fault() {
+fn faulty_machine_is_cordoned_despite_suspect_job() {
     let mut cluster = TestCluster::new(6);
     cluster.submit("req-1", "a", "red", 30, 1_000_000, 2 * SECOND);
     cluster.broken.insert("req-1".into());
-    let now = play(&mut cluster, 3, 40);
+    let now = run_for(&mut cluster, 3, 40);
     cluster.faulty.insert("m-2".into());
     for i in 2..8 {
         cluster.submit(&format!("req-{i}"), "a", "red", 8, 2_000_000, now * SECOND);
     }
-    play(&mut cluster, now, 120);
+    run_for(&mut cluster, now, 120);
     assert_eq!(cordoned(&cluster), ["m-2"]);
 }
 
-/// Suspect jobs wait behind all others, ask for nothing, and are served at once when a
-/// later try succeeds. With the safeguard disabled they keep taking machines.
+/// Guards against a large failing job that keeps taking machines from other jobs. A suspect job
+/// ranks after all others, requests capacity for one task at most, and runs completely once a
+/// retry succeeds. With the safeguard disabled it keeps taking machines.
 #[test]
-fn a_suspect_job_takes_nothing_from_others() {
-    let served = |disabled: Option<Safeguard>| {
+fn suspect_job_does_not_delay_others() {
+    let simulate = |disabled: Option<Safeguard>| {
         crate::fault_injection::disable(disabled);
         let mut cluster = TestCluster::new(4);
         cluster.submit("req-1", "a", "red", 400, 2_000_000, 2 * SECOND);
         cluster.broken.insert("req-1".into());
-        let now = play(&mut cluster, 3, 60);
+        let now = run_for(&mut cluster, 3, 60);
         let before = cluster.starts["req-1"];
         for i in 2..10 {
             cluster.submit(&format!("req-{i}"), "a", "red", 4, 2_000_000, now * SECOND);
         }
-        let now = play(&mut cluster, now, 60);
-        let tries = cluster.starts["req-1"] - before;
+        let now = run_for(&mut cluster, now, 60);
+        let retries = cluster.starts["req-1"] - before;
         crate::fault_injection::disable(None);
-        (cluster, now, tries)
+        (cluster, now, retries)
     };
-    let (_, _, tries) = served(Some(Safeguard::SuspectJobs));
-    assert!(tries > 10, "left out: {tries} tries");
-    let (mut cluster, now, tries) = served(None);
-    assert!((1..=4).contains(&tries), "{tries} tries");
+    let (_, _, retries) = simulate(Some(Safeguard::SuspectJobs));
+    assert!(
+        retries > 10,
+        "expected more than 10 starts with the safeguard disabled, got {retries}"
+    );
+    let (mut cluster, now, retries) = simulate(None);
+    assert!(
+        (1..=4).contains(&retries),
+        "expected 1 to 4 starts, got {retries}"
+    );
     let pending = cluster.pending_jobs(now * SECOND);
-    let line = pending.into_iter().find(|line| line.job == "req-1");
-    let line = line.expect("still known");
+    let suspect = pending.into_iter().find(|job| job.job == "req-1");
+    let suspect = suspect.expect("suspect job must be reported as pending");
     assert!(
-        line.needs_new_attempt && line.pending_tasks <= 1,
-        "{line:?}"
+        suspect.needs_new_attempt && suspect.pending_tasks <= 1,
+        "expected a new attempt of one task at most: {suspect:?}"
     );
-    // The mistake is mended: all of it is served.
+    // Once its tasks succeed, all tasks of the job are started.
     cluster.broken.clear();
-    play(&mut cluster, now, 900);
-    let begun = cluster.began.keys().filter(|(j, _)| j == "req-1").count();
-    assert_eq!(begun, 400);
+    run_for(&mut cluster, now, 900);
+    let started = cluster.began.keys().filter(|(j, _)| j == "req-1").count();
+    assert_eq!(started, 400);
 }
 
-/// Failures of unknown jobs, of an older attempt, or reported again and again change nothing:
-/// no machine is cordoned, no job is suspect, and all are reaped.
+/// Guards against failure reports of unknown jobs, of older attempts, or repeated ones that
+/// change the region's state. No machine is cordoned and no job becomes suspect, but each answer
+/// contains commands that reap reported tasks, limited to `MAX_COMMANDS`.
 #[test]
-fn odd_failures_change_nothing() {
+fn unknown_and_stale_failures_are_ignored() {
     let mut cluster = TestCluster::new(4);
     cluster.submit("req-1", "a", "red", 4, 2_000_000, 2 * SECOND);
-    let now = play(&mut cluster, 3, 3);
-    let odd: Vec<(String, u32, u64)> = (0..3_000)
+    let now = run_for(&mut cluster, 3, 3);
+    let failures: Vec<(String, u32, u64)> = (0..3_000)
         .map(|n| match n % 2 {
             0 => (format!("req-{}", 1_000 + n), 0, 1),
             _ => ("req-1".to_owned(), n % 4, 1),
         })
         .collect();
-    for times in 0..5 {
-        let commands = cluster.report_failures("m-0", &odd, (now + times) * SECOND);
+    for repetition in 0..5 {
+        let commands = cluster.report_failures("m-0", &failures, (now + repetition) * SECOND);
         assert!(commands > 0 && commands <= crate::worker_protocol::MAX_COMMANDS);
     }
     assert_eq!(cordoned(&cluster), [""; 0]);
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -179,14 +179,14 @@
             }
         }
         self.update_queue_position(id, context);
-        self.after_tasks_left(id);
+        self.clean_up_if_inactive(id);
     }
 }
 
 /// Whether all tasks of a gang that are bound here are pending, and may be started together.
 /// Of a gang over several regions, only this region's part is placed here.
 fn is_placeable(job: &Job) -> bool {
-    job.is_bound_as_a_whole()
+    job.is_fully_bound()
         && job.gang.may_be_placed()
         && job.tasks.on_machines().is_empty()
         && job.tasks.are_all_pending()
--- a/src/region/hand_over.rs
+++ b/src/region/hand_over.rs
@@ -73,10 +73,10 @@
     if job.tasks.pending().is_empty() {
         return None;
     }
-    if !job.has_dependent_places() {
+    if !job.has_dependent_placement() {
         return Some(job.tasks.pending().last_n(count));
     }
-    (job.tasks.are_all_pending() && job.is_bound_as_a_whole()).then(|| job.tasks.pending().clone())
+    (job.tasks.are_all_pending() && job.is_fully_bound()).then(|| job.tasks.pending().clone())
 }
 
 /// The job's record with these tasks bound to another region; `None` if it would get too large.
--- a/src/region/job.rs
+++ b/src/region/job.rs
@@ -1,15 +1,15 @@
-//! A job with tasks bound to the region: its specification, its tasks by state, and what
-//! delays or drives its placement.
+//! A job with tasks bound to the region: its specification, its tasks by state, and the
+//! conditions that delay or drive its placement.
 //!
-//! The methods of `Region` read and set the flags; the tasks and the coordination of a gang
-//! own their state.
+//! [`JobTasks`] and [`GangState`] own the state of the tasks and of the gang's coordination. The
+//! remaining fields of [`Job`] are read and set by the methods of `Region`.
 
 use std::rc::Rc;
 
 use salttiller_records::model::{JobKind, JobSpec};
 use salttiller_records::units::Micros;
 
-use super::failure_attribution::{JobFailures, TRY_AGAIN_AFTER};
+use super::failure_attribution::{JobFailures, SUSPECT_RETRY_DELAY};
 use super::gang_state::GangState;
 use super::job_tasks::JobTasks;
 use super::queue::QueueKey;
@@ -20,32 +20,34 @@
 pub(super) struct Job {
     pub(super) spec: Rc<JobSpec>,
     pub(super) tasks: JobTasks,
+    /// Whether the job has ended: no task of it may run and no result needs to be recorded.
     pub(super) is_over: bool,
-    /// When a task of it was last assigned to a machine, or when it was bound here.
-    pub(super) last_assigned: Micros,
-    /// The end of its back-off.
+    /// Time at which a task of the job was last assigned to a machine, or the job was bound to
+    /// the region.
+    pub(super) last_assigned_at: Micros,
+    /// End of the job's backoff.
     pub(super) not_before: Micros,
     pub(super) failures: JobFailures,
     pub(super) commit_in_flight: bool,
     pub(super) last_progress_commit_at: Micros,
-    /// The one machine type on which it fits, if there is just one.
+    /// The machine type on which the job fits, if there is exactly one.
     pub(super) only_type: Option<String>,
-    /// Its position in the queue while tasks of it are pending.
+    /// Position in the queue while tasks of the job are pending.
     pub(super) queue_key: Option<QueueKey>,
-    /// Its team's share was too small when it was last placed.
+    /// Whether the team's quota share was too small at the last attempt to place the job.
     pub(super) quota_blocked: bool,
     pub(super) gang: GangState,
 }
 
 impl Job {
-    /// A job without tasks. `only_type`: the one machine type on which it fits, if there is
-    /// just one.
+    /// Creates a job without tasks. `only_type`: the machine type on which the job fits, if
+    /// there is exactly one.
     pub(super) fn new(spec: &Rc<JobSpec>, only_type: Option<String>, now: Micros) -> Self {
         Job {
             spec: spec.clone(),
             tasks: JobTasks::new(now),
             is_over: false,
-            last_assigned: now,
+            last_assigned_at: now,
             not_before: 0,
             failures: JobFailures::default(),
             commit_in_flight: false,
@@ -57,29 +59,29 @@
         }
     }
 
-    /// Whether it fits on several machine types.
+    /// Whether the job fits on more than one machine type.
     pub(super) fn is_flexible(&self) -> bool {
         self.only_type.is_none()
     }
 
-    /// Whether the places of its tasks depend on each other, so that they are chosen together.
-    pub(super) fn has_dependent_places(&self) -> bool {
+    /// Whether the placements of the job's tasks depend on each other and are decided together.
+    pub(super) fn has_dependent_placement(&self) -> bool {
         self.spec.kind == JobKind::Gang || self.spec.single_zone || self.spec.spread_zones
     }
 
-    /// Whether all of its tasks are bound here, or all of the part that is this region's of a
-    /// gang over several regions.
-    pub(super) fn is_bound_as_a_whole(&self) -> bool {
+    /// Whether all tasks of the job are bound to this region or, for a gang over several
+    /// regions, all tasks of this region's part.
+    pub(super) fn is_fully_bound(&self) -> bool {
         self.tasks.bound().len() == self.spec.task_count || self.gang.is_multi_region()
     }
 
-    /// Nothing of it is to run or to be recorded any more.
+    /// Ends the job: no task is started and no result is recorded any more.
     pub(super) fn end(&mut self) {
         self.is_over = true;
         self.tasks.end();
     }
 
-    /// Its assigned tasks, with their machines.
+    /// Returns the assigned tasks of the job with their machines.
     pub(super) fn tasks_on_machines(&self) -> Vec<(u32, Rc<str>)> {
         self.tasks
             .on_machines()
@@ -88,23 +90,25 @@
             .collect()
     }
 
-    /// Whether so many results are all that there will be. A gang's tasks complete
-    /// together: one is enough. Guards against a gang over several regions of which
-    /// one part's result is known and the other's machine is gone: that part would
-    /// be pending for ever for others that are done.
+    /// Whether the job is complete with this number of results. The tasks of a gang complete
+    /// together, so one result is enough. Guards against a gang over several regions of which
+    /// one part's result is known and a machine of another part is lost: the tasks of the lost
+    /// part would be pending forever, waiting for peers that are done.
     pub(super) fn is_complete_with(&self, results: u32) -> bool {
         let any = is_disabled(Safeguard::CompleteResults) && results > 0;
         any || results >= self.spec.task_count || (self.spec.kind == JobKind::Gang && results > 0)
     }
 
-    /// How many of its tasks are to be started or moved now: of a suspect array one at a
-    /// time, so that it takes neither machines nor shares from others; one more after a
-    /// while, since a try may take long.
+    /// Number of pending tasks that may be started or moved now. A suspect job array gets one
+    /// task at a time, so that it takes neither machines nor quota shares from other jobs. The job
+    /// gets another one [`SUSPECT_RETRY_DELAY`] after the last assignment, since a retry may
+    /// run for long.
     pub(super) fn tasks_to_schedule(&self, now: Micros) -> u32 {
         let pending = self.tasks.pending().len();
         if !self.failures.is_suspect() || self.spec.kind == JobKind::Gang {
             pending
-        } else if self.tasks.on_machines().is_empty() || now > self.last_assigned + TRY_AGAIN_AFTER
+        } else if self.tasks.on_machines().is_empty()
+            || now > self.last_assigned_at + SUSPECT_RETRY_DELAY
         {
             pending.min(1)
         } else {
@@ -112,8 +116,8 @@
         }
     }
 
-    /// Whether all of a gang's tasks here are pending, under an attempt over several regions
-    /// that was started before: only another attempt lets it start.
+    /// Whether the gang needs a new attempt over several regions to start: all its tasks in
+    /// this region are pending, and the current attempt has been started before.
     pub(super) fn needs_new_attempt(&self) -> bool {
         self.gang.is_attempt_used_up()
             && self.tasks.on_machines().is_empty()
--- a/src/region/job_lifecycle.rs
+++ b/src/region/job_lifecycle.rs
@@ -1,7 +1,8 @@
-//! The life of a job in the region: its record is added, its tasks are bound or moved away,
-//! tasks are lost, and it ends.
+//! Lifecycle of a job in the region: its record is added, tasks are bound to the region or
+//! moved away from it, tasks are lost, and the job ends.
 //!
-//! Called with each change of a job's record, and by whatever takes a task off its machine.
+//! The controller calls this module with each change of a job's record. Other modules of the
+//! region call it when they remove a task from its machine.
 
 use std::rc::Rc;
 
@@ -16,17 +17,22 @@
 use super::{Region, SchedulingContext};
 
 impl Region {
-    /// A job's record was added, changed or removed.
+    /// Handles the addition, change or removal of a job's record.
     pub fn on_job(&mut self, id: &str, context: &SchedulingContext<'_>) {
-        self.add_job(id, BindingOrigin::New, context);
+        self.apply_job_record(id, BindingOrigin::New, context);
     }
 
-    /// Adds a job's record as found when the region was acquired.
+    /// Adds a job whose record existed when the region was acquired.
     pub(super) fn inherit_job(&mut self, id: &str, context: &SchedulingContext<'_>) {
-        self.add_job(id, BindingOrigin::Inherited, context);
+        self.apply_job_record(id, BindingOrigin::Inherited, context);
     }
 
-    fn add_job(&mut self, id: &str, origin: BindingOrigin, context: &SchedulingContext<'_>) {
+    fn apply_job_record(
+        &mut self,
+        id: &str,
+        origin: BindingOrigin,
+        context: &SchedulingContext<'_>,
+    ) {
         let Some(record) = context.replica.jobs.get(id).map(|record| &record.value) else {
             return;
         };
@@ -45,8 +51,8 @@
             return;
         };
         let bound = record.tasks_of(&self.name);
-        // Only ready jobs are bound. Guards against records that say otherwise, of a
-        // damaged store perhaps: nothing of such a job may start.
+        // Only jobs whose dependencies are done are bound. Guards against contradicting records,
+        // for example of a damaged store: no task of such a job may start.
         if known_id.is_none() && !context.replica.is_ready(spec) {
             if !bound.is_empty() {
                 log::error!(
@@ -56,7 +62,7 @@
             }
             return;
         }
-        self.note_constrained_type(spec, context);
+        self.reserve_constrained_type(spec, context);
         if known_id.is_none() && bound.is_empty() {
             return;
         }
@@ -64,11 +70,11 @@
         self.update_spec(&id, spec, context);
         self.update_multi_region_attempt(&id, record, context);
         self.update_bound_tasks(&id, bound, origin, context);
-        self.after_tasks_left(&id);
+        self.clean_up_if_inactive(&id);
     }
 
-    /// Reserves capacity on a machine type if the job fits on no other.
-    fn note_constrained_type(&mut self, spec: &JobSpec, context: &SchedulingContext<'_>) {
+    /// Reserves capacity of a machine type if the job fits on no other type.
+    fn reserve_constrained_type(&mut self, spec: &JobSpec, context: &SchedulingContext<'_>) {
         let changed = self.inventory.note_job(spec, context.replica, context.now);
         if changed {
             self.update_reserved_capacity(context);
@@ -81,14 +87,14 @@
             Job::new(spec, only_type, context.now)
         });
         if job.spec != *spec {
-            // Another job that depends on this one was added or removed.
+            // The specification changes when a job that depends on this one is added or removed.
             job.spec = spec.clone();
             self.update_queue_position(id, context);
         }
     }
 
-    /// Follows the attempt of a gang over several regions. What is at the start barrier of
-    /// another attempt leaves it.
+    /// Adopts the recorded attempt of a gang over several regions. If the part in this region
+    /// is at the start barrier of another attempt, the part leaves that barrier.
     fn update_multi_region_attempt(
         &mut self,
         id: &JobId,
@@ -106,7 +112,7 @@
         self.triggers.job_changed(id);
     }
 
-    /// Follows which tasks of a job are bound to the region.
+    /// Updates which tasks of a job are bound to the region.
     fn update_bound_tasks(
         &mut self,
         id: &JobId,
@@ -127,7 +133,8 @@
         self.update_queue_position(id, context);
     }
 
-    /// Another controller has it from the state service that a job is cancelled.
+    /// Handles a cancellation that another controller has read from the state service before
+    /// the local replica shows it.
     pub fn on_reported_cancelled(&mut self, id: &str, context: &SchedulingContext<'_>) {
         let known_id = self.jobs.get_key_value(id).map(|(known, _)| known.clone());
         if let Some(id) = known_id {
@@ -154,10 +161,11 @@
         }
         self.unrecorded_jobs.remove(id);
         self.update_queue_position(id, context);
-        self.after_tasks_left(id);
+        self.clean_up_if_inactive(id);
     }
 
-    /// A task has left its machine without a result.
+    /// Returns a task that has left its machine without a result to the pending state. A gang
+    /// with other tasks on machines is stopped, since it restarts as a whole.
     pub(super) fn return_to_pending(
         &mut self,
         id: &JobId,
@@ -177,12 +185,13 @@
         if job.spec.kind == JobKind::Gang && !job.is_over && !job.tasks.on_machines().is_empty() {
             self.break_gang(id, context);
         }
-        self.after_tasks_left(id);
+        self.clean_up_if_inactive(id);
     }
 
-    /// Once no task of a job is on a machine, a broken gang may start again, and a job that is
-    /// over or bound elsewhere is forgotten.
-    pub(super) fn after_tasks_left(&mut self, id: &JobId) {
+    /// Cleans up after a job of which no task is on a machine; does nothing for other jobs. A
+    /// gang that was stopped may start again, and a job that has ended or has no task bound to
+    /// this region is removed.
+    pub(super) fn clean_up_if_inactive(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
--- a/src/region/job_tasks.rs
+++ b/src/region/job_tasks.rs
@@ -1,10 +1,10 @@
-//! The tasks of a job that are bound to the region, by state.
+//! Tasks of a job that are bound to the region, by state.
 //!
 //! [`JobTasks`] belongs to a [`Job`](super::job::Job). `task_transition` moves single tasks;
 //! `job_lifecycle`, `hand_over`, `commits` and `reconciliation` move whole sets.
 //!
-//! Invariants: a task is in one at most of pending, unreconciled, rebinding and on machines; a
-//! result stays, wherever else the task is still running.
+//! Invariants: a task is in at most one of the sets pending, unreconciled, rebinding and on
+//! machines. A task with a result keeps it, even if the task is still running on a machine.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,33 +12,35 @@
 use salttiller_records::model::RangeSet;
 use salttiller_records::units::Micros;
 
-/// The tasks of a job that are bound to the region.
+/// Tasks of a job that are bound to the region.
 #[derive(Debug)]
 pub(super) struct JobTasks {
     bound: RangeSet,
     pending: RangeSet,
-    /// Since when tasks are pending without a break.
+    /// Time since which the job has had pending tasks without interruption.
     pending_since: Micros,
     unreconciled: RangeSet,
     rebinding: RangeSet,
-    /// With a result, here or elsewhere.
+    /// Tasks with a result, from this region or another.
     done: RangeSet,
-    /// With a result that is not yet recorded.
+    /// Tasks with a result that is not yet committed.
     unrecorded_done: RangeSet,
-    /// Assigned tasks, with their machines.
+    /// Assigned tasks with their machines.
     on_machines: BTreeMap<u32, Rc<str>>,
 }
 
-/// Who may have started tasks that are bound to the region but not known to it.
+/// Whether a former owner may have started tasks that are newly added to a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BindingOrigin {
-    /// Bound before we acquired the region: a former owner may have started them.
+    /// The tasks were bound before the current owner acquired the region, so a former owner may
+    /// have started them.
     Inherited,
-    /// Bound since: nobody else can have started them under this region's name.
+    /// The tasks were bound after the acquisition, so no other owner of this region can have
+    /// started them.
     New,
 }
 
-/// How the tasks that are bound to the region differ from those that were.
+/// Difference between the tasks bound to the region before and after a change.
 #[derive(Debug)]
 pub(super) struct BindingChange {
     added: RangeSet,
@@ -46,7 +48,7 @@
 }
 
 impl JobTasks {
-    /// No tasks.
+    /// Creates an empty set of tasks.
     pub(super) fn new(now: Micros) -> Self {
         JobTasks {
             bound: RangeSet::default(),
@@ -60,47 +62,47 @@
         }
     }
 
-    /// Tasks bound to the region.
+    /// Returns the tasks bound to the region.
     pub(super) fn bound(&self) -> &RangeSet {
         &self.bound
     }
 
-    /// Tasks on no machine, free to be started.
+    /// Returns the tasks that are on no machine and may be started.
     pub(super) fn pending(&self) -> &RangeSet {
         &self.pending
     }
 
-    /// Since when tasks are pending without a break.
+    /// Time since which the job has had pending tasks without interruption.
     pub(super) fn pending_since(&self) -> Micros {
         self.pending_since
     }
 
-    /// Tasks that a former owner may have started.
+    /// Returns the tasks that a former owner may have started.
     pub(super) fn unreconciled(&self) -> &RangeSet {
         &self.unreconciled
     }
 
-    /// Tasks with a result.
+    /// Returns the tasks with a result.
     pub(super) fn done(&self) -> &RangeSet {
         &self.done
     }
 
-    /// Tasks with a result that is not yet recorded.
+    /// Returns the tasks with a result that is not yet committed.
     pub(super) fn unrecorded_done(&self) -> &RangeSet {
         &self.unrecorded_done
     }
 
-    /// Assigned tasks, with their machines.
+    /// Returns the assigned tasks with their machines.
     pub(super) fn on_machines(&self) -> &BTreeMap<u32, Rc<str>> {
         &self.on_machines
     }
 
-    /// Whether all tasks that are bound here are pending.
+    /// Whether all tasks bound to the region are pending.
     pub(super) fn are_all_pending(&self) -> bool {
         self.pending.len() == self.bound.len()
     }
 
-    /// How other bound tasks differ from the present ones; `None` if they don't.
+    /// Returns how `bound` differs from the currently bound tasks; `None` if it does not.
     pub(super) fn binding_change(&self, bound: &RangeSet) -> Option<BindingChange> {
         let mut added = bound.clone();
         added.subtract(&self.bound);
@@ -110,7 +112,8 @@
         is_change.then_some(BindingChange { added, removed })
     }
 
-    /// Other tasks are bound here than before; `recorded`: those with a recorded result.
+    /// Replaces the bound tasks. `recorded`: tasks with a recorded result. Added tasks without
+    /// a result become pending or, with [`BindingOrigin::Inherited`], unreconciled.
     pub(super) fn bind(
         &mut self,
         bound: RangeSet,
@@ -132,7 +135,8 @@
         self.unreconciled.subtract(&removed);
     }
 
-    /// A task leaves its state, unless it is done. Returns the machine that it was on.
+    /// Removes a task from its current state; a result is kept. Returns the machine that the
+    /// task was on.
     pub(super) fn leave(&mut self, task: u32) -> Option<Rc<str>> {
         self.pending.remove(task);
         self.unreconciled.remove(task);
@@ -140,7 +144,8 @@
         self.on_machines.remove(&task)
     }
 
-    /// A task is pending, if it is bound here and has no result. Returns whether it is.
+    /// Makes a task pending if it is bound to the region and has no result. Returns whether it
+    /// is pending now.
     pub(super) fn enter_pending(&mut self, task: u32, now: Micros) -> bool {
         let is_open = self.is_open(task);
         if is_open {
@@ -149,45 +154,45 @@
         is_open
     }
 
-    /// A former owner may have started a task.
+    /// Makes a task unreconciled: a former owner may have started it.
     pub(super) fn enter_unreconciled(&mut self, task: u32) {
         self.unreconciled.insert(task);
     }
 
-    /// A task is being handed over.
+    /// Marks a task as being handed over to another region.
     pub(super) fn enter_rebinding(&mut self, task: u32) {
         self.rebinding.insert(task);
     }
 
-    /// A task is assigned to a machine.
+    /// Marks a task as assigned to a machine.
     pub(super) fn enter_machine(&mut self, task: u32, machine: Rc<str>) {
         self.on_machines.insert(task, machine);
     }
 
-    /// A task has a result, which is not yet recorded.
+    /// Adds the result of a task, which is not yet committed.
     pub(super) fn add_result(&mut self, task: u32) {
         self.done.insert(task);
         self.unrecorded_done.insert(task);
     }
 
-    /// Whether a task is bound here and has no result.
+    /// Whether a task is bound to the region and has no result.
     pub(super) fn is_open(&self, task: u32) -> bool {
         self.bound.contains(task) && !self.done.contains(task)
     }
 
-    /// An assignment that was withdrawn at once is no break of the time for which tasks are
-    /// pending.
+    /// Restores the start of the pending time after an assignment was withdrawn immediately:
+    /// such an assignment does not interrupt the time for which the job has been pending.
     pub(super) fn restore_pending_since(&mut self, since: Micros) {
         self.pending_since = since;
     }
 
-    /// Pending tasks are being handed over to another region.
+    /// Marks pending tasks as being handed over to another region.
     pub(super) fn begin_hand_over(&mut self, tasks: RangeSet) {
         self.pending.subtract(&tasks);
         self.rebinding = tasks;
     }
 
-    /// The hand-over is committed, or has failed: then the tasks are pending again.
+    /// Ends the handover of tasks. If it was not committed, the tasks become pending again.
     pub(super) fn end_hand_over(&mut self, committed: bool) {
         let tasks = std::mem::take(&mut self.rebinding);
         if !committed {
@@ -195,18 +200,19 @@
         }
     }
 
-    /// Results were recorded.
-    pub(super) fn results_recorded(&mut self, tasks: &RangeSet) {
+    /// Marks the results of tasks as committed.
+    pub(super) fn mark_results_recorded(&mut self, tasks: &RangeSet) {
         self.unrecorded_done.subtract(tasks);
     }
 
-    /// All machines are reconciled: what none of them has reported was not started.
+    /// Makes the unreconciled tasks pending. All machines are reconciled, so a task that none
+    /// of them has reported was not started.
     pub(super) fn reconcile(&mut self, now: Micros) {
         let unstarted = std::mem::take(&mut self.unreconciled);
         self.add_pending(&unstarted, now);
     }
 
-    /// Nothing is to be started or recorded any more.
+    /// Clears all sets of tasks that are yet to be started or recorded.
     pub(super) fn end(&mut self) {
         self.pending = RangeSet::default();
         self.unreconciled = RangeSet::default();
--- a/src/region/objectives.rs
+++ b/src/region/objectives.rs
@@ -1,6 +1,7 @@
-//! By when a job must start to meet its own deadline and the objectives of its class.
+//! Time by which a job must start to meet its own deadline and the service-level objectives of
+//! its class.
 //!
-//! Pure functions of the job and the settings; called by the queue and by the leader.
+//! The functions are pure. The queue and the leader call them.
 
 use salttiller_records::model::JobSpec;
 use salttiller_records::units::{Micros, SECOND};
@@ -8,11 +9,11 @@
 use super::SchedulingContext;
 use crate::settings::Settings;
 
-/// The latest start after its submission that is assumed for a job without any objective.
+/// Start window, counted from submission, of a job without deadline and objectives.
 const DEFAULT_START_WINDOW: Micros = 3600 * SECOND;
 
-/// How long after its submission a job may be started and still meet its own
-/// deadline and each objective of its class.
+/// Returns the start windows of a job, one for its deadline and one for each objective of its
+/// class: the time after submission within which the job must start to meet it.
 pub fn start_windows<'a>(
     spec: &'a JobSpec,
     settings: &'a Settings,
@@ -33,9 +34,9 @@
     deadline.into_iter().chain(objectives)
 }
 
-/// The time of day by which a job must be started to meet the nearest of its
-/// objectives that can still be met: its own deadline, or what its class is expected.
-/// `None` if there was one and it is past; far off if there never was one.
+/// Returns the wall-clock time by which a job must start to meet the nearest of its deadline
+/// and the objectives of its class that can still be met. Returns `None` if all of them are
+/// missed, and the end of [`DEFAULT_START_WINDOW`] if the job has none.
 pub(super) fn latest_start(spec: &JobSpec, context: &SchedulingContext<'_>) -> Option<Micros> {
     let mut starts = start_windows(spec, context.settings)
         .map(|window| spec.submitted_at + window)
--- a/src/region/placement.rs
+++ b/src/region/placement.rs
@@ -222,7 +222,7 @@
         self.transition(id, task, TaskState::Assigned, Some(target), context.now);
         if is_aged_start {
             // The rest of it is served in the usual order again.
-            self.queue.aged_start_made(context.now);
+            self.queue.record_aged_start(context.now);
             self.triggers.job_changed(id);
             return PlacementStep::Stop;
         }
--- a/src/region/progress.rs
+++ b/src/region/progress.rs
@@ -1,4 +1,4 @@
-//! Records of finished tasks and of ended jobs.
+//! Commits of progress: records of finished tasks and of ended jobs.
 
 use std::collections::BTreeSet;
 
@@ -14,22 +14,24 @@
 use crate::state_store::replica::ProgressKey;
 use crate::state_store::CommitPriority;
 
-/// The least time between two commits of a job's progress.
-const MIN_INTERVAL: Micros = SECOND;
-/// The same while no other region depends on it.
-const MIN_RELAXED_INTERVAL: Micros = 3 * SECOND;
-/// The part of the state service's writes that progress may take.
-const STORE_WRITE_SHARE: f64 = 0.15;
+/// Minimum interval between two progress commits of a job.
+const MIN_COMMIT_INTERVAL: Micros = SECOND;
+/// Minimum interval between two progress commits of a job while no other region depends on
+/// them.
+const MIN_RELAXED_COMMIT_INTERVAL: Micros = 3 * SECOND;
+/// Share of the state service's write rate that the progress commits of all regions may use.
+const PROGRESS_WRITE_SHARE: f64 = 0.15;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Most progress records that one commit changes.
+/// Maximum number of progress records that one commit changes.
 const MAX_CHUNKS_PER_COMMIT: usize = 8;
 
 impl Region {
-    /// Records finished tasks, and the job's end once all are finished.
+    /// Commits the finished tasks of a job, or the job's end once all tasks are finished.
     pub(super) fn record_progress(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
-        // Guards against an end written over a cancellation: the replica may show the job
-        // cancelled, with the revision to rely on, before we come to that event, when
-        // the last task's progress stands before it in the same answer.
+        // Guards against overwriting a cancellation with the job's end. If one answer of the
+        // state service contains the last task's progress followed by the cancellation, the
+        // replica already shows the cancelled record with its revision when the progress event
+        // is handled, so a condition on that revision would not prevent the overwrite.
         if context.is_job_over(id) {
             return;
         }
@@ -48,10 +50,9 @@
         }
     }
 
-    /// Finished tasks of a job were recorded, perhaps by another region.
-    /// Guards against a job whose last tasks two regions record at the
-    /// same moment, neither of them seeing the other's: whoever then sees that
-    /// all are there ends it.
+    /// Handles recorded progress of a job, from this region or another. Guards against a job
+    /// that never ends because two regions record its last tasks at the same time and neither
+    /// sees the other's record: a region that then sees the results of all tasks ends the job.
     pub fn on_progress(&mut self, id: &str, context: &SchedulingContext<'_>) {
         let Some((id, job)) = self.jobs.get_key_value(id) else {
             return;
@@ -63,30 +64,31 @@
         }
     }
 
-    /// A result that is lost costs little: the task, started again, ends as soon
-    /// as it has its image. So results are recorded as seldom as the state
-    /// service's rate asks for; but at once where another region depends on
-    /// them, since it can't see our share of the job otherwise.
+    /// Whether a progress commit of the job is due. Losing a result costs little, since the
+    /// restarted task ends as soon as its image is available. Results are therefore committed
+    /// only as often as the state service's write rate permits. Once this region's part of a
+    /// job is finished, only [`MIN_COMMIT_INTERVAL`] applies: other regions depend on the
+    /// results and cannot see them before the commit.
     fn is_progress_due(&self, job: &Job, context: &SchedulingContext<'_>) -> bool {
         let is_part_finished = job.tasks.bound().len() < job.spec.task_count
             && job.tasks.done().len() >= job.tasks.bound().len();
         let since_last = context.now.saturating_sub(job.last_progress_commit_at);
         let interval = if is_part_finished {
-            MIN_INTERVAL
+            MIN_COMMIT_INTERVAL
         } else {
             self.progress_interval(context)
         };
         !job.tasks.unrecorded_done().is_empty() && since_last >= interval
     }
 
-    /// The time between two commits of a job's progress with which the commits of all jobs and
-    /// regions stay within their part of the state service's writes.
+    /// Returns the interval between two progress commits of a job with which the progress
+    /// commits of all jobs and regions stay within [`PROGRESS_WRITE_SHARE`].
     fn progress_interval(&self, context: &SchedulingContext<'_>) -> Micros {
         let settings = context.settings;
         let interval = (self.unrecorded_jobs.len() * settings.region_count()) as f64
-            / (settings.min_store_write_rate * STORE_WRITE_SHARE)
+            / (settings.min_store_write_rate * PROGRESS_WRITE_SHARE)
             * MICROS_PER_SECOND;
-        (interval as Micros).max(MIN_RELAXED_INTERVAL)
+        (interval as Micros).max(MIN_RELAXED_COMMIT_INTERVAL)
     }
 
     fn commit_job_end(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
@@ -126,7 +128,8 @@
         };
         job.last_progress_commit_at = context.now;
         job.commit_in_flight = true;
-        // Fails if the job was moved or ended meanwhile: then its new record is read first.
+        // This condition fails the commit if the job has been rebound or has ended meanwhile;
+        // the new record is then read before the next attempt.
         let job_key = Key::Job(id.to_string());
         let job_version = context.replica.version(&job_key);
         conditions.push((job_key, job_version));
@@ -153,7 +156,7 @@
     }
 }
 
-/// The chunks of progress records that tasks fall into.
+/// Returns the chunks of progress records that contain any of the tasks.
 fn chunks_of(tasks: &RangeSet) -> BTreeSet<u32> {
     tasks
         .ranges()
@@ -161,7 +164,7 @@
         .collect()
 }
 
-/// The tasks that fall into a chunk.
+/// Returns the tasks that fall into a chunk.
 fn tasks_in_chunk(tasks: &RangeSet, chunk: u32) -> RangeSet {
     let mut part = RangeSet::default();
     for (first, end) in tasks.ranges() {
@@ -173,7 +176,7 @@
     part
 }
 
-/// The finished tasks in a chunk that a region has recorded.
+/// Returns the finished tasks in a chunk that a region has recorded.
 fn recorded_in_chunk(
     id: &JobId,
     region: &str,
--- a/src/region/progress/tests.rs
+++ b/src/region/progress/tests.rs
@@ -2,9 +2,10 @@
 
 use super::*;
 
-/// Tasks are divided among the chunks that they fall into, each task once.
+/// Guards against finished tasks that are lost or recorded twice at the borders of chunks: each
+/// task belongs to exactly one chunk.
 #[test]
-fn tasks_by_chunk() {
+fn tasks_are_split_into_chunks() {
     let mut tasks = RangeSet::from_range(CHUNK_SIZE - 2, 2 * CHUNK_SIZE + 3);
     tasks.insert(4 * CHUNK_SIZE);
     let chunks = chunks_of(&tasks);
--- a/src/region/queue.rs
+++ b/src/region/queue.rs
@@ -1,8 +1,9 @@
-//! The queue of pending jobs: the order in which they are served, and when that order changes.
+//! Queue of pending jobs: the scheduling order and the times at which the order changes.
 //!
-//! [`JobQueue`] owns the order, the wake-ups and what the order depends on beside the jobs
-//! themselves: each team's last guaranteed job and the pace of aged starts. Only [`Region`]
-//! calls it. A job is in the queue exactly while it has a [`QueueKey`] of its own.
+//! [`JobQueue`] owns the order, the wake-ups, and the state that the order depends on apart
+//! from the jobs themselves: each team's last guaranteed job and the rate limit of aged starts.
+//! Only [`Region`] uses the queue. A job is in the queue exactly while its
+//! [`Job::queue_key`](super::job::Job) is set.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,37 +18,39 @@
 use crate::quota;
 use crate::state_store::replica::SubmissionKey;
 
-/// A job whose latest start is nearer than this goes before shorter ones.
-const PRESSING_WINDOW: Micros = 15 * SECOND;
+/// Time before its latest start from which a job is ranked before smaller jobs.
+const DEADLINE_WINDOW: Micros = 15 * SECOND;
 
-/// Whatever is pending for so long since its submission goes by age from then on. Guards
-/// against a class's largest jobs, or a class whose objectives are all missed, being passed
-/// over under lasting overload: a minute is left of the four in which they must begin.
-const AGED_AFTER: Micros = 180 * SECOND;
+/// Time since submission from which a pending job is ranked by age alone (priority aging).
+/// Guards against starvation of the largest jobs of a class, or of a class whose objectives are
+/// all missed, under sustained overload. Leaves one of the four minutes within which a job must
+/// start.
+const AGING_THRESHOLD: Micros = 180 * SECOND;
 
-/// How often an aged job that never began gets a task started before its regular rank. Guards
-/// against a flood of old jobs of one task each, all of which would go first.
+/// Interval between aged starts: starts of one task of an aged job ahead of the job's regular
+/// rank. Guards against a large number of old jobs with one task each, which would all be
+/// started before other jobs.
 const AGED_START_INTERVAL: Micros = 5 * SECOND;
 
-/// A job is re-evaluated this much after the time at which its position changes, so that the
-/// comparison with that time surely yields the new one.
-const CHANGE_MARGIN: Micros = MILLISECOND;
+/// Delay of a wake-up after the time at which a job's position changes, so that the
+/// re-evaluation takes place strictly after that time.
+const WAKEUP_MARGIN: Micros = MILLISECOND;
 
-/// Pending jobs in scheduling order, and what that order depends on.
+/// Pending jobs in scheduling order, and the state that the order depends on.
 #[derive(Debug, Default)]
 pub(super) struct JobQueue {
-    /// Jobs in the order in which they are served.
+    /// Pending jobs in scheduling order.
     ready: BTreeMap<QueueKey, JobId>,
     wakeups: BTreeSet<Wakeup>,
-    /// When an aged job may go first again.
+    /// Time from which the next aged start is allowed.
     next_aged_start_at: Micros,
-    /// The last job of each team that fits into its guaranteed quota.
+    /// The last job of each team that fits into the team's guaranteed quota.
     last_guaranteed: BTreeMap<String, SubmissionKey>,
-    /// Teams whose guaranteed jobs are to be determined anew.
+    /// Teams whose guaranteed jobs must be recomputed.
     stale_teams: BTreeSet<String>,
 }
 
-/// A job to re-evaluate at a time: its rank changes, or a back-off ends.
+/// Scheduled re-evaluation of a job, whose rank changes or whose backoff ends at that time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Wakeup {
     at: Micros,
@@ -55,7 +58,7 @@
 }
 
 impl JobQueue {
-    /// An empty queue that determines the guaranteed jobs of these teams first.
+    /// Creates an empty queue. The guaranteed jobs of `teams` are computed at the first update.
     pub(super) fn new(teams: impl Iterator<Item = String>) -> Self {
         JobQueue {
             stale_teams: teams.collect(),
@@ -68,12 +71,12 @@
         self.ready.is_empty()
     }
 
-    /// All pending jobs in scheduling order.
+    /// Returns all pending jobs in scheduling order.
     pub(super) fn iter(&self) -> impl Iterator<Item = &JobId> {
         self.ready.values()
     }
 
-    /// The first `count` pending jobs in scheduling order.
+    /// Returns the first `count` pending jobs in scheduling order.
     pub(super) fn first(&self, count: usize) -> impl Iterator<Item = &JobId> {
         self.iter().take(count)
     }
@@ -82,12 +85,12 @@
         self.ready.insert(key, job);
     }
 
-    /// A job is pending no more, or at another position.
+    /// Removes the entry of a job that is no longer pending or changes its position.
     pub(super) fn remove(&mut self, key: &QueueKey) {
         self.ready.remove(key);
     }
 
-    /// Schedules a re-evaluation of a job at this time of the steady clock.
+    /// Schedules a re-evaluation of a job at this monotonic time.
     pub(super) fn wake_at(&mut self, at: Micros, job: JobId) {
         self.wakeups.insert(Wakeup { at, job });
     }
@@ -100,49 +103,52 @@
         self.wakeups.pop_first().map(|wakeup| wakeup.job)
     }
 
-    /// A job of the team was added, changed or ended: its guaranteed jobs may be others.
+    /// Marks the guaranteed jobs of a team as stale after one of its jobs was added, changed or
+    /// ended.
     pub(super) fn team_changed(&mut self, team: &str) {
         self.stale_teams.insert(team.to_owned());
     }
 
-    /// Whether a job is within its team's guarantee.
+    /// Whether a job is within its team's guaranteed quota.
     pub(super) fn is_guaranteed(&self, id: &str, spec: &JobSpec) -> bool {
         self.last_guaranteed
             .get(&spec.team)
             .is_some_and(|last| last.is_not_before(spec.submitted_at, id))
     }
 
-    /// Sets the last guaranteed job of a team. Returns whether that changes anything.
+    /// Sets the last guaranteed job of a team. Returns whether it has changed.
     fn set_last_guaranteed(&mut self, team: &str, last: Option<SubmissionKey>) -> bool {
-        let former = match &last {
+        let previous = match &last {
             Some(job) => self.last_guaranteed.insert(team.to_owned(), job.clone()),
             None => self.last_guaranteed.remove(team),
         };
-        former != last
+        previous != last
     }
 
-    /// Whether a task of an aged job may be started before its regular rank just now.
+    /// Whether the rate limit allows an aged start at this time.
     pub(super) fn allows_aged_start(&self, now: Micros) -> bool {
         now >= self.next_aged_start_at
     }
 
-    /// A task of an aged job was started before its regular rank.
-    pub(super) fn aged_start_made(&mut self, now: Micros) {
+    /// Records an aged start for the rate limit.
+    pub(super) fn record_aged_start(&mut self, now: Micros) {
         self.next_aged_start_at = now + AGED_START_INTERVAL;
     }
 }
 
-/// The scheduling rank of a pending job; the least is served first. The order of the fields
-/// is the order of comparison: jobs within their team's guarantee, then priority, then the
-/// operators' precedence, then [`Urgency`].
+/// Scheduling rank of a pending job; the job with the least key is scheduled first. Keys are
+/// compared field by field in the order of declaration: aged starts, suspect jobs last, jobs
+/// within their team's guaranteed quota, priority, the operators' class precedence, and then
+/// [`Urgency`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
-    service: ServiceOrder,
-    /// It failed on several machines without a result: after all others.
+    start_order: StartOrder,
+    /// Whether the job failed on several machines without a result. Suspect jobs rank after
+    /// all others.
     is_suspect: bool,
     beyond_guarantee: bool,
     priority: Reverse<Priority>,
-    /// Position of its class in the operators' precedence.
+    /// Position of the job's class in the operators' class precedence.
     precedence: usize,
     urgency: Urgency,
     submitted_at: Micros,
@@ -150,78 +156,80 @@
 }
 
 impl QueueKey {
-    /// Whether one task of the job is to be started before its regular rank.
+    /// Whether one task of the job is to be started ahead of the job's regular rank.
     pub(super) fn is_aged_start(&self) -> bool {
-        matches!(self.service, ServiceOrder::AgedStart(_))
+        matches!(self.start_order, StartOrder::AgedStart(_))
     }
 
-    /// Whether the job is within its team's guarantee.
+    /// Whether the job is within its team's guaranteed quota.
     pub(super) fn is_guaranteed(&self) -> bool {
         !self.beyond_guarantee
     }
 }
 
-/// Whether a job is served at its regular rank.
+/// Whether a job is scheduled at its regular rank or ahead of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum ServiceOrder {
-    /// It has not begun for so long that one task of it goes first, whatever its priority;
-    /// of several such jobs the one that was submitted first.
+enum StartOrder {
+    /// The job has not started for so long that one of its tasks is started first, regardless
+    /// of priority. Jobs with an aged start are ordered by their time of submission.
     AgedStart(Micros),
+    /// The job is scheduled at its regular rank.
     Regular,
 }
 
-/// What decides among jobs of equal guarantee, priority and precedence.
+/// Rank among jobs of equal guarantee, priority and class precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Urgency {
-    /// None of its objectives can be met any more.
+    /// Whether none of the job's objectives can be met any more.
     missed_objectives: bool,
-    /// No objective presses.
-    relaxed: bool,
-    /// A time to start by, a size, or the time of submission.
-    weight: u64,
+    /// Whether no latest start lies within [`DEADLINE_WINDOW`].
+    is_far_from_deadline: bool,
+    /// The latest start, the size, or the time of submission of the job.
+    sort_value: u64,
 }
 
 impl Urgency {
-    /// By age alone.
+    /// Ranks a job by its age alone.
     fn by_age(spec: &JobSpec) -> Self {
         Urgency {
             missed_objectives: false,
-            relaxed: false,
-            weight: spec.submitted_at,
+            is_far_from_deadline: false,
+            sort_value: spec.submitted_at,
         }
     }
 
-    /// Those that can still meet an objective go before those that can't, the pressing ones
-    /// first, then the small ones: that way the most are in time. Also returns the time of
-    /// day when this changes by itself.
+    /// Ranks a job by its objectives: jobs near their latest start first, then other jobs that
+    /// can still meet an objective, smaller ones first, then jobs that cannot meet any. This
+    /// order lets the largest number of jobs meet an objective. Also returns the wall-clock
+    /// time at which the rank changes without any event.
     fn by_objectives(spec: &JobSpec, context: &SchedulingContext<'_>) -> (Self, Micros) {
         let due = latest_start(spec, context);
-        let is_pressing = due.is_some_and(|at| at < context.wall + PRESSING_WINDOW);
+        let is_near_deadline = due.is_some_and(|at| at < context.wall + DEADLINE_WINDOW);
         let urgency = Urgency {
             missed_objectives: due.is_none(),
-            relaxed: !is_pressing,
-            weight: if is_pressing {
+            is_far_from_deadline: !is_near_deadline,
+            sort_value: if is_near_deadline {
                 due.unwrap_or(0)
             } else {
                 job_size(spec)
             },
         };
         let changes_at = match due {
-            Some(at) if is_pressing => at,
-            Some(at) => at - PRESSING_WINDOW,
+            Some(at) if is_near_deadline => at,
+            Some(at) => at - DEADLINE_WINDOW,
             None => aged_at(spec),
         };
         (urgency, changes_at.min(aged_at(spec)))
     }
 }
 
-/// When a job goes by its age alone.
+/// Returns the wall-clock time from which a job is ranked by age alone.
 fn aged_at(spec: &JobSpec) -> Micros {
-    spec.submitted_at + AGED_AFTER
+    spec.submitted_at + AGING_THRESHOLD
 }
 
-/// The processor time that a job is expected to take, in milliseconds times thousandths of a
-/// processor (its specification counts both in millionths).
+/// Returns the expected CPU time of a job, in milliseconds times thousandths of a CPU (the job's
+/// specification has microseconds and millionths of a CPU).
 fn job_size(spec: &JobSpec) -> u64 {
     const MICROS_PER_MILLI: u64 = 1000;
     let run_time = spec
@@ -230,16 +238,17 @@
     run_time / MICROS_PER_MILLI * (spec.cpus / MICROS_PER_MILLI).max(1)
 }
 
-/// Where a job is in the queue (`None`: it isn't), and after what time that changes by itself.
+/// Position of a job in the queue.
 #[derive(Debug, Default)]
 struct QueuePosition {
+    /// `None` if the job is not in the queue.
     key: Option<QueueKey>,
+    /// Time after which the position changes without any event; `None` if it does not.
     changes_in: Option<Micros>,
 }
 
 impl Region {
-    /// Brings the position of a job in the queue up to date: enters it, moves it, or takes it
-    /// out.
+    /// Updates the position of a job in the queue: inserts, moves or removes the job.
     pub(super) fn update_queue_position(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -250,8 +259,9 @@
         }
     }
 
-    /// A wake-up of the job was due. Guards against one whose position stays as it is for now,
-    /// since another aged job was served: it must be re-evaluated later.
+    /// Updates the position of a job whose wake-up was due and always schedules the next
+    /// wake-up. Guards against an aged job that is never re-evaluated: its position may be
+    /// unchanged at the wake-up because another aged job was started instead.
     pub(super) fn renew_queue_position(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -264,8 +274,8 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if let Some(former) = job.queue_key.take() {
-            self.queue.remove(&former);
+        if let Some(previous) = job.queue_key.take() {
+            self.queue.remove(&previous);
         }
         job.queue_key.clone_from(&position.key);
         if let Some(key) = position.key {
@@ -288,8 +298,8 @@
         let spec = &job.spec;
         let aged_start_in = self.aged_start_in(job, context);
         let is_multi_task_gang = spec.kind == JobKind::Gang && spec.task_count > 1;
-        // Gangs go by their age, so that a large one is never passed over for ever. A gang of
-        // one task needs no other places: it goes by its objectives like the rest.
+        // Gangs are ranked by age, so that a large gang is not starved. A gang with a single
+        // task needs no simultaneous placements and is ranked by its objectives like other jobs.
         let (urgency, changes_in) = if is_multi_task_gang || context.wall >= aged_at(spec) {
             let changes_in = aged_start_in.filter(|span| *span > 0);
             (Urgency::by_age(spec), changes_in)
@@ -297,13 +307,13 @@
             let (urgency, changes_at) = Urgency::by_objectives(spec, context);
             (urgency, Some(changes_at.saturating_sub(context.wall)))
         };
-        let service = match aged_start_in {
-            Some(0) => ServiceOrder::AgedStart(spec.submitted_at),
-            _ => ServiceOrder::Regular,
+        let start_order = match aged_start_in {
+            Some(0) => StartOrder::AgedStart(spec.submitted_at),
+            _ => StartOrder::Regular,
         };
         QueuePosition {
-            key: Some(self.queue_key(id, job, service, urgency, context)),
-            changes_in: changes_in.map(|span| span + CHANGE_MARGIN),
+            key: Some(self.queue_key(id, job, start_order, urgency, context)),
+            changes_in: changes_in.map(|span| span + WAKEUP_MARGIN),
         }
     }
 
@@ -311,14 +321,14 @@
         &self,
         id: &JobId,
         job: &Job,
-        service: ServiceOrder,
+        start_order: StartOrder,
         urgency: Urgency,
         context: &SchedulingContext<'_>,
     ) -> QueueKey {
         let spec = &job.spec;
         let mut precedence = context.settings.operator.class_precedence.iter();
         QueueKey {
-            service,
+            start_order,
             is_suspect: job.failures.is_suspect(),
             beyond_guarantee: !self.queue.is_guaranteed(id, spec),
             priority: Reverse(spec.priority),
@@ -331,23 +341,24 @@
         }
     }
 
-    /// After what time a job that never began gets a task started before its regular rank;
-    /// `None` if never. Guards against work of low priority that never begins while higher priority
-    /// keeps coming: once it is old enough a task starts now and then.
+    /// Returns the time after which a job without tasks on machines gets an aged start; `None`
+    /// if the job is not eligible. Guards against starvation of low-priority jobs while jobs of
+    /// higher priority keep arriving: an old job starts a single task at intervals.
     fn aged_start_in(&self, job: &Job, context: &SchedulingContext<'_>) -> Option<Micros> {
-        let never_served = job.tasks.on_machines().is_empty()
+        let is_eligible = job.tasks.on_machines().is_empty()
             && job.spec.kind == JobKind::Array
             && !job.failures.is_suspect();
-        if !never_served {
+        if !is_eligible {
             return None;
         }
         let by_age = aged_at(&job.spec).saturating_sub(context.wall);
-        let by_last_start = (job.last_assigned + MAX_TEAM_BLOCK).saturating_sub(context.now);
-        let by_others = self.queue.next_aged_start_at.saturating_sub(context.now);
-        Some(by_age.max(by_last_start).max(by_others))
+        let by_last_start = (job.last_assigned_at + MAX_TEAM_BLOCK).saturating_sub(context.now);
+        let by_rate_limit = self.queue.next_aged_start_at.saturating_sub(context.now);
+        Some(by_age.max(by_last_start).max(by_rate_limit))
     }
 
-    /// Brings up to date which jobs are within their teams' guarantees.
+    /// Recomputes the guaranteed jobs of teams that are marked as stale, and updates the queue
+    /// positions of the affected jobs.
     pub(super) fn update_guaranteed_jobs(&mut self, context: &SchedulingContext<'_>) {
         for team in std::mem::take(&mut self.queue.stale_teams) {
             let last = quota::last_guaranteed_job(context.replica, context.settings, &team);
--- a/src/region/reassignment.rs
+++ b/src/region/reassignment.rs
@@ -91,7 +91,7 @@
         let holds_fewer = to.tasks.len() < from.tasks.len();
         let is_due = holds_fewer || context.now >= task.since + patience(context);
         // Where the tasks of a job are together is decided; only the machine may change.
-        let is_place_kept = !job.has_dependent_places() || to.pool == from.pool;
+        let is_place_kept = !job.has_dependent_placement() || to.pool == from.pool;
         let may_move = is_due
             && is_place_kept
             && assignment.stop_grace.is_none()
--- a/src/region/reservation.rs
+++ b/src/region/reservation.rs
@@ -95,7 +95,7 @@
         }
         // Guards against a job that is pending without end beside free machines while the gang
         // gathers its team's share from other regions: one task at a time may pass.
-        let unserved = context.now.saturating_sub(job.last_assigned);
+        let unserved = context.now.saturating_sub(job.last_assigned_at);
         if self.quota_blocked
             && unserved > MAX_TEAM_BLOCK
             && !is_disabled(Safeguard::ShareHoldLimit)
--- a/src/region/runtime_estimates.rs
+++ b/src/region/runtime_estimates.rs
@@ -1,12 +1,13 @@
-//! Actual run times of finished tasks against their owners' estimates.
+//! Comparison of actual run times of finished tasks with the estimates in their job
+//! specifications.
 //!
-//! The leader corrects the estimates of pending work by the ratio of the two sums.
+//! The leader corrects the estimates of pending jobs by the ratio of the two sums.
 
 use salttiller_records::model::JobSpec;
 use salttiller_records::units::{Micros, SECOND};
 
-/// Estimated and actual processor time of finished flexible tasks, each an exponentially
-/// decaying sum.
+/// Estimated and actual CPU time of finished flexible tasks, each an exponentially decaying
+/// sum.
 #[derive(Debug, Default)]
 pub(super) struct RuntimeEstimates {
     estimated: f64,
@@ -15,10 +16,10 @@
 }
 
 impl RuntimeEstimates {
-    /// Time in which a recorded task's weight falls to 1/e, in microseconds.
+    /// Time in microseconds in which the weight of a recorded task falls to 1/e.
     const DECAY_TIME: f64 = 90.0 * SECOND as f64;
 
-    /// Records a task of a job that finished at `now` after `run_time`.
+    /// Records a task of a job that finished at `now` and ran for `run_time`.
     pub(super) fn record(&mut self, spec: &JobSpec, run_time: Micros, now: Micros) {
         let age = now.saturating_sub(self.updated_at) as f64;
         let decay = (-age / Self::DECAY_TIME).exp();
@@ -27,12 +28,12 @@
         self.actual = self.actual * decay + (spec.cpus * run_time) as f64;
     }
 
-    /// Decayed sum of estimated processor time.
+    /// Decayed sum of estimated CPU time.
     pub(super) fn estimated(&self) -> f64 {
         self.estimated
     }
 
-    /// Decayed sum of actual processor time.
+    /// Decayed sum of actual CPU time.
     pub(super) fn actual(&self) -> f64 {
         self.actual
     }
--- a/src/region/task.rs
+++ b/src/region/task.rs
@@ -1,4 +1,4 @@
-//! A task of a job that is bound to the region: its state, and its assignment to a machine.
+//! State of a task that is bound to the region, and its assignment to a machine.
 
 use std::rc::Rc;
 
@@ -7,60 +7,61 @@
 
 use crate::worker_protocol::ReportedState;
 
-/// The state of a task; `task_transition` lists what leads from one to another.
+/// State of a task; `task_transition` lists the transitions between states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskState {
-    /// On no machine, free to be started.
+    /// The task is on no machine and may be started.
     Pending,
-    /// A former owner may have started it: on a machine that is not yet reconciled.
+    /// A former owner may have started the task on a machine that is not yet reconciled.
     Unreconciled,
-    /// On no machine; a commit that hands it over to another region is in flight.
+    /// The task is on no machine; a commit that hands it over to another region is in flight.
     Rebinding,
-    /// Assigned to a machine, the start not yet dispatched.
+    /// The task is assigned to a machine; its start is not yet dispatched.
     Assigned,
-    /// The start is in the answer to a heartbeat; the next heartbeat shows whether it was
-    /// carried out.
+    /// The start command was sent in the answer to a heartbeat; the next heartbeat shows
+    /// whether the worker executed it.
     Dispatched,
-    /// Reported by its machine.
+    /// The machine reports the task, in this state.
     Reported(ReportedState),
-    /// Done.
+    /// The task has a result, or its job has ended.
     Done,
 }
 
-/// The machine and the attempt with which a task enters a state on a machine.
+/// Machine and attempt of a task that enters a state on a machine.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AssignmentTarget<'a> {
     pub(super) machine: &'a str,
     pub(super) attempt: u64,
 }
 
-/// A task on a machine, or assigned to it.
+/// Assignment of a task to a machine, whether or not the task has been started there.
 #[derive(Debug, Clone)]
 pub(super) struct Assignment {
     pub(super) attempt: u64,
     pub(super) state: TaskState,
     pub(super) quota: QuotaAmount,
-    /// In bytes.
+    /// Memory of the task in bytes.
     pub(super) memory: u64,
     pub(super) team: Rc<str>,
-    /// Fits on no other machine type.
+    /// Whether the task fits on no other machine type.
     pub(super) constrained: bool,
-    /// Started under our own token.
+    /// Whether the task was started under the current fencing token.
     pub(super) started_by_us: bool,
-    /// Of a gang over several regions: not to be started before all parts have their places.
+    /// Whether the task belongs to a gang over several regions and must not start before all
+    /// parts of the gang are assigned.
     pub(super) awaits_start_barrier: bool,
-    /// Its machine was not known to have the image.
+    /// Whether the machine was not known to have the image when the task was assigned.
     pub(super) image_missing: bool,
-    /// It is to be stopped, with this grace period.
+    /// Grace period with which the task is to be stopped; `None` if it is to keep running.
     pub(super) stop_grace: Option<Micros>,
-    /// When it was assigned, dispatched, or found on its machine.
+    /// Time at which the task was assigned, dispatched, or found on the machine.
     pub(super) since: Micros,
-    /// When it was first reported as running.
+    /// Time at which the task was first reported as running.
     pub(super) running_since: Option<Micros>,
 }
 
 impl Assignment {
-    /// What it takes of its machine.
+    /// Returns the machine resources that the task uses.
     pub(super) fn resources(&self) -> Resources {
         Resources {
             cpus: self.quota.cpus,
--- a/src/region/task_reports.rs
+++ b/src/region/task_reports.rs
@@ -1,5 +1,7 @@
-//! Tasks that a heartbeat lists: tasks that end change their state, tasks that a former owner
-//! started are adopted, all others that are not to run are stopped.
+//! Handling of the tasks listed in a heartbeat.
+//!
+//! Ended tasks change their state, and their results are recorded. Tasks that a former owner
+//! started are adopted. All other tasks that must not run on the machine are stopped.
 
 use std::rc::Rc;
 
@@ -12,32 +14,32 @@
 use super::{only_fitting_type, Region, SchedulingContext, TaskState};
 use crate::worker_protocol::{Command, ExitReason, ReportedState, ReportedTask};
 
-/// Back-off of a job whose task the worker did not know.
+/// Backoff of a job after a worker rejected one of its tasks as unknown.
 const UNKNOWN_TASK_BACKOFF: Micros = 5 * SECOND;
-/// Back-off of a job whose task a worker rejected.
+/// Backoff of a job after a worker rejected one of its tasks for another reason.
 const REJECTED_BACKOFF: Micros = SECOND;
 
-/// What follows from a task that a heartbeat lists.
+/// Outcome of handling a task that a heartbeat lists.
 pub(super) enum TaskOutcome {
-    /// It runs on the machine as it should.
+    /// The task stays on the machine.
     Kept,
-    /// The worker is sent this command.
+    /// This command is sent to the worker.
     Reply(Command),
-    /// It is done: the worker keeps the result until that is recorded.
+    /// The task is done; the worker keeps the result until the result is recorded.
     AwaitsRecord,
 }
 
-/// Which attempt of a task a worker reports.
+/// Whether a worker reports the current attempt of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Attempt {
-    /// It was dispatched to the machine by this owner, or adopted.
+    /// The attempt was dispatched to the machine by this owner, or adopted.
     Current,
-    /// Any other.
+    /// Any other attempt.
     Other,
 }
 
 impl Region {
-    /// A heartbeat lists a task.
+    /// Handles a task that a heartbeat lists.
     pub(super) fn on_reported_task(
         &mut self,
         machine: &Rc<str>,
@@ -50,7 +52,8 @@
         }
     }
 
-    /// A listed task has ended. The worker forgets it once a result is recorded.
+    /// Handles a listed task that has ended. The answer reaps the task at once or, if the
+    /// task is done, once its result is recorded.
     fn on_reported_end(
         &mut self,
         machine: &str,
@@ -81,8 +84,8 @@
         }
     }
 
-    /// A listed task has not ended: it is kept if it is the assigned attempt, or one that a
-    /// former owner started, else stopped.
+    /// Handles a listed task that has not ended. The task is kept if it is the assigned attempt
+    /// or may be adopted from a former owner; otherwise it is stopped.
     fn on_reported_running(
         &mut self,
         machine: &str,
@@ -107,8 +110,8 @@
         }
     }
 
-    /// A task on a machine that this owner did not start: a former owner did. Returns whether
-    /// it may stay.
+    /// Adopts a task that a former owner started on a machine. Returns whether the task may stay
+    /// there.
     fn adopt(
         &mut self,
         machine: &str,
@@ -116,9 +119,9 @@
         context: &SchedulingContext<'_>,
     ) -> bool {
         self.track_ended_job(&task.job, context);
-        if let Some(obstacle) = self.adoption_obstacle(machine, task, context) {
+        if let Some(refusal) = self.adoption_refusal(machine, task, context) {
             let (region, id, number) = (&self.name, &task.job, task.task);
-            log::info!("region={region} machine={machine} job={id} task={number}: {obstacle}");
+            log::info!("region={region} machine={machine} job={id} task={number}: {refusal}");
             return false;
         }
         log::debug!(
@@ -141,8 +144,8 @@
         true
     }
 
-    /// A task of a cancelled job that still runs counts against its team's quota until it is
-    /// gone.
+    /// Tracks a job that has ended if it is not known yet, since a task of it that still runs
+    /// counts against its team's quota until the task has left its machine.
     fn track_ended_job(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         if !context.is_job_over(id) {
             return;
@@ -158,15 +161,16 @@
         });
     }
 
-    /// Why a task that this owner did not start may not stay on a machine, if so.
-    fn adoption_obstacle(
+    /// Returns why a task that this owner did not start must leave a machine, or `None` if the
+    /// task may stay.
+    fn adoption_refusal(
         &self,
         machine: &str,
         task: &ReportedTask,
         context: &SchedulingContext<'_>,
     ) -> Option<&'static str> {
         let Some(job) = self.jobs.get(&task.job) else {
-            return Some("its job is not bound here");
+            return Some("job is not bound to this region, task stopped");
         };
         let assigned_to = job.tasks.on_machines().get(&task.task);
         if let Some(other) = assigned_to.filter(|other| ***other != *machine) {
@@ -176,7 +180,7 @@
                 task.job,
                 task.task
             );
-            return Some("on two machines at once, stopped here");
+            return Some("task is on two machines, stopped on this one");
         }
         let is_expected = context.is_job_over(&task.job)
             || job.tasks.unreconciled().contains(task.task)
@@ -186,18 +190,19 @@
         }
         if job.tasks.pending().contains(task.task) {
             log::info!(
-                "region={} machine={machine} job={} task={}: unexpected, but pending: kept",
+                "region={} machine={machine} job={} task={}: not expected on this \
+                 machine, but pending: kept",
                 self.name,
                 task.job,
                 task.task
             );
             None
         } else {
-            Some("unexpected, stopped")
+            Some("not expected on this machine, task stopped")
         }
     }
 
-    /// A task ended that is the current attempt, or is done.
+    /// Handles the end of a task that is done or was the current attempt.
     fn on_ended(
         &mut self,
         machine: &str,
@@ -216,7 +221,7 @@
         }
     }
 
-    /// A task is done. A result is final wherever it was found.
+    /// Handles a task that is done. The result is accepted from any attempt on any machine.
     fn on_done(
         &mut self,
         machine: &str,
@@ -230,12 +235,12 @@
         if job.is_over || !job.tasks.is_open(task.task) {
             if attempt == Attempt::Current {
                 self.transition(&task.job, task.task, TaskState::Done, None, context.now);
-                self.after_tasks_left(&task.job);
+                self.clean_up_if_inactive(&task.job);
             }
             return;
         }
-        job.failures.succeeded();
-        // A gang's tasks complete together.
+        job.failures.record_success();
+        // The tasks of a gang complete together.
         let done: Vec<u32> = if job.spec.kind == JobKind::Gang {
             job.tasks.bound().iter().collect()
         } else {
@@ -247,15 +252,16 @@
             }
         }
         if let Some(failures) = self.inventory.failures_mut(machine) {
-            failures.succeeded();
+            failures.record_success();
         }
-        self.after_tasks_left(&task.job);
+        self.clean_up_if_inactive(&task.job);
         self.record_progress(&task.job, context);
     }
 
-    /// Marks a task as done that is still on a machine other than `machine`: it counts there
-    /// until that machine no longer lists it. Guards against a gang of which one member hangs
-    /// at the end: its capacity is not free yet. Returns whether there is such a machine.
+    /// Marks a task as done while it is still on a machine other than `machine`, and returns
+    /// whether there is such a machine. The task counts against the other machine's capacity
+    /// until that machine no longer lists it. Guards against overcommitting a machine when a
+    /// gang is done but one of its tasks hangs at its end and still uses the capacity.
     fn mark_done_elsewhere(&mut self, machine: &str, id: &JobId, task: u32) -> bool {
         let Some(job) = self.jobs.get_mut(id) else {
             return false;
@@ -282,7 +288,7 @@
         true
     }
 
-    /// The current attempt of a task ended and is to be repeated.
+    /// Handles the end of the current attempt of a task that must be repeated.
     fn on_ended_without_result(
         &mut self,
         machine: &str,
@@ -318,7 +324,7 @@
         self.return_to_pending(&task.job, task.task, "ended", context);
         if is_suspect {
             self.withdraw_undispatched(&task.job, context);
-            let again = context.now + failure_attribution::TRY_AGAIN_AFTER + SECOND;
+            let again = context.now + failure_attribution::SUSPECT_RETRY_DELAY + SECOND;
             self.queue.wake_at(again, task.job.clone());
         }
     }
--- a/src/region/task_transition.rs
+++ b/src/region/task_transition.rs
@@ -1,33 +1,33 @@
-//! The states of tasks, and the events that lead from one to another.
+//! State machine of tasks: the states and the events that cause transitions between them.
 //!
-//! [`Region::transition`] moves a single task: it leaves the former [`TaskState`] and enters
-//! the new one, and keeps everything that follows from a task's state up to date: the sets of
-//! its job, the capacity in use on its machine, its team's quota, the tasks that are not yet
-//! dispatched and the triggers of placement. Whether the new state is due is up to the caller.
+//! [`Region::transition`] moves a single task from its current [`TaskState`] to another and
+//! updates all dependent state: the task sets of the job, the capacity in use on the machine,
+//! the team's quota, the undispatched tasks and the placement triggers. The caller decides
+//! whether the transition is valid.
 //!
-//! Two kinds of change need none of that and are made elsewhere: tasks that are on no machine
-//! move between the sets of their job as a whole (`job_lifecycle`, `hand_over`, `commits`,
-//! `reconciliation`), and an assignment that stays on its machine is noted as dispatched or
-//! reported there (`heartbeats`).
+//! Two kinds of change affect none of this state and are made elsewhere. Tasks on no machine
+//! move between the sets of their job in groups (`job_lifecycle`, `hand_over`, `commits`,
+//! `reconciliation`). An assignment that stays on its machine is marked as dispatched or
+//! reported in place (`heartbeats`).
 //!
 //! | from | event | to |
 //! | --- | --- | --- |
-//! | (none) | it is bound here | `Pending` |
+//! | (none) | the task is bound to the region | `Pending` |
 //! | (none) | the region is acquired with the job's record | `Unreconciled` |
 //! | `Unreconciled` | reconciliation ends | `Pending` |
-//! | `Unreconciled`, `Pending` | a machine reports it, started by a former owner | `Reported` |
-//! | `Pending` | a machine is chosen for it | `Assigned` |
-//! | `Pending` | its hand-over is being committed | `Rebinding` |
-//! | `Rebinding` | the hand-over failed | `Pending` |
-//! | `Pending`, `Unreconciled`, `Rebinding` | it is bound to another region | (none) |
-//! | `Assigned` | a machine that reports sooner takes it over | `Assigned` |
-//! | `Assigned` | its machine's heartbeat is answered | `Dispatched` |
-//! | `Assigned` | it is withdrawn, or its gang breaks | `Pending` |
-//! | `Assigned`, `Dispatched` | its machine reports it | `Reported` |
-//! | `Dispatched`, `Reported` | its machine's heartbeat lacks it | `Pending` |
-//! | `Dispatched`, `Reported` | it ended without a result | `Pending` |
-//! | `Assigned`, `Dispatched`, `Reported` | its machine is proven empty | `Pending` |
-//! | any | it ended with a result, or its job is over | `Done` |
+//! | `Unreconciled`, `Pending` | a machine reports an attempt of a former owner | `Reported` |
+//! | `Pending` | the task is assigned to a machine | `Assigned` |
+//! | `Pending` | the commit of the task's handover is submitted | `Rebinding` |
+//! | `Rebinding` | the handover fails | `Pending` |
+//! | `Pending`, `Unreconciled`, `Rebinding` | the task is bound to another region | (none) |
+//! | `Assigned` | the task is reassigned to a machine that reports earlier | `Assigned` |
+//! | `Assigned` | the answer to the machine's heartbeat starts the task | `Dispatched` |
+//! | `Assigned` | the assignment is withdrawn, or the task's gang must restart | `Pending` |
+//! | `Assigned`, `Dispatched` | the machine reports the task | `Reported` |
+//! | `Dispatched`, `Reported` | the machine's heartbeat does not list the task | `Pending` |
+//! | `Dispatched`, `Reported` | the task ends without a result | `Pending` |
+//! | `Assigned`, `Dispatched`, `Reported` | the machine is proven empty | `Pending` |
+//! | any | the task ends with a result, or its job ends | `Done` |
 
 use std::rc::Rc;
 
@@ -39,8 +39,8 @@
 use super::Region;
 
 impl Region {
-    /// Moves a task to another state. `target` names machine and attempt of states on a
-    /// machine.
+    /// Moves a task to another state. `target` is the machine and the attempt; states on a
+    /// machine require it.
     pub(super) fn transition(
         &mut self,
         id: &JobId,
@@ -104,8 +104,8 @@
             }
         } else {
             log::debug!(
-                "region={} machine={machine} job={id} task={task}: left the machine for {to:?} \
-                 after {:.1} s, {:.1} s of them before running",
+                "region={} machine={machine} job={id} task={task}: left the machine after {:.1} s \
+                 ({:.1} s of them before running), new state {to:?}",
                 self.name,
                 to_seconds(now - assignment.since),
                 to_seconds(assignment.running_since.unwrap_or(now) - assignment.since)
@@ -117,8 +117,9 @@
         self.check_if_idle(machine, &assignment, now);
     }
 
-    /// Schedules a check of a machine that holds no more work of its purpose: at once if it is
-    /// cordoned, else after it has been idle for as long as a new one takes to boot.
+    /// Schedules a check of a machine that no longer has tasks of the kind for which it is kept:
+    /// at once if the machine is cordoned, otherwise after it has been idle for as long as a new
+    /// machine takes to boot.
     fn check_if_idle(&mut self, name: &Rc<str>, left: &Assignment, now: Micros) {
         let Some(machine) = self.inventory.machine(name) else {
             return;
@@ -171,7 +172,7 @@
         let image_missing = !machine.has_image(&job.spec.image);
         let assignment = new_assignment(job, to, target.attempt, image_missing, now);
         if to == TaskState::Assigned {
-            job.last_assigned = now;
+            job.last_assigned_at = now;
             if !assignment.awaits_start_barrier {
                 self.undispatched.insert(now, id.clone(), task);
             }
--- a/src/region/triggers.rs
+++ b/src/region/triggers.rs
@@ -1,15 +1,16 @@
-//! What has changed since the last placement, so that only jobs that it may concern are
-//! considered.
+//! Changes since the last placement, so that placement considers only the jobs that a change may
+//! affect.
 //!
-//! Whatever may let a pending task start is noted here; placement consumes all of it.
+//! Every change that may let a pending task start is recorded here; placement consumes all
+//! recorded changes.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 use salttiller_records::model::JobId;
 
-/// With more changed machines than this all pending jobs are considered: to compare each job
-/// with each of these machines would cost more.
+/// Number of changed machines above which all pending jobs are considered, since comparing each
+/// job with each changed machine would cost more.
 const MAX_CHANGED_MACHINES: usize = 16;
 
 /// Changes since the last placement.
@@ -22,38 +23,38 @@
 }
 
 impl PlacementTriggers {
-    /// A job has other tasks to place, or may be placed again.
+    /// Records that the pending tasks of a job have changed or that the job may be placed again.
     pub(super) fn job_changed(&mut self, id: &JobId) {
         self.jobs.insert(id.clone());
     }
 
-    /// A job turned out not to be placeable: what was noted of it meanwhile is no reason to
-    /// consider it again.
+    /// Removes the recorded changes of a job that could not be placed, so that the attempt to
+    /// place it does not trigger another one.
     pub(super) fn forget_job(&mut self, id: &JobId) {
         self.jobs.remove(id);
     }
 
-    /// A machine has more free capacity.
+    /// Records that a machine has more free capacity.
     pub(super) fn machine_changed(&mut self, name: &Rc<str>) {
         self.machines.insert(name.clone());
     }
 
-    /// A team's share has grown, or less of it is in use.
+    /// Records that a team's quota share has grown or that less of it is in use.
     pub(super) fn team_changed(&mut self, team: &str) {
         self.teams.insert(team.to_owned());
     }
 
-    /// All pending jobs are to be considered.
+    /// Records a change that may affect all pending jobs.
     pub(super) fn everything_changed(&mut self) {
         self.everything = true;
     }
 
-    /// Removes and returns what has changed.
+    /// Removes and returns the recorded changes.
     pub(super) fn take(&mut self) -> PlacementTriggers {
         std::mem::take(self)
     }
 
-    /// Whether nothing has changed.
+    /// Whether no change is recorded.
     pub(super) fn is_empty(&self) -> bool {
         !self.everything
             && self.jobs.is_empty()
@@ -61,22 +62,22 @@
             && self.teams.is_empty()
     }
 
-    /// Whether all pending jobs are to be considered.
+    /// Whether placement must consider all pending jobs.
     pub(super) fn concerns_all(&self) -> bool {
         self.everything || self.machines.len() > MAX_CHANGED_MACHINES
     }
 
-    /// Whether something has changed about this job itself.
+    /// Whether a change of this job itself is recorded.
     pub(super) fn concerns_job(&self, id: &JobId) -> bool {
         self.jobs.contains(id)
     }
 
-    /// Whether a team's share has changed.
+    /// Whether a change of a team's quota share is recorded.
     pub(super) fn concerns_team(&self, team: &str) -> bool {
         self.teams.contains(team)
     }
 
-    /// The machines that have changed.
+    /// Returns the machines that have changed.
     pub(super) fn machines(&self) -> impl Iterator<Item = &Rc<str>> {
         self.machines.iter()
     }
--- a/src/region/undispatched.rs
+++ b/src/region/undispatched.rs
@@ -1,21 +1,22 @@
-//! Assigned tasks whose start is not yet dispatched, by the time of their assignment.
+//! Assigned tasks whose start is not yet dispatched, ordered by the time of their assignment.
 //!
-//! Filled and emptied by the transitions of tasks; read when a machine reports, since it may
-//! start a task sooner than the machine that the task is assigned to.
+//! Task transitions insert and remove the tasks. Reassignment reads them when a machine sends a
+//! heartbeat, since that machine may start a task earlier than the machine that the task is
+//! assigned to.
 
 use std::collections::BTreeSet;
 
 use salttiller_records::model::JobId;
 use salttiller_records::units::Micros;
 
-/// An assigned task, ordered by the time of its assignment.
+/// Assigned task, ordered by the time of its assignment.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct UndispatchedTask {
-    /// When it was assigned.
+    /// Time of the assignment.
     pub(super) since: Micros,
-    /// Its job.
+    /// Job of the task.
     pub(super) job: JobId,
-    /// Its number.
+    /// Number of the task in its job.
     pub(super) task: u32,
 }
 
@@ -24,22 +25,22 @@
 pub(super) struct UndispatchedTasks(BTreeSet<UndispatchedTask>);
 
 impl UndispatchedTasks {
-    /// A task was assigned.
+    /// Adds a task that was assigned at `since`.
     pub(super) fn insert(&mut self, since: Micros, job: JobId, task: u32) {
         self.0.insert(UndispatchedTask { since, job, task });
     }
 
-    /// The start of a task was dispatched, or the task was taken off its machine.
+    /// Removes a task whose start was dispatched or whose assignment was withdrawn.
     pub(super) fn remove(&mut self, since: Micros, job: JobId, task: u32) {
         self.0.remove(&UndispatchedTask { since, job, task });
     }
 
-    /// Whether there is none.
+    /// Whether there are no undispatched tasks.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The oldest `count` tasks.
+    /// Returns the `count` tasks that were assigned first.
     pub(super) fn oldest(&self, count: usize) -> impl Iterator<Item = &UndispatchedTask> {
         self.0.iter().take(count)
     }
