--- a/src/quota.rs
+++ b/src/quota.rs
@@ -1,9 +1,9 @@
-//! Arithmetic of teams' limits and guarantees.
+//! Quota arithmetic: teams' limits, the regions' shares of them, and guarantees.
 //!
-//! Limits hold over all regions together: each region starts tasks only inside its own
-//! share, and the shares of a team, changed by compare-and-swap, never sum to more than its
-//! limit. Regions compute their shares here, admission checks a job against the limit, and
-//! the leader and the status page look up which jobs are within the guarantee.
+//! A limit applies to all regions together. Each region starts tasks only within its own share
+//! of the limit. Shares are changed by compare-and-swap, so that the shares of a team never sum
+//! to more than its limit. Regions compute their shares here, admission checks jobs against the
+//! limit, and monitoring and the job queue determine which jobs are within the guarantee.
 
 use crate::settings::Settings;
 use crate::state_store::replica::{Replica, SubmissionKey};
@@ -11,24 +11,24 @@
 use salttiller_records::record::QuotaRecord;
 use salttiller_records::QuotaAmount;
 
-/// A changed record of a team's shares.
+/// A change to the quota record of a team.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShareChange {
-    /// The record to put.
+    /// The new record.
     pub record: QuotaRecord,
-    /// The region's share in it.
+    /// The region's share in the new record.
     pub share: QuotaAmount,
 }
 
-/// A region's share of a team's limit as recorded; nothing if there is no record.
+/// Returns a region's recorded share of a team's limit; zero if there is no record.
 #[must_use]
 pub fn recorded_share(record: Option<&QuotaRecord>, region: &str) -> QuotaAmount {
     let share = record.and_then(|record| record.shares.get(region));
     share.copied().unwrap_or_default()
 }
 
-/// The record with the region's share set as near to `target` as the limit
-/// allows; `None` if that changes nothing.
+/// Sets the region's share to `target`, or to the part of it that the limit allows beside the
+/// shares of the other regions. Returns `None` if the share does not change.
 #[must_use]
 pub fn with_share(
     record: Option<&QuotaRecord>,
@@ -54,9 +54,9 @@
     })
 }
 
-/// The last of a team's open jobs, by time of submission, that fits into its
-/// guarantee together with the team's earlier unfinished ones; `None` if not even
-/// the first does. All up to it are within the guarantee, none after it.
+/// Returns the last of a team's unfinished jobs, by submission time, that fits into the team's
+/// guarantee together with all unfinished jobs before it; `None` if the first job does not fit.
+/// The jobs up to this one are within the guarantee, the later ones are not.
 #[must_use]
 pub fn last_guaranteed_job(
     replica: &Replica,
@@ -76,7 +76,8 @@
     last.cloned()
 }
 
-/// Whether a job of this size can ever run inside the team's limit, if it has one.
+/// Whether a job of this size can ever run within the team's limit; `true` if the team has no
+/// limit. An array can run one task at a time, gangs and services run all tasks at once.
 #[must_use]
 pub fn fits_within_limit(
     kind: JobKind,
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of limits and shares.
+//! Tests of quota limits and shares.
 
 use super::*;
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn jobs_beyond_the_limit_never_fit() {
+fn jobs_larger_than_the_limit_never_fit() {
     for (kind, tasks, each, fits) in [
         (JobKind::Array, 1000, amount(5, 0), true),
         (JobKind::Array, 1, amount(11, 0), false),
@@ -21,22 +21,23 @@
         assert_eq!(
             fits_within_limit(kind, tasks, each, Some(amount(10, 0))),
             fits,
-            "{kind:?} {tasks}"
+            "{kind:?} of {tasks} tasks: expected fits={fits} within the limit"
         );
         assert!(
             fits_within_limit(kind, tasks, each, None),
-            "{kind:?} {tasks}"
+            "{kind:?} of {tasks} tasks: expected to fit without a limit"
         );
     }
 }
 
 proptest! {
-    /// Whatever regions ask for, in any order, the shares never exceed the limit.
+    /// The shares of a team never sum to more than its limit, whatever the regions request and
+    /// in whatever order.
     #[test]
-    fn shares_stay_within_the_limit(asks in proptest::collection::vec((0usize..4, 0u64..30, 0u64..5), 0..40)) {
+    fn shares_stay_within_the_limit(requests in proptest::collection::vec((0usize..4, 0u64..30, 0u64..5), 0..40)) {
         let limit = amount(20, 3);
         let mut record = QuotaRecord::default();
-        for (region_index, cpus, gpus) in asks {
+        for (region_index, cpus, gpus) in requests {
             let region = format!("r{region_index}");
             if let Some(change) = with_share(Some(&record), &region, limit, amount(cpus, gpus)) {
                 prop_assert!(change.share.within(amount(cpus, gpus)));
--- a/src/region/failure_attribution/tests.rs
+++ b/src/region/failure_attribution/tests.rs
@@ -6,7 +6,7 @@
 /// Plays `span` seconds from `from` on; returns the time reached.
 fn play(cluster: &mut TestCluster, from: u64, span: u64) -> u64 {
     for s in from..from + span {
-        cluster.play_second(s * SECOND, None);
+        cluster.run_second(s * SECOND, None);
     }
     from + span
 }
@@ -101,7 +101,11 @@
     // The mistake is mended: all of it is served.
     cluster.broken.clear();
     play(&mut cluster, now, 900);
-    let begun = cluster.began.keys().filter(|(j, _)| j == "req-1").count();
+    let begun = cluster
+        .first_starts
+        .keys()
+        .filter(|(j, _)| j == "req-1")
+        .count();
     assert_eq!(begun, 400);
 }
 
--- a/src/region/gang_state.rs
+++ b/src/region/gang_state.rs
@@ -1,36 +1,38 @@
-//! The coordination of a gang: its restart as a whole and, over several regions, the attempt
-//! that its parts have in common and the start barrier.
+//! Gang coordination state: the restart of a gang as a whole and, for a gang over several
+//! regions, the attempt shared by its parts and the start barrier.
 //!
-//! [`GangState`] belongs to a [`Job`](super::job::Job); `gangs` and `job_lifecycle` drive it.
-//! For jobs other than gangs it stays empty.
+//! Each [`Job`](super::job::Job) owns a [`GangState`], which `gangs` and `job_lifecycle` update.
+//! The state of a job that is not a gang stays empty.
 
 use salttiller_records::record::{JobRecord, MultiRegionAttempt, TaskRange};
 use salttiller_records::units::Micros;
 
-/// How far a gang's part in this region has come.
+/// Coordination state of the part of a gang in this region.
 #[derive(Debug, Default)]
 pub(super) struct GangState {
-    /// Of a gang over several regions: the attempt that its parts have in common.
+    /// The attempt shared by all parts; `None` unless the gang is bound to several regions.
     attempt: Option<MultiRegionAttempt>,
-    /// A part of the gang is bound to no region: it is to be bound anew.
+    /// Whether a part of the gang is bound to no region and waits for the leader to bind it.
     has_unbound_part: bool,
-    /// The attempt over several regions that was started last.
+    /// The multi-region attempt that was started last; 0 if none.
     last_started_attempt: u64,
-    /// Since when the part here is at the start barrier: all its tasks are assigned, and the
-    /// other parts are not known to be.
+    /// When the local part reached the start barrier: all its tasks are assigned, and the other
+    /// parts are not known to be.
     barrier_since: Option<Micros>,
-    /// It lost a task: it starts again once its last task has left its machine.
+    /// Whether the gang is restarting, since it lost a task or left the start barrier. The gang is
+    /// placed again once no task of it is on a machine.
     is_restarting: bool,
 }
 
-/// What a change of the job's record means for the gang.
+/// Effect of a changed job record on the gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptChange {
-    /// Nothing.
+    /// The record changes nothing for the gang.
     None,
-    /// Another attempt, or other unbound parts.
+    /// The attempt or the unbound parts changed.
     Changed,
-    /// The same, and the part here was at the start barrier of the former attempt.
+    /// The attempt or the unbound parts changed while the local part was at the start barrier,
+    /// which it left.
     LeftBarrier,
 }
 
@@ -40,28 +42,30 @@
         self.attempt.is_some()
     }
 
-    /// The number of the attempt over several regions.
+    /// Returns the number of the multi-region attempt.
     pub(super) fn attempt(&self) -> Option<u64> {
         self.attempt.as_ref().map(|attempt| attempt.attempt)
     }
 
-    /// The zone that all parts of a gang over several regions must be in.
+    /// Returns the zone that all parts of a multi-region gang must be in, if there is one.
     pub(super) fn zone(&self) -> Option<&str> {
         self.attempt.as_ref()?.zone.as_deref()
     }
 
-    /// Whether the current attempt over several regions was started before.
-    pub(super) fn is_attempt_used_up(&self) -> bool {
+    /// Whether the current multi-region attempt was already started.
+    pub(super) fn is_attempt_already_started(&self) -> bool {
         self.attempt() == Some(self.last_started_attempt)
     }
 
-    /// Whether nothing but the lack of machines keeps the part here from being placed.
+    /// Whether the local part may be placed: the gang is not restarting, and all of its parts
+    /// are bound.
     pub(super) fn may_be_placed(&self) -> bool {
         !self.is_restarting && !self.has_unbound_part
     }
 
-    /// Follows the job's record. The part here leaves the start barrier of another attempt.
-    pub(super) fn follow_record(&mut self, record: &JobRecord) -> AttemptChange {
+    /// Takes over from the job's record the attempt and whether a part is unbound. If either
+    /// changed, the local part leaves the start barrier.
+    pub(super) fn update_from_record(&mut self, record: &JobRecord) -> AttemptChange {
         let has_unbound_part = record.task_ranges.iter().any(TaskRange::is_unbound);
         if self.attempt == record.multi_region && self.has_unbound_part == has_unbound_part {
             return AttemptChange::None;
@@ -74,17 +78,17 @@
         }
     }
 
-    /// All tasks of the part here are assigned.
+    /// Marks the local part as being at the start barrier, after all its tasks were assigned.
     pub(super) fn reach_barrier(&mut self, now: Micros) {
         self.barrier_since = Some(now);
     }
 
-    /// The attempt at whose start barrier the part here is.
+    /// Returns the attempt at whose start barrier the local part is, if any.
     pub(super) fn attempt_at_barrier(&self) -> Option<u64> {
         self.barrier_since.and(self.attempt())
     }
 
-    /// Leaves the start barrier if that lasts for longer than `timeout`. Returns whether it did.
+    /// Leaves the start barrier once `timeout` has passed there. Returns whether it left.
     pub(super) fn leave_expired_barrier(&mut self, now: Micros, timeout: Micros) -> bool {
         let is_expired = self
             .barrier_since
@@ -95,19 +99,20 @@
         is_expired
     }
 
-    /// All parts are at the start barrier of this attempt: it starts.
-    pub(super) fn start(&mut self, attempt: u64) {
+    /// Leaves the start barrier and marks the attempt as started, after all parts reached the
+    /// barrier.
+    pub(super) fn start_attempt(&mut self, attempt: u64) {
         self.barrier_since = None;
         self.last_started_attempt = attempt;
     }
 
-    /// The gang lost a task.
-    pub(super) fn restart(&mut self) {
+    /// Marks the gang as restarting.
+    pub(super) fn begin_restart(&mut self) {
         self.is_restarting = true;
     }
 
-    /// No task of the gang is on a machine any more.
-    pub(super) fn all_tasks_left(&mut self) {
+    /// Ends a restart and leaves the start barrier, once no task of the gang is on a machine.
+    pub(super) fn on_all_tasks_left(&mut self) {
         self.is_restarting = false;
         self.barrier_since = None;
     }
--- a/src/region/gang_state/tests.rs
+++ b/src/region/gang_state/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a gang's coordination.
+//! Tests of gang coordination state.
 
 use super::*;
 use salttiller_records::units::SECOND;
@@ -9,13 +9,13 @@
     serde_json::from_value(json).unwrap()
 }
 
-/// The part here is at the start barrier of one attempt, until that starts, times out or gives
-/// way to another.
+/// The local part stays at the start barrier of an attempt until the attempt starts, the
+/// barrier times out, or another attempt replaces it.
 #[test]
 fn start_barrier() {
     let mut gang = GangState::default();
-    assert_eq!(gang.follow_record(&record(5)), AttemptChange::Changed);
-    assert_eq!(gang.follow_record(&record(5)), AttemptChange::None);
+    assert_eq!(gang.update_from_record(&record(5)), AttemptChange::Changed);
+    assert_eq!(gang.update_from_record(&record(5)), AttemptChange::None);
     assert_eq!(gang.attempt_at_barrier(), None);
     gang.reach_barrier(SECOND);
     assert_eq!(gang.attempt_at_barrier(), Some(5));
@@ -23,10 +23,13 @@
     assert!(gang.leave_expired_barrier(11 * SECOND, 10 * SECOND));
     assert_eq!(gang.attempt_at_barrier(), None);
     gang.reach_barrier(12 * SECOND);
-    assert_eq!(gang.follow_record(&record(6)), AttemptChange::LeftBarrier);
-    assert!(!gang.is_attempt_used_up());
+    assert_eq!(
+        gang.update_from_record(&record(6)),
+        AttemptChange::LeftBarrier
+    );
+    assert!(!gang.is_attempt_already_started());
     gang.reach_barrier(13 * SECOND);
-    gang.start(6);
+    gang.start_attempt(6);
     assert_eq!(gang.attempt_at_barrier(), None);
-    assert!(gang.is_attempt_used_up());
+    assert!(gang.is_attempt_already_started());
 }
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -1,4 +1,5 @@
-//! Gangs: placed as a whole, and the start barrier of gangs over several regions.
+//! Gang scheduling: gangs are placed as a whole, and the parts of a gang over several regions
+//! start together after a start barrier.
 
 use salttiller_records::model::JobId;
 use salttiller_records::units::{Micros, SECOND};
@@ -8,12 +9,12 @@
 use super::task::{AssignmentTarget, TaskState};
 use super::{Region, SchedulingContext};
 
-/// How long after a timeout of the start barrier a gang is placed again.
+/// Delay before a gang is placed again after its start barrier timed out.
 const BARRIER_RETRY_DELAY: Micros = 2 * SECOND;
 
 impl Region {
-    /// Places all tasks of a gang that are bound here, or none. If there is no capacity for
-    /// them, it may get a reservation.
+    /// Places all tasks of a gang that are bound to this region, or none. If there is too little
+    /// capacity for all of them, the gang may get a reservation.
     pub(super) fn place_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get(id).filter(|job| is_placeable(job)) else {
             return;
@@ -41,8 +42,8 @@
         self.reserve_for_gang(id, context);
     }
 
-    /// Assigns all tasks of a gang to machines; if that fails, takes back those that were
-    /// assigned and returns `false`.
+    /// Assigns all tasks of a gang to machines. If one task finds no machine, reverts the
+    /// assignments made so far and returns `false`.
     fn assign_gang(
         &mut self,
         id: &JobId,
@@ -82,8 +83,8 @@
         false
     }
 
-    /// All tasks of a gang that are bound here are assigned. Those of a gang over several
-    /// regions stay at the start barrier for a limited time.
+    /// Releases the reservation of a gang whose local tasks are all assigned. The tasks of a
+    /// gang over several regions then stay at the start barrier until its timeout.
     fn on_gang_assigned(
         &mut self,
         id: &JobId,
@@ -108,14 +109,14 @@
         );
     }
 
-    /// Parts of gangs over several regions that are at the start barrier, with the attempt.
+    /// Returns the multi-region gangs whose local part is at the start barrier, with the attempt.
     pub(super) fn gang_parts_ready(&self) -> impl Iterator<Item = (&JobId, u64)> {
         self.jobs
             .iter()
             .filter_map(|(id, job)| Some((id, job.gang.attempt_at_barrier()?)))
     }
 
-    /// All parts of a gang over several regions are at the start barrier: ours may start.
+    /// Starts the local part of a multi-region gang, all parts of which are at the start barrier.
     pub fn start_gang_part(&mut self, id: &str, attempt: u64, context: &SchedulingContext<'_>) {
         let Some((id, job)) = self.jobs.get_key_value(id) else {
             return;
@@ -130,7 +131,7 @@
         );
         let tasks = job.tasks_on_machines();
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.gang.start(attempt);
+            job.gang.start_attempt(attempt);
         }
         for (task, machine) in tasks {
             if let Some(assignment) = self.assignment_mut(&id, task, &machine) {
@@ -140,8 +141,9 @@
         }
     }
 
-    /// A gang over several regions was at the start barrier for too long. Guards against one of
-    /// which another part never gets its places: nobody keeps places for it for ever.
+    /// Takes the local part of a multi-region gang off the start barrier once the barrier has
+    /// timed out. Guards against holding capacity forever for a gang of which another part is
+    /// never placed.
     pub(super) fn leave_expired_barrier(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -156,22 +158,24 @@
         );
         job.not_before = context.now + BARRIER_RETRY_DELAY;
         self.queue.wake_at(job.not_before, id.clone());
-        self.break_gang(id, context);
+        self.restart_gang(id, context);
     }
 
-    /// A gang that lost a task starts again as a whole, under another attempt,
-    /// once the last task of this one has left its machine.
-    pub(super) fn break_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
+    /// Restarts a gang that lost a task or left its start barrier: takes its remaining tasks off
+    /// their machines. The gang is placed again as a whole, under a new attempt, once its last task
+    /// has left its machine.
+    pub(super) fn restart_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.gang.restart();
+        job.gang.begin_restart();
         for (task, machine) in job.tasks_on_machines() {
             match self.assignment_mut(id, task, &machine) {
                 Some(assignment) if assignment.state == TaskState::Assigned => {
                     self.transition(id, task, TaskState::Pending, None, context.now);
                 }
-                // One that is being stopped with a grace period may finish its checkpoint.
+                // A task that is already being stopped with a grace period may finish its
+                // checkpoint.
                 Some(assignment) => {
                     assignment.stop_grace.get_or_insert(0);
                 }
@@ -183,8 +187,8 @@
     }
 }
 
-/// Whether all tasks of a gang that are bound here are pending, and may be started together.
-/// Of a gang over several regions, only this region's part is placed here.
+/// Whether all tasks of a gang that are bound to this region are pending and may be placed
+/// together. For a gang over several regions, only this region's part counts.
 fn is_placeable(job: &Job) -> bool {
     job.is_bound_as_a_whole()
         && job.gang.may_be_placed()
--- a/src/region/job.rs
+++ b/src/region/job.rs
@@ -115,7 +115,7 @@
     /// Whether all of a gang's tasks here are pending, under an attempt over several regions
     /// that was started before: only another attempt lets it start.
     pub(super) fn needs_new_attempt(&self) -> bool {
-        self.gang.is_attempt_used_up()
+        self.gang.is_attempt_already_started()
             && self.tasks.on_machines().is_empty()
             && self.tasks.are_all_pending()
     }
--- a/src/region/job_lifecycle.rs
+++ b/src/region/job_lifecycle.rs
@@ -98,10 +98,10 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        match job.gang.follow_record(record) {
+        match job.gang.update_from_record(record) {
             AttemptChange::None => return,
             AttemptChange::Changed => {}
-            AttemptChange::LeftBarrier => self.break_gang(id, context),
+            AttemptChange::LeftBarrier => self.restart_gang(id, context),
         }
         self.triggers.job_changed(id);
     }
@@ -175,7 +175,7 @@
             return;
         };
         if job.spec.kind == JobKind::Gang && !job.is_over && !job.tasks.on_machines().is_empty() {
-            self.break_gang(id, context);
+            self.restart_gang(id, context);
         }
         self.after_tasks_left(id);
     }
@@ -189,7 +189,7 @@
         if !job.tasks.on_machines().is_empty() {
             return;
         }
-        job.gang.all_tasks_left();
+        job.gang.on_all_tasks_left();
         if !job.is_over && !job.tasks.bound().is_empty() {
             return;
         }
--- a/src/region/placement.rs
+++ b/src/region/placement.rs
@@ -1,7 +1,7 @@
-//! Placement: which machine each pending task is assigned to.
+//! Placement: assigns pending tasks to machines.
 //!
-//! Runs after each event. Only jobs that [`PlacementTriggers`] names are considered, in the
-//! order of the queue; machines are found through the machine index.
+//! Placement runs after each event. It considers only the jobs that [`PlacementTriggers`] names,
+//! in queue order, and finds machines through the machine index.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -18,25 +18,25 @@
 use super::triggers::PlacementTriggers;
 use super::{Region, SchedulingContext};
 
-/// How many jobs at the head of the queue count as the next ones: shares are acquired for them
-/// ahead of free capacity, and what becomes free is theirs.
+/// Number of jobs at the head of the queue that count as the next ones: quota shares are
+/// acquired for them ahead of free capacity, and capacity that becomes free goes to them.
 pub(super) const NEXT_JOBS: usize = 3;
 
-/// Bits of the counter in an attempt's number; the fencing token is above them.
+/// Bits of the counter in an attempt number; the fencing token takes the bits above.
 const ATTEMPT_COUNTER_BITS: u32 = 24;
 
-/// The zones to which a placement is limited, by the job's constraints and by where its other
-/// tasks are.
+/// Zones to which a placement is limited, by the job's constraints and by the zones of its other
+/// tasks.
 #[derive(Debug)]
 pub(super) struct ZoneLimits {
-    /// The only zone.
+    /// The only permitted zone; `None` if all are permitted.
     only: Option<Rc<str>>,
     tasks_by_zone: BTreeMap<String, u32>,
     max_per_zone: u32,
 }
 
 impl ZoneLimits {
-    /// Limited to a zone, if one is given.
+    /// Limits the placement to a zone, if one is given.
     pub(super) fn within(only: Option<Rc<str>>) -> Self {
         ZoneLimits {
             only,
@@ -45,13 +45,13 @@
         }
     }
 
-    /// No limit.
+    /// Permits all zones.
     pub(super) fn none() -> Self {
         ZoneLimits::within(None)
     }
 
-    /// Limited to a zone, if one is given; at most half of a job's tasks are in each if it
-    /// spreads over zones.
+    /// Limits the placement to a zone, if one is given. A job that spreads over zones may have at
+    /// most half of its tasks in each zone.
     pub(super) fn for_job(spec: &JobSpec, only: Option<Rc<str>>) -> Self {
         ZoneLimits {
             max_per_zone: if spec.spread_zones {
@@ -63,13 +63,13 @@
         }
     }
 
-    /// A task of the job is in this zone.
+    /// Counts a task of the job in this zone.
     pub(super) fn add_task(&mut self, zone: &str) {
         *self.tasks_by_zone.entry(zone.to_owned()).or_default() += 1;
     }
 
-    /// Keeps the job's tasks in the zone where there are some.
-    fn keep_to_first_zone(&mut self) {
+    /// Limits the placement to the zone in which the job has tasks, if there is one.
+    fn limit_to_occupied_zone(&mut self) {
         self.only = self
             .tasks_by_zone
             .keys()
@@ -86,19 +86,20 @@
     }
 }
 
-/// What makes one fitting machine better than another; the least is the best.
+/// Rank of a machine on which a task fits; the least rank is the best.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineRank {
-    /// A flexible job keeps off a machine type that constrained jobs need.
+    /// The job is flexible, and constrained jobs need this machine type.
     is_reserved_type: bool,
     job_failed_there: bool,
     tasks: u32,
     image_missing: bool,
-    /// A job that allows spot machines leaves the others to those that don't.
+    /// The job allows spot machines, so the on-demand machine is better left to a job that does
+    /// not.
     wastes_on_demand: bool,
 }
 
-/// Whether a job's tasks may go on being placed.
+/// Whether to continue placing tasks of the same job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PlacementStep {
     Continue,
@@ -106,9 +107,9 @@
 }
 
 impl Region {
-    /// Assigns pending tasks to machines: each to the fitting one that holds the
-    /// fewest tasks. Only jobs for which something changed are considered: their own
-    /// tasks, a machine's free capacity, or their team's share.
+    /// Assigns pending tasks to machines, each to the best-ranked one on which it fits. Considers
+    /// only jobs for which something changed: their own tasks, the free capacity of a machine, or
+    /// their team's quota share.
     pub fn place_pending(&mut self, context: &SchedulingContext<'_>) {
         self.update_guaranteed_jobs(context);
         let triggers = self.triggers.take();
@@ -120,7 +121,7 @@
             is_any_quota_blocked |= self.place_job(&id, context);
         }
         self.uncordon_for_next_jobs();
-        // Shares that were found too small are asked for at once.
+        // Requests larger shares at once instead of at the next regular update.
         if is_any_quota_blocked {
             self.update_quota_shares(context);
         }
@@ -133,7 +134,7 @@
             .filter(|machine| matches!(machine.index_entry, IndexEntry::Available { .. }))
             .map(|machine| (machine.free(), machine))
             .collect();
-        let is_concerned = |id: &JobId| {
+        let is_affected = |id: &JobId| {
             triggers.concerns_all()
                 || triggers.concerns_job(id)
                 || self.jobs.get(id).is_some_and(|job| {
@@ -145,12 +146,13 @@
         };
         self.queue
             .iter()
-            .filter(|id| is_concerned(id))
+            .filter(|id| is_affected(id))
             .cloned()
             .collect()
     }
 
-    /// Places a job's pending tasks. Returns whether its team's share kept some from that.
+    /// Places a job's pending tasks. Returns whether its team's quota share was too small for
+    /// some of them.
     fn place_job(&mut self, id: &JobId, context: &SchedulingContext<'_>) -> bool {
         let Some(job) = self.jobs.get_mut(id) else {
             return false;
@@ -167,8 +169,8 @@
         self.jobs.get(id).is_some_and(|job| job.quota_blocked)
     }
 
-    /// Machines that were cordoned as not needed serve again if one of the next jobs lacks
-    /// free capacity.
+    /// Uncordons machines that were cordoned as not needed, if one of the next jobs lacks free
+    /// capacity.
     fn uncordon_for_next_jobs(&mut self) {
         if !self.inventory.has_draining() {
             return;
@@ -198,7 +200,7 @@
         }
         let is_aged_start = job.queue_key.as_ref().is_some_and(QueueKey::is_aged_start);
         if is_aged_start && !self.queue.allows_aged_start(context.now) {
-            // Another aged job was served: this one is served in the usual order.
+            // Another aged job has used the early start: this job keeps its regular rank.
             self.triggers.job_changed(id);
             return PlacementStep::Stop;
         }
@@ -221,7 +223,7 @@
         };
         self.transition(id, task, TaskState::Assigned, Some(target), context.now);
         if is_aged_start {
-            // The rest of it is served in the usual order again.
+            // The job's other tasks are served at its regular rank.
             self.queue.aged_start_made(context.now);
             self.triggers.job_changed(id);
             return PlacementStep::Stop;
@@ -229,8 +231,8 @@
         PlacementStep::Continue
     }
 
-    /// The zones for the next task of an array or service, by where its other tasks are;
-    /// `None` while that is not known.
+    /// Returns the zones for the next task of an array or service, which depend on the zones of
+    /// its other tasks; `None` until those tasks are reconciled.
     fn zone_limits(&self, job: &Job) -> Option<ZoneLimits> {
         let spec = &job.spec;
         let mut limits = ZoneLimits::for_job(spec, None);
@@ -246,12 +248,12 @@
             }
         }
         if spec.single_zone {
-            limits.keep_to_first_zone();
+            limits.limit_to_occupied_zone();
         }
         Some(limits)
     }
 
-    /// The best machine for a task of the job; see [`MachineRank`].
+    /// Returns the best machine for a task of the job; see [`MachineRank`].
     pub(super) fn best_machine(
         &self,
         id: &JobId,
@@ -280,7 +282,7 @@
         )
     }
 
-    /// Whether a job's tasks may go to machines of a pool just now.
+    /// Whether a job's tasks may currently be placed on machines of a pool.
     pub(super) fn may_use_pool(
         &self,
         id: &JobId,
@@ -298,7 +300,7 @@
                 .is_none_or(|index| !self.is_reserved_for_another(id, job, pool, index, context))
     }
 
-    /// How many of a job's tasks could be placed now, up to `max`.
+    /// Returns how many of a job's tasks could be placed now, up to `max`.
     pub(super) fn tasks_placeable_now(
         &self,
         id: &JobId,
@@ -325,7 +327,7 @@
         )
     }
 
-    /// The zones in which a gang could be, or just `None` if it may be anywhere.
+    /// Returns the zones in which a gang could be placed; a single `None` if any zone will do.
     pub(super) fn candidate_zones(&self, job: &Job) -> Vec<Option<Rc<str>>> {
         if let Some(zone) = job.gang.zone() {
             return vec![Some(Rc::from(zone))];
@@ -342,22 +344,23 @@
         zones.into_iter().map(Some).collect()
     }
 
-    /// A job could be placed but for its team's share.
+    /// Marks a job that is not placed only because its team's quota share is too small.
     pub(super) fn mark_quota_blocked(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.quota_blocked = true;
         }
     }
 
-    /// The number of a new attempt; no other owner of the region gives the same.
+    /// Returns the number of a new attempt. The fencing token in it makes the number unique among
+    /// all owners of the region.
     pub(super) fn next_attempt(&mut self) -> u64 {
         self.attempt_sequence += 1;
         let counter_mask = (1 << ATTEMPT_COUNTER_BITS) - 1;
         (self.token << ATTEMPT_COUNTER_BITS) | (self.attempt_sequence & counter_mask)
     }
 
-    /// A task whose image was to be fetched by a machine isn't started there: unless
-    /// another task of its job is, the machine won't have the image.
+    /// Records that a task for which a machine was to fetch the image is not started there. The
+    /// machine won't have the image unless another task of the job is assigned to it.
     pub(super) fn forget_image(&mut self, machine: &str, id: &JobId) {
         let Some(image) = self.jobs.get(id).map(|job| &job.spec.image) else {
             return;
--- a/src/region/preemption.rs
+++ b/src/region/preemption.rs
@@ -1,4 +1,5 @@
-//! Preemption: running work is stopped for pending work that ranks before it.
+//! Preemption: stops running tasks in favour of pending jobs within their team's guarantee or of
+//! higher priority.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -13,44 +14,46 @@
 use super::task::Assignment;
 use super::{Region, SchedulingContext};
 
-/// How long a job must be pending before others are preempted for it.
-const PREEMPT_AFTER: Micros = 6 * SECOND;
-/// The least time between two preemptions.
+/// Time for which a job must be pending before other jobs are preempted for it.
+const MIN_PENDING_TIME: Micros = 6 * SECOND;
+/// Minimum time between two preemptions.
 const PREEMPTION_INTERVAL: Micros = SECOND;
-/// How many jobs at the head of the queue may preempt others.
-const MAX_CANDIDATE_JOBS: usize = 8;
-/// Most tasks of a job for which others are preempted at once; a gang needs all of its tasks.
-const MAX_TASKS_AT_ONCE: u64 = 16;
+/// Number of jobs at the head of the queue that may preempt others.
+const MAX_PREEMPTORS: usize = 8;
+/// Maximum number of a job's tasks for which others are preempted at once. Gangs are exempt,
+/// since they need all of their tasks.
+const MAX_TASKS_PER_PREEMPTION: u64 = 16;
 
-/// The job that others are preempted for.
-struct Beneficiary<'a> {
+/// The job in favour of which others are preempted.
+struct Preemptor<'a> {
     id: &'a JobId,
     job: &'a Job,
     is_guaranteed: bool,
-    /// For how many tasks there is to be capacity.
+    /// Number of tasks that need capacity.
     tasks: u64,
 }
 
-impl Beneficiary<'_> {
+impl Preemptor<'_> {
     fn is_gang(&self) -> bool {
         self.job.spec.kind == JobKind::Gang
     }
 }
 
-/// What preemption could gain for a job in a zone.
+/// Capacity that a job has in a zone, and that preemption could free for it there.
 #[derive(Debug, Default)]
-struct PreemptionSurvey {
-    /// Tasks that can be placed without it, or where machines are being cleared already.
+struct PreemptionOptions {
+    /// Number of tasks that can be placed without preemption, or on machines where tasks are
+    /// already being stopped.
     placeable: u64,
     candidates: Vec<PreemptionCandidate>,
 }
 
-/// A machine on which preemption would make places.
+/// A machine on which preemption would free capacity for tasks of the job.
 #[derive(Debug)]
 struct PreemptionCandidate {
-    /// The run time that is lost for each place.
+    /// Run time lost by the stopped tasks, per task of the job that fits in their place.
     cost_per_task: Micros,
-    /// How many places it makes.
+    /// Number of additional tasks of the job that would fit.
     gain: u64,
     machine: Rc<str>,
     /// The jobs of the tasks that would be stopped.
@@ -60,14 +63,14 @@
 /// Jobs to be preempted, with the machines on which their tasks are stopped.
 type Victims = BTreeMap<JobId, BTreeSet<Rc<str>>>;
 
-impl PreemptionSurvey {
-    /// The cheapest preemption that makes places for the job; `None` if none is needed or none
-    /// helps.
-    fn cheapest_victims(mut self, beneficiary: &Beneficiary<'_>) -> Option<Victims> {
-        let tasks = beneficiary.tasks;
+impl PreemptionOptions {
+    /// Returns the victims on the machines with the least cost, as many as give capacity for the
+    /// job; `None` if no preemption is needed or none would help.
+    fn cheapest_victims(mut self, preemptor: &Preemptor<'_>) -> Option<Victims> {
+        let tasks = preemptor.tasks;
         let gain: u64 = self.candidates.iter().map(|c| c.gain).sum();
         let is_sufficient = self.placeable + gain >= tasks;
-        if self.placeable >= tasks || gain == 0 || (beneficiary.is_gang() && !is_sufficient) {
+        if self.placeable >= tasks || gain == 0 || (preemptor.is_gang() && !is_sufficient) {
             return None;
         }
         self.candidates.sort_by_key(|c| c.cost_per_task);
@@ -87,11 +90,10 @@
 }
 
 impl Region {
-    /// Stops work so that a job within its team's guarantee, or of higher priority,
-    /// finds free capacity: work of lower priority, or of other teams beyond their own
-    /// guarantees. Only for the first such job in the queue, only after it has been pending
-    /// for a while, and only as much as it needs; what has run for the shortest time goes
-    /// first.
+    /// Stops tasks to free capacity for the first job in the queue that may preempt: tasks of
+    /// lower priority or, if that job is within its team's guarantee, tasks of other teams beyond
+    /// their own guarantees. The job must have been pending for [`MIN_PENDING_TIME`]. Stops only
+    /// as many tasks as the job needs, those with the least lost run time first.
     pub(super) fn preempt(&mut self, context: &SchedulingContext<'_>) {
         if context.now < self.next_preemption_at
             || !self.reconciliation.is_complete()
@@ -99,7 +101,7 @@
         {
             return;
         }
-        let first: Vec<JobId> = self.queue.first(MAX_CANDIDATE_JOBS).cloned().collect();
+        let first: Vec<JobId> = self.queue.first(MAX_PREEMPTORS).cloned().collect();
         for id in first {
             if !self.may_preempt(&id, context) {
                 continue;
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Whether only the lack of free capacity keeps a job from starting, for long enough.
+    /// Whether a job has been pending for long enough, and only for lack of free capacity.
     fn may_preempt(&self, id: &JobId, context: &SchedulingContext<'_>) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -119,14 +121,15 @@
         let pending_for = context.now.saturating_sub(job.tasks.pending_since());
         if job.quota_blocked
             || job.not_before > context.now
-            || pending_for < PREEMPT_AFTER
+            || pending_for < MIN_PENDING_TIME
             || job.commit_in_flight
             || job.failures.is_suspect()
         {
             return false;
         }
-        // Guards against capacity that is cleared for a job that its team's share here does not
-        // let start: what was stopped takes the place again, and is stopped again.
+        // Guards against freeing capacity for a job that its team's quota share in this region
+        // does not permit to start: the stopped tasks would start again in the freed capacity and
+        // be stopped again.
         let least_tasks = match job.spec.kind {
             JobKind::Gang => u64::from(job.tasks.bound().len()),
             JobKind::Array | JobKind::Service => 1,
@@ -135,7 +138,7 @@
         needed.within(self.quota_headroom(&job.spec.team, context))
     }
 
-    /// Stops work so that a job finds free capacity. Returns whether that helps.
+    /// Stops tasks to free capacity for a job. Returns whether there were any to stop.
     fn preempt_for(&mut self, id: &JobId, context: &SchedulingContext<'_>) -> bool {
         let Some(victims) = self.victims_for(id, context) else {
             return false;
@@ -149,7 +152,7 @@
 
     fn victims_for(&self, id: &JobId, context: &SchedulingContext<'_>) -> Option<Victims> {
         let job = self.jobs.get(id)?;
-        let beneficiary = Beneficiary {
+        let preemptor = Preemptor {
             id,
             job,
             is_guaranteed: job
@@ -159,27 +162,27 @@
             tasks: match job.spec.kind {
                 JobKind::Gang => u64::from(job.tasks.bound().len()),
                 JobKind::Array | JobKind::Service => {
-                    u64::from(job.tasks.pending().len()).min(MAX_TASKS_AT_ONCE)
+                    u64::from(job.tasks.pending().len()).min(MAX_TASKS_PER_PREEMPTION)
                 }
             },
         };
         self.candidate_zones(job).into_iter().find_map(|zone| {
-            self.survey_preemption(&beneficiary, zone.as_deref(), context)
-                .cheapest_victims(&beneficiary)
+            self.preemption_options(&preemptor, zone.as_deref(), context)
+                .cheapest_victims(&preemptor)
         })
     }
 
-    fn survey_preemption(
+    fn preemption_options(
         &self,
-        beneficiary: &Beneficiary<'_>,
+        preemptor: &Preemptor<'_>,
         zone: Option<&str>,
         context: &SchedulingContext<'_>,
-    ) -> PreemptionSurvey {
-        let spec = &beneficiary.job.spec;
-        let mut survey = PreemptionSurvey::default();
+    ) -> PreemptionOptions {
+        let spec = &preemptor.job.spec;
+        let mut options = PreemptionOptions::default();
         for (pool, pool_index) in self.inventory.index().pools() {
             if zone.is_some_and(|zone| *zone != *pool.zone)
-                || !self.may_preempt_in_pool(beneficiary, pool, pool_index, context)
+                || !self.may_preempt_in_pool(preemptor, pool, pool_index, context)
             {
                 continue;
             }
@@ -189,48 +192,49 @@
                 };
                 let placeable = spec.tasks_fitting_in(machine.free());
                 if machine.tasks.values().any(|task| task.stop_grace.is_some()) {
-                    // It is being cleared already.
-                    survey.placeable += spec.tasks_fitting_in(machine.capacity).max(placeable);
+                    // Tasks on this machine are already being stopped.
+                    options.placeable += spec.tasks_fitting_in(machine.capacity).max(placeable);
                     continue;
                 }
-                survey.placeable += placeable;
-                let candidate = self.preemption_on(name, machine, beneficiary, context);
-                survey.candidates.extend(candidate);
+                options.placeable += placeable;
+                let candidate = self.preemption_candidate(name, machine, preemptor, context);
+                options.candidates.extend(candidate);
             }
         }
-        survey
+        options
     }
 
     fn may_preempt_in_pool(
         &self,
-        beneficiary: &Beneficiary<'_>,
+        preemptor: &Preemptor<'_>,
         pool: &MachinePool,
         pool_index: &PoolIndex,
         context: &SchedulingContext<'_>,
     ) -> bool {
-        let Beneficiary { id, job, .. } = beneficiary;
+        let Preemptor { id, job, .. } = preemptor;
         pool.permits(&job.spec)
             && !(job.is_flexible() && pool_index.reserved.is_some())
-            // Guards against work that is stopped again and again for a job that
-            // may not go there, since the places are reserved for another.
+            // Guards against stopping tasks over and over for a job that may not use the freed
+            // capacity, because it is reserved for another.
             && !self.is_reserved_for_another(id, job, pool, pool_index, context)
     }
 
-    /// What preemption on a machine costs and gains; `None` if it makes no places.
-    fn preemption_on(
+    /// Returns the cost and gain of preemption on a machine; `None` if it would free no capacity
+    /// for a task of the job.
+    fn preemption_candidate(
         &self,
         name: &Rc<str>,
         machine: &Machine,
-        beneficiary: &Beneficiary<'_>,
+        preemptor: &Preemptor<'_>,
         context: &SchedulingContext<'_>,
     ) -> Option<PreemptionCandidate> {
-        let spec = &beneficiary.job.spec;
+        let spec = &preemptor.job.spec;
         let mut free = machine.free();
         let placeable = spec.tasks_fitting_in(free);
         let mut cost = 0;
         let mut victims = Vec::new();
         for ((other, _), task) in &machine.tasks {
-            if self.is_preemptible(other, beneficiary)
+            if self.is_preemptible(other, preemptor)
                 && self.is_worth_preempting(other, task, context)
             {
                 free = free.plus(task.resources());
@@ -247,26 +251,28 @@
         })
     }
 
-    /// Whether a job may be stopped for another.
-    fn is_preemptible(&self, id: &JobId, beneficiary: &Beneficiary<'_>) -> bool {
+    /// Whether the preemptor may preempt tasks of this job.
+    fn is_preemptible(&self, id: &JobId, preemptor: &Preemptor<'_>) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
         let is_beyond_guarantee = !self.queue.is_guaranteed(id, &job.spec);
-        let is_guaranteed = beneficiary.is_guaranteed;
+        let is_guaranteed = preemptor.is_guaranteed;
         !job.is_over
             && job.spec.kind != JobKind::Service
-            // Guards against work within a guarantee that is stopped for higher
-            // priority beyond one: it goes first, takes its place again, and so on.
+            // Guards against preempting a job within its team's guarantee for one of higher
+            // priority beyond a guarantee: the first has the better queue rank, so it would take
+            // the freed capacity and be preempted again, over and over.
             && (is_guaranteed || is_beyond_guarantee)
-            && (has_lower_priority(&job.spec, &beneficiary.job.spec)
+            && (has_lower_priority(&job.spec, &preemptor.job.spec)
                 || (is_guaranteed
                     && is_beyond_guarantee
-                    && job.spec.team != beneficiary.job.spec.team))
+                    && job.spec.team != preemptor.job.spec.team))
     }
 
-    /// Whether a task has most of its run before it, or can save a checkpoint: else it soon
-    /// ends by itself, and to stop it would waste more than it gains.
+    /// Whether a task has run for less than a third of its estimated run time, or its job saves
+    /// checkpoints. Any other task will soon end by itself: stopping it would waste more than it
+    /// gains.
     fn is_worth_preempting(
         &self,
         id: &JobId,
@@ -280,7 +286,7 @@
     }
 }
 
-/// For how long a task has run; 0 if it does not run yet.
+/// Returns how long a task has been running; 0 if it is not running yet.
 fn run_time(task: &Assignment, now: Micros) -> Micros {
     task.running_since
         .map_or(0, |since| now.saturating_sub(since))
--- a/src/region/quota_demand.rs
+++ b/src/region/quota_demand.rs
@@ -1,4 +1,4 @@
-//! What the next pending jobs need of their teams' quotas.
+//! Quota demand: what pending jobs at the head of the queue need of their teams' limits.
 
 use std::rc::Rc;
 
@@ -10,22 +10,23 @@
 use super::quota_share::JobDemand;
 use super::{Region, SchedulingContext};
 
-/// How many jobs at the head of the queue are considered.
-const MAX_JOBS: usize = 60;
-/// Most tasks of an array for which a share is acquired ahead of free capacity.
+/// Number of jobs at the head of the queue whose demand is counted.
+const MAX_DEMAND_JOBS: usize = 60;
+/// Maximum number of an array's or service's tasks for which a share is acquired ahead of free
+/// capacity.
 const MAX_TASKS_AHEAD: u64 = 16;
-/// Bits of the time of submission in a scheduling rank; the priority is above them.
+/// Bits of the submission time in a scheduling rank; the priority takes the bits above.
 const RANK_TIME_BITS: u32 = 56;
 
-/// The scheduling rank of a job among its team's jobs of all regions when the team's limit is
-/// used up; the least goes first: by priority, then by age.
+/// Returns the rank by which jobs of a team in all regions get shares when the team's limit is
+/// used up: by priority, then by age. The least rank goes first.
 fn scheduling_rank(spec: &JobSpec) -> u64 {
     let below_highest = Priority::Production as u64 - spec.priority as u64;
     let time_mask = (1 << RANK_TIME_BITS) - 1;
     (below_highest << RANK_TIME_BITS) | (spec.submitted_at & time_mask)
 }
 
-/// Pending tasks of a job for which a share is needed.
+/// Number of pending tasks of a job that need a share.
 struct TaskDemand {
     spec: Rc<JobSpec>,
     /// Tasks that could be placed now.
@@ -35,9 +36,9 @@
 }
 
 impl TaskDemand {
-    /// Limits the demand to what the region's machines could hold beside the demand of
-    /// jobs before it. A gang needs all of its tasks or none.
-    fn limit_to(&mut self, unclaimed: QuotaAmount) {
+    /// Limits the demand to the region's capacity that earlier jobs in the queue do not claim. A
+    /// gang needs all of its tasks or none.
+    fn limit_to_capacity(&mut self, unclaimed: QuotaAmount) {
         let per_task = self.spec.quota_per_task();
         let fitting = |unclaimed: u64, each: u64| unclaimed.checked_div(each).unwrap_or(u64::MAX);
         let max =
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Tasks that could be placed as soon as the share is there. A gang's are only placed
-    /// together.
+    /// Returns the number of tasks that could be placed as soon as the share is acquired. A gang
+    /// is only placed as a whole.
     fn placeable_with_share(&self) -> u64 {
         match self.spec.kind {
             JobKind::Gang if self.placeable < self.needed => 0,
@@ -58,7 +59,7 @@
         }
     }
 
-    fn quota(&self) -> JobDemand {
+    fn job_demand(&self) -> JobDemand {
         let per_task = self.spec.quota_per_task();
         let placeable = self.placeable_with_share();
         JobDemand {
@@ -70,31 +71,32 @@
 }
 
 impl Region {
-    /// Determines what the next jobs in the queue need of their teams' limits, those that
-    /// there is no free capacity for yet included. Guards against a machine that becomes free
-    /// and then is idle for a report's interval, because the next task on it is of a team whose
-    /// share must first be acquired. No more than the region's machines could hold: a
-    /// share kept for tasks that can't run here is lacking where they can.
+    /// Determines what the jobs at the head of the queue need of their teams' limits. The demand
+    /// of gangs and of the next jobs includes tasks for which there is no free capacity yet. This
+    /// guards against a machine that becomes free and then stays idle for a report interval
+    /// because the share for its next task must first be acquired. The demand is limited to what
+    /// the region's machines can hold: a share kept for tasks that cannot run here is missing in
+    /// the regions where they can.
     pub(super) fn update_quota_demand(&mut self, context: &SchedulingContext<'_>) {
         self.quotas.clear_demand();
-        // Guards against a small region that wants all its capacity for each job in the queue
-        // on top of the others, and keeps the limit from where there is free capacity.
+        // Guards against a small region that requests its whole capacity once for each job in the
+        // queue, and so withholds the limit from regions with free capacity.
         let mut unclaimed = self.inventory.index().total_quota();
-        let ids: Vec<JobId> = self.queue.first(MAX_JOBS).cloned().collect();
+        let ids: Vec<JobId> = self.queue.first(MAX_DEMAND_JOBS).cloned().collect();
         for (position, id) in ids.iter().enumerate() {
             let Some(mut demand) = self.task_demand(id, position < NEXT_JOBS, context) else {
                 continue;
             };
-            demand.limit_to(unclaimed);
+            demand.limit_to_capacity(unclaimed);
             if demand.needed == 0 {
                 continue;
             }
             let spec = &demand.spec;
-            // What its team's limit keeps from starting takes no capacity.
+            // Tasks that cannot start because their team's limit is used up claim no capacity.
             if !self.quotas.is_limited(&spec.team) {
                 unclaimed = unclaimed.minus(spec.quota_per_task().times(demand.needed));
             }
-            self.quotas.add_demand(&spec.team, demand.quota());
+            self.quotas.add_demand(&spec.team, demand.job_demand());
         }
     }
 
@@ -107,7 +109,7 @@
         let job = self.jobs.get(id)?;
         let pending = u64::from(job.tasks_to_schedule(context.now));
         let placeable = self.tasks_placeable_now(id, &ZoneLimits::none(), pending, context);
-        // A suspect job takes what is free now, and no share before that.
+        // A suspect job gets a share only for capacity that is free now, not ahead of it.
         let needed = if job.failures.is_suspect() && placeable < pending {
             0
         } else if job.spec.kind == JobKind::Gang {
@@ -129,7 +131,7 @@
         })
     }
 
-    /// How many of a job's tasks the region's machines would hold with nothing else on them.
+    /// Returns how many of a job's tasks the region's machines could hold if they were empty.
     fn tasks_fitting_when_empty(&self, job: &Job) -> u64 {
         self.inventory
             .index()
--- a/src/region/quota_share.rs
+++ b/src/region/quota_share.rs
@@ -1,9 +1,8 @@
-//! The region's shares of the teams' quotas: what is used, what is needed, and by how much a
-//! share is to change.
+//! The region's shares of the teams' quotas: usage, demand, and changes to the shares.
 //!
-//! [`QuotaShares`] owns the figures. Task transitions charge and credit them, `quota_demand`
-//! sets what pending tasks need, `quota_updates` commits the changes that [`QuotaShares`]
-//! decides on.
+//! [`QuotaShares`] owns this state and decides how shares change. Task transitions charge and
+//! credit usage, `quota_demand` sets the demand of pending tasks, and `quota_updates` commits the
+//! changes.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,16 +16,17 @@
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::quota::{self, ShareChange};
 
-/// How often the shares are updated.
+/// Interval between updates of the shares.
 const UPDATE_INTERVAL: Micros = SECOND / 2;
 
-/// How long the most that a team needed is remembered.
+/// Time for which the peak need of a team is remembered.
 const PEAK_TTL: Micros = 15 * SECOND;
 
-/// A region's even part of the limit, divided by this, is what a growing share gets beyond what
-/// is needed, so that most changes of need take no commit.
+/// Divisor of the region's even split of the limit. The result is the margin that a growing share
+/// gets beyond the need, so that most changes of the need take no commit.
 const GROWTH_DIVISOR: u64 = 4;
-/// The same, divided by this, is what a share may exceed the peak by before it shrinks.
+/// Divisor of the region's even split of the limit. A share shrinks once it exceeds the peak need
+/// by more than the result.
 const EXCESS_DIVISOR: u64 = 2;
 
 /// The region's shares of all teams' quotas.
@@ -41,7 +41,7 @@
         self.by_team.entry(Rc::from(team)).or_default()
     }
 
-    /// A task was assigned, or found on a machine.
+    /// Adds a task that was assigned, or found on a machine, to its team's usage.
     pub(super) fn charge(&mut self, assignment: &Assignment) {
         let share = self.by_team.entry(assignment.team.clone()).or_default();
         share.used = share.used.plus(assignment.quota);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A task has left its machine.
+    /// Subtracts a task that has left its machine from its team's usage.
     pub(super) fn credit(&mut self, assignment: &Assignment) {
         let share = self.by_team.entry(assignment.team.clone()).or_default();
         share.used = share.used.minus(assignment.quota);
@@ -59,19 +59,19 @@
         }
     }
 
-    /// A former owner left the region with this share: as much may be in use.
+    /// Sets the share recorded by a former owner of the region, all of which may be in use.
     pub(super) fn set_inherited(&mut self, team: &str, amount: QuotaAmount) {
         self.team_mut(team).inherited = amount;
     }
 
-    /// All machines are reconciled: what is in use is known.
+    /// Clears the inherited shares once all machines are reconciled and usage is known.
     pub(super) fn clear_inherited(&mut self) {
         for share in self.by_team.values_mut() {
             share.inherited = QuotaAmount::default();
         }
     }
 
-    /// Whether the shares are to be updated; if so, the time of the next update is set.
+    /// Whether an update of the shares is due; if so, schedules the next one.
     pub(super) fn take_update_due(&mut self, now: Micros) -> bool {
         let is_due = now >= self.next_update_at;
         if is_due {
@@ -80,19 +80,19 @@
         is_due
     }
 
-    /// All teams that use or need something, or did.
+    /// Returns all teams with current or former usage or demand in the region.
     pub(super) fn teams(&self) -> Vec<Rc<str>> {
         self.by_team.keys().cloned().collect()
     }
 
-    /// Forgets what pending tasks need, before it is determined anew.
+    /// Clears the demand of pending tasks before it is determined anew.
     pub(super) fn clear_demand(&mut self) {
         for share in self.by_team.values_mut() {
             share.clear_demand();
         }
     }
 
-    /// Pending tasks of a job need this.
+    /// Adds the demand of a job's pending tasks.
     pub(super) fn add_demand(&mut self, team: &str, demand: JobDemand) {
         let share = self.team_mut(team);
         share.demand = share.demand.plus(demand.placeable);
@@ -101,13 +101,13 @@
         share.first_rank = Some(first);
     }
 
-    /// Whether the team's limit leaves less than its pending tasks here need.
+    /// Whether the team's limit leaves less than the team needs in this region.
     pub(super) fn is_limited(&self, team: &str) -> bool {
         self.by_team.get(team).is_some_and(|s| s.is_limited)
     }
 
-    /// The teams whose limit leaves less than their pending tasks here need, with the
-    /// scheduling rank of the first job that lacks some.
+    /// Returns the teams whose limit leaves less than they need in this region, with the
+    /// scheduling rank of the first job that lacks a share.
     pub(super) fn limited_teams(&self) -> impl Iterator<Item = (&Rc<str>, u64)> {
         self.by_team
             .iter()
@@ -115,14 +115,14 @@
             .filter_map(|(team, share)| Some((team, share.first_rank?)))
     }
 
-    /// Whether some pending task that could be placed lacks its team's share.
+    /// Whether a pending task lacks only its team's share to be placed.
     pub(super) fn has_unmet_demand(&self) -> bool {
         self.by_team
             .values()
             .any(|share| share.demand != QuotaAmount::default())
     }
 
-    /// What is left of a team's recorded share.
+    /// Returns the unused part of a team's recorded share.
     pub(super) fn headroom(
         &self,
         team: &str,
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Decides whether a team's share is to change. A change counts as being committed until
-    /// [`QuotaShares::commit_ended`].
+    /// Returns the new record if a team's share must change. The change counts as being committed
+    /// until [`QuotaShares::commit_ended`] is called.
     pub(super) fn propose_change(
         &mut self,
         team: &str,
@@ -154,7 +154,7 @@
         self.by_team.get_mut(team)?.propose_change(state)
     }
 
-    /// The commit of a change of a team's share has ended.
+    /// Marks the commit of a team's changed share as ended, successfully or not.
     pub(super) fn commit_ended(&mut self, team: &str) {
         if let Some(share) = self.by_team.get_mut(team) {
             share.committing = None;
@@ -162,45 +162,45 @@
     }
 }
 
-/// What pending tasks of a job need of their team's quota.
+/// Quota that pending tasks of a job need.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct JobDemand {
-    /// For tasks that could be placed at once.
+    /// Demand of tasks that could be placed at once.
     pub(super) placeable: QuotaAmount,
-    /// For tasks that there is no free capacity for yet.
+    /// Demand of tasks for which there is no free capacity yet.
     pub(super) ahead: QuotaAmount,
-    /// The job's scheduling rank over all regions.
+    /// Scheduling rank of the job among its team's jobs in all regions.
     pub(super) rank: u64,
 }
 
-/// What a change of a share depends on beside the share itself.
+/// Inputs to a change of a share, other than the share itself.
 pub(super) struct ShareState<'a> {
     pub(super) region: &'a str,
-    /// The team's record: the shares of all regions.
+    /// The team's quota record, with the shares of all regions.
     pub(super) record: Option<&'a QuotaRecord>,
     pub(super) limit: QuotaAmount,
-    /// The scheduling rank of the first job that lacks some of the limit in another region.
+    /// Scheduling rank of the first job that lacks a share in another region, if there is one.
     pub(super) blocked_elsewhere: Option<u64>,
     pub(super) is_reconciled: bool,
-    /// How many regions there are.
+    /// Number of regions.
     pub(super) regions: u64,
     pub(super) now: Micros,
 }
 
 impl ShareState<'_> {
-    /// The region's share on record.
+    /// Returns the region's recorded share.
     fn recorded(&self) -> QuotaAmount {
         quota::recorded_share(self.record, self.region)
     }
 
-    /// The record with the share as near to `target` as the limit allows, and that share;
-    /// `None` if nothing changes.
+    /// Returns the change that sets the share to `target` as far as the limit allows; `None` if
+    /// the share does not change.
     fn propose(&self, target: QuotaAmount) -> Option<ShareChange> {
         quota::with_share(self.record, self.region, self.limit, target)
     }
 
-    /// The region's even part of the limit, divided by `divisor`.
-    fn even_part(&self, divisor: u64) -> QuotaAmount {
+    /// Returns the limit split evenly among all regions, divided by `divisor`.
+    fn even_split(&self, divisor: u64) -> QuotaAmount {
         QuotaAmount {
             cpus: self.limit.cpus / divisor / self.regions,
             gpus: self.limit.gpus / divisor / self.regions,
@@ -212,26 +212,28 @@
 #[derive(Debug, Default)]
 struct QuotaShare {
     used: QuotaAmount,
-    /// Of these, started under our own token.
+    /// The part of `used` that was started under the current fencing token.
     used_by_our_starts: QuotaAmount,
-    /// Counted as used until all machines are reconciled.
+    /// The former owner's share, which counts as used until all machines are reconciled.
     inherited: QuotaAmount,
-    /// What pending tasks need that could be placed at once.
+    /// Demand of pending tasks that could be placed at once.
     demand: QuotaAmount,
-    /// What pending tasks need that there is no free capacity for yet.
+    /// Demand of pending tasks for which there is no free capacity yet.
     demand_ahead: QuotaAmount,
-    /// The scheduling rank of the first of the jobs that need it.
+    /// Least scheduling rank of the jobs with demand.
     first_rank: Option<u64>,
-    /// The share that is being committed; a smaller one binds at once.
+    /// The share that is being committed. If it is smaller than the recorded one, it applies at
+    /// once.
     committing: Option<QuotaAmount>,
-    /// The limit leaves less than pending tasks need.
+    /// Whether the limit leaves less than the team needs here.
     is_limited: bool,
-    /// Since when a part of the share is reserved unused for a job that lacks the rest.
+    /// Since when a part of the share has been reserved but unused for a job that lacks the rest.
     unused_since: Option<Micros>,
-    /// Until when such a part is left to other regions.
+    /// Time until which such a part is left to other regions.
     yield_until: Micros,
-    /// The most that was needed lately, and when that was.
+    /// Recent peak of the need.
     peak: QuotaAmount,
+    /// When the peak was recorded.
     peak_at: Micros,
 }
 
@@ -247,7 +249,7 @@
         }
         let target = self.target(used, needed, state)?;
         let change = state.propose(target)?;
-        // Never below what is in use, whatever the limit is now.
+        // The share never shrinks below what is in use, even if the limit was lowered.
         if !used.within(change.share) {
             return None;
         }
@@ -263,20 +265,21 @@
         }
     }
 
-    /// What is in use and what pending tasks need.
+    /// Returns the usage plus the demand of pending tasks.
     fn needed(&self, used: QuotaAmount, blocked_elsewhere: Option<u64>) -> QuotaAmount {
-        // Guards against two regions that each hold a part of what their gangs
-        // need, and neither enough: the job of higher priority, then the older one goes
-        // first, and the others take nothing and give back what they don't use.
-        // By age alone a gang of high priority was pending for ever while another region's
-        // older, lesser jobs followed each other.
-        let yields =
+        // Guards against two regions that each hold a part of the limit, neither enough for its
+        // gang: the region whose first job has the higher priority, or is older at the same
+        // priority, goes first. The other regions take nothing and give back what they don't use.
+        // When only age counted, a high-priority gang stayed pending forever while older jobs of
+        // lower priority in another region followed one another.
+        let must_yield =
             blocked_elsewhere.is_some_and(|rank| self.first_rank.is_none_or(|own| rank < own));
-        if yields {
+        if must_yield {
             return used;
         }
-        // Guards against a share that is kept for tasks to come while another region
-        // has free capacity and lacks it: what runs here will leave its share to them.
+        // Guards against keeping a share for tasks without capacity while another region has free
+        // capacity and lacks the share. These tasks take over the share of the tasks that run
+        // here now.
         let ahead = match blocked_elsewhere {
             Some(_) => self.demand_ahead.minus(used),
             None => self.demand_ahead,
@@ -291,9 +294,9 @@
         }
     }
 
-    /// What the share should be; `None` if it may stay as it is. A share goes up by more than
-    /// is needed just now and down only after a while, or when other regions find the limit
-    /// used up: each change counts against the state service's rate.
+    /// Returns the target of the share; `None` if it may stay as it is. A share grows by more than
+    /// the current need, and shrinks only after a while or when other regions find the limit used
+    /// up, since each change counts against the request rate of the state service.
     fn target(
         &mut self,
         used: QuotaAmount,
@@ -302,38 +305,40 @@
     ) -> Option<QuotaAmount> {
         let recorded = state.recorded();
         if !needed.within(recorded) {
-            Some(self.larger_target(used, needed, state))
+            Some(self.growth_target(used, needed, state))
         } else if !state.is_reconciled {
             None
         } else if state.blocked_elsewhere.is_some() && recorded != needed {
             Some(needed)
-        } else if !recorded.within(self.peak.plus(state.even_part(EXCESS_DIVISOR))) {
-            Some(self.peak.plus(state.even_part(GROWTH_DIVISOR)))
+        } else if !recorded.within(self.peak.plus(state.even_split(EXCESS_DIVISOR))) {
+            Some(self.peak.plus(state.even_split(GROWTH_DIVISOR)))
         } else {
             None
         }
     }
 
-    /// At the least what is needed, and somewhat more if the limit leaves it.
-    fn larger_target(
+    /// Returns the target of a share that must grow: the need, plus a margin if the limit allows
+    /// it.
+    fn growth_target(
         &mut self,
         used: QuotaAmount,
         needed: QuotaAmount,
         state: &ShareState<'_>,
     ) -> QuotaAmount {
-        let generous = needed.plus(state.even_part(GROWTH_DIVISOR));
-        let possible = state.propose(generous).map(|change| change.share);
-        self.is_limited = possible.is_none_or(|share| !needed.within(share));
+        let with_margin = needed.plus(state.even_split(GROWTH_DIVISOR));
+        let grantable = state.propose(with_margin).map(|change| change.share);
+        self.is_limited = grantable.is_none_or(|share| !needed.within(share));
         self.track_unused(used, state.recorded(), state.now);
-        match possible {
-            Some(share) if generous.within(share) => generous,
+        match grantable {
+            Some(share) if with_margin.within(share) => with_margin,
             _ => needed,
         }
     }
 
-    /// Follows how long a part of the recorded share is reserved unused since its first job
-    /// needs more. Guards against a gang that never gets the rest, since work without end uses
-    /// it in another region: from time to time others may use what is reserved.
+    /// Tracks how long a part of the recorded share has been reserved but unused because the first
+    /// job needs more. Guards against holding it for a gang that never gets the rest, because
+    /// never-ending work uses that in another region: after [`MAX_TEAM_BLOCK`], other regions may
+    /// use the reserved part for [`SHARE_YIELD_TIME`].
     fn track_unused(&mut self, used: QuotaAmount, recorded: QuotaAmount, now: Micros) {
         let is_reserved_unused = self.is_limited && used != recorded;
         if !is_reserved_unused || is_disabled(Safeguard::ShareHoldLimit) {
@@ -347,7 +352,8 @@
         }
     }
 
-    /// While others may use what is reserved, nothing is asked for beyond what runs.
+    /// Clears the demand while other regions may use the reserved part, so that nothing is
+    /// requested beyond current usage.
     fn yield_if_due(&mut self, now: Micros) {
         if now < self.yield_until {
             self.clear_demand();
--- a/src/region/quota_updates.rs
+++ b/src/region/quota_updates.rs
@@ -1,5 +1,5 @@
-//! The use of teams' quotas by the region: what is left of its shares, and the commits that
-//! change them.
+//! Quota shares of the region against the records: the headroom left in each share, and the
+//! commits that change shares.
 
 use salttiller_records::key::Key;
 use salttiller_records::record::value;
@@ -12,7 +12,7 @@
 use crate::state_store::CommitPriority;
 
 impl Region {
-    /// What the region may still use for a team just now.
+    /// Returns how much more quota the region may currently use for a team.
     pub(super) fn quota_headroom(
         &self,
         team: &str,
@@ -28,11 +28,11 @@
             .headroom(team, recorded, self.reconciliation.is_complete())
     }
 
-    /// Acquires what pending tasks need of teams' limits, and gives back what is not needed.
+    /// Acquires the quota that pending tasks need, and gives back quota that is not needed.
     pub(super) fn update_quota_shares(&mut self, context: &SchedulingContext<'_>) {
         self.update_quota_demand(context);
         for team in self.quotas.teams() {
-            // A team without a limit needs no share of one.
+            // A team without a limit needs no shares.
             if let Some(limit) = context.settings.team(&team).and_then(|team| team.limit) {
                 self.update_quota_share(&team, limit, context);
             }
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -112,7 +112,7 @@
             && !job.tasks.on_machines().is_empty()
             && !job.tasks.pending().is_empty()
         {
-            self.break_gang(id, context);
+            self.restart_gang(id, context);
         }
         self.update_queue_position(id, context);
     }
--- a/src/region/reservation.rs
+++ b/src/region/reservation.rs
@@ -1,8 +1,8 @@
-//! Capacity that is reserved for one gang, with backfilling by work that ends in time.
+//! Capacity reservation for a gang, with backfilling by tasks that end in time.
 //!
-//! The gang that is first in scheduling order among those that find no free capacity gets the
-//! reservation, so that its places become free under a steady load of small work. There is one
-//! at most; placement and preemption ask which jobs it excludes.
+//! The first gang in scheduling order that finds too little free capacity gets the reservation, so
+//! that enough capacity becomes free under a steady load of small jobs. A region has at most one
+//! reservation. Placement and preemption check which jobs the reservation excludes from a pool.
 
 use std::rc::Rc;
 
@@ -16,24 +16,24 @@
 use super::{Region, SchedulingContext};
 use crate::fault_injection::{is_disabled, Safeguard};
 
-/// How long after its submission capacity begins to be reserved for a gang. Until
-/// then smaller ones go first, since more of them are in time that way; a minute
-/// leaves three for the places to become free, of the four in which it must begin.
-const RESERVE_AFTER: Micros = 60 * SECOND;
+/// Age since submission from which a gang may get a reservation. Until then smaller gangs go
+/// first, since more gangs start in time that way. One minute leaves three minutes for capacity to
+/// become free, of the four minutes in which the gang must start.
+const MIN_RESERVATION_AGE: Micros = 60 * SECOND;
 
-/// For how long a gang that lacks a share of its team's limit keeps a job of the same team
-/// from starting a task. Half of the 90 s for which no job may be pending beside free machines,
-/// since a job may have been pending in another region before.
+/// Maximum time for which a gang that lacks quota keeps a job of the same team from starting a
+/// task. This is half of the limit of 90 s for a job pending beside free machines, since the job
+/// may already have been pending in another region.
 pub(super) const MAX_TEAM_BLOCK: Micros = 45 * SECOND;
 
-/// For how long other regions may use what is reserved for such a gang: time for them to learn
-/// of it, for two changes of shares and a report.
+/// Time for which other regions may use the quota share reserved for such a gang: enough for them
+/// to learn of it, for two share changes and for a report.
 pub(super) const SHARE_YIELD_TIME: Micros = 10 * SECOND;
 
-/// What a backfilled task takes beside its run time.
+/// Time that a backfilled task takes in addition to its run time.
 const BACKFILL_OVERHEAD: Micros = 10 * SECOND;
 
-/// How often the reservation is brought up to date.
+/// Interval between updates of the reservation.
 const UPDATE_INTERVAL: Micros = 2 * SECOND;
 
 /// Capacity that is reserved for a gang.
@@ -42,14 +42,14 @@
     job: JobId,
     priority: Priority,
     team: String,
-    /// There is capacity for it, but its team's share here is too small.
+    /// Whether the gang finds capacity, but its team's share in this region is too small.
     quota_blocked: bool,
-    /// Work of higher priority is pending: what becomes free goes to that first.
+    /// Whether a job of higher priority is pending, which gets capacity that becomes free first.
     outranked: bool,
-    /// Only machines of this zone are reserved, if the gang must be in one.
+    /// The zone whose machines are reserved, if the gang must be in a single zone.
     zone: Option<Rc<str>>,
-    /// When the last of the places is expected to be free; 0 if unknown.
-    filled_at: Micros,
+    /// When there is expected to be capacity for the whole gang; 0 if unknown.
+    expected_free_at: Micros,
     updated_at: Micros,
 }
 
@@ -62,7 +62,7 @@
             quota_blocked: false,
             outranked: false,
             zone,
-            filled_at: 0,
+            expected_free_at: 0,
             updated_at: 0,
         }
     }
@@ -71,7 +71,7 @@
         self.zone.as_ref().is_none_or(|own| **own == *zone)
     }
 
-    /// Whether another job may not use a pool because of the reservation.
+    /// Whether the reservation keeps another job from using a pool.
     fn excludes(
         &self,
         id: &JobId,
@@ -80,55 +80,60 @@
         is_pool_constrained: bool,
         context: &SchedulingContext<'_>,
     ) -> bool {
-        // Guards against work of higher priority that is pending behind a reservation while all
-        // that was preempted for its sake is started again.
+        // Guards against a job of higher priority that stays pending behind a reservation while
+        // the tasks preempted for it start again.
         if self.job == *id || self.priority < job.spec.priority {
             return false;
         }
         if !self.covers_zone(&pool.zone) {
             return false;
         }
-        // Guards against machines that are idle for a gang whose team's limit is used up
-        // elsewhere: others take them, those of its own team leave it the share.
+        // Guards against machines that stay idle for a gang whose team's limit is used up in
+        // other regions: jobs of other teams may use them, jobs of the same team leave the share
+        // to the gang.
         if self.quota_blocked && self.team != job.spec.team {
             return false;
         }
-        // Guards against a job that is pending without end beside free machines while the gang
-        // gathers its team's share from other regions: one task at a time may pass.
-        let unserved = context.now.saturating_sub(job.last_assigned);
+        // Guards against a job that stays pending beside free machines while the gang acquires its
+        // team's share from other regions: the job may start one task at a time, after each
+        // `MAX_TEAM_BLOCK`.
+        let since_last_assignment = context.now.saturating_sub(job.last_assigned);
         if self.quota_blocked
-            && unserved > MAX_TEAM_BLOCK
+            && since_last_assignment > MAX_TEAM_BLOCK
             && !is_disabled(Safeguard::ShareHoldLimit)
         {
             return false;
         }
-        // Nor for one that work of higher priority goes before again and again.
+        // Guards against machines that stay idle for a gang that jobs of higher priority overtake
+        // again and again.
         if self.outranked {
             return false;
         }
-        // What is reserved for constrained jobs is out of the others' reach anyway.
+        // A flexible job cannot use the capacity of this pool that is reserved for constrained
+        // jobs anyway.
         if is_pool_constrained && job.only_type.is_none() {
             return false;
         }
-        expected_end(&job.spec, context.now) > self.filled_at
+        latest_end(&job.spec, context.now) > self.expected_free_at
     }
 }
 
-/// When a backfilled task of the job has surely ended: half as late again as estimated.
-fn expected_end(spec: &JobSpec, now: Micros) -> Micros {
+/// Returns the time by which a task of the job will have ended if backfilled now, with a margin of
+/// half its estimated run time and [`BACKFILL_OVERHEAD`].
+fn latest_end(spec: &JobSpec, now: Micros) -> Micros {
     now + spec.estimated_run_time * 3 / 2 + BACKFILL_OVERHEAD
 }
 
-/// A zone in which a gang could be (`None`: anywhere); the greatest is the best.
+/// A zone in which a gang could be placed (`None`: any zone); the greatest is the best.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct ZoneOption {
+struct ZoneCandidate {
     fits_when_empty: bool,
     placeable_now: u64,
     zone: Option<Rc<str>>,
 }
 
-/// When a machine will have been left by all that is on it now, and how many tasks of the
-/// gang it then takes.
+/// Expected time at which all current tasks of a machine will have ended, and the number of the
+/// gang's tasks that then fit on the machine.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ExpectedVacancy {
     at: Micros,
@@ -136,7 +141,7 @@
 }
 
 impl Region {
-    /// Whether a job may not use a pool because of the reservation for a gang.
+    /// Whether the reservation for a gang keeps another job from using a pool.
     pub(super) fn is_reserved_for_another(
         &self,
         id: &JobId,
@@ -150,7 +155,7 @@
         })
     }
 
-    /// Ends the reservation if it is for this job.
+    /// Releases the reservation if it belongs to this job.
     pub(super) fn release_reservation_of(&mut self, id: &JobId) {
         if self.reservation.as_ref().is_some_and(|r| r.job == *id) {
             self.release_reservation();
@@ -162,7 +167,7 @@
         self.triggers.everything_changed();
     }
 
-    /// A gang finds no free capacity: if no other has a reservation, it gets one.
+    /// Gives a gang that finds too little free capacity the reservation, if no gang has it.
     pub(super) fn reserve_for_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         if self.reservation.is_some() {
             return;
@@ -171,19 +176,19 @@
         if job.failures.is_suspect() {
             return;
         }
-        // Since its submission: it may have been moved here.
+        // The age counts from submission, since the gang may have been moved from another region.
         let age = context.wall.saturating_sub(job.spec.submitted_at);
-        if age < RESERVE_AFTER {
+        if age < MIN_RESERVATION_AGE {
             self.queue
-                .wake_at(context.now + RESERVE_AFTER - age, id.clone());
+                .wake_at(context.now + MIN_RESERVATION_AGE - age, id.clone());
             return;
         }
         let best = self
             .candidate_zones(job)
             .into_iter()
-            .map(|zone| self.zone_option(id, job, zone, context))
+            .map(|zone| self.zone_candidate(id, job, zone, context))
             .max();
-        let Some(best) = best.filter(|option| option.fits_when_empty) else {
+        let Some(best) = best.filter(|candidate| candidate.fits_when_empty) else {
             return;
         };
         log::info!(
@@ -196,13 +201,13 @@
         self.update_reservation(context);
     }
 
-    fn zone_option(
+    fn zone_candidate(
         &self,
         id: &JobId,
         job: &Job,
         zone: Option<Rc<str>>,
         context: &SchedulingContext<'_>,
-    ) -> ZoneOption {
+    ) -> ZoneCandidate {
         let tasks = u64::from(job.tasks.bound().len());
         let fitting_when_empty =
             self.inventory
@@ -211,14 +216,15 @@
                     pool.permits(&job.spec) && zone.as_ref().is_none_or(|own| *own == pool.zone)
                 });
         let limits = ZoneLimits::within(zone.clone());
-        ZoneOption {
+        ZoneCandidate {
             fits_when_empty: fitting_when_empty >= tasks,
             placeable_now: self.tasks_placeable_now(id, &limits, tasks, context),
             zone,
         }
     }
 
-    /// Checks whether the reservation is still needed, and when its places will be free.
+    /// Releases the reservation if it is no longer needed, else re-estimates when its capacity will
+    /// be free.
     pub(super) fn update_reservation(&mut self, context: &SchedulingContext<'_>) {
         let Some(reservation) = &self.reservation else {
             return;
@@ -236,9 +242,9 @@
         }
         let quota_blocked = job.quota_blocked;
         let outranked = self.is_outranked(job.spec.priority);
-        let filled_at = self.expected_fill_time(reservation, job, context.now);
+        let expected_free_at = self.expected_free_time(reservation, job, context.now);
         if let Some(reservation) = &mut self.reservation {
-            reservation.filled_at = filled_at.unwrap_or(0);
+            reservation.expected_free_at = expected_free_at.unwrap_or(0);
             reservation.updated_at = context.now;
             reservation.quota_blocked = quota_blocked;
             reservation.outranked = outranked;
@@ -246,7 +252,7 @@
         self.triggers.everything_changed();
     }
 
-    /// Whether one of the next jobs has a higher priority and its team's share.
+    /// Whether one of the next jobs has a higher priority and is not blocked by its team's quota.
     fn is_outranked(&self, priority: Priority) -> bool {
         self.queue
             .first(NEXT_JOBS)
@@ -254,9 +260,9 @@
             .any(|job| job.spec.priority > priority && !job.quota_blocked)
     }
 
-    /// When enough machines will have been left by all that is on them now; `None` if there
-    /// are too few.
-    fn expected_fill_time(
+    /// Returns the time at which the current tasks on enough machines for the whole gang are
+    /// expected to have ended; `None` if there are too few machines.
+    fn expected_free_time(
         &self,
         reservation: &GangReservation,
         job: &Job,
@@ -275,15 +281,15 @@
             }
         }
         vacancies.sort_unstable();
-        let mut places = 0;
+        let mut fitting = 0;
         vacancies.iter().find_map(|vacancy| {
-            places += vacancy.tasks;
-            (places >= u64::from(job.tasks.bound().len())).then_some(vacancy.at)
+            fitting += vacancy.tasks;
+            (fitting >= u64::from(job.tasks.bound().len())).then_some(vacancy.at)
         })
     }
 
-    /// When a machine will have been left by the tasks that are on it now; tasks of flexible
-    /// jobs beside reserved capacity don't count.
+    /// Returns the time at which the current tasks of a machine are expected to have ended. In a
+    /// pool with capacity reserved for constrained jobs, tasks of flexible jobs don't count.
     fn expected_vacancy(&self, name: &str, pool_index: &PoolIndex, now: Micros) -> Option<Micros> {
         let machine = self.inventory.machine(name)?;
         let last_end = machine
--- a/src/region/tests.rs
+++ b/src/region/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the region: a fixture, a test cluster, and the tests by what they are about.
+//! Tests of the region scheduler by topic, with a fixture for single steps and a test cluster for
+//! longer runs.
 
 mod fixture;
 mod job_ends;
--- a/src/region/tests/fixture.rs
+++ b/src/region/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! The records, settings and heartbeats with which the tests of the region are played.
+//! Records, settings and heartbeats for the tests of the region.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -11,20 +11,21 @@
 use crate::state_store::replica::Replica;
 use crate::worker_protocol::{CommandKind, Heartbeat, HeartbeatId, ReportedState, ReportedTask};
 
-/// The records and settings that a region of these tests reads.
+/// Records and settings that the tested region reads.
 pub(super) struct Fixture {
     pub(super) replica: Replica,
     pub(super) settings: Settings,
     /// The revision of the last change.
     pub(super) revision: u64,
-    /// Teams whose limit other regions find used up.
+    /// Teams whose limit other regions find used up, with the scheduling rank of the first job
+    /// that lacks a share.
     pub(super) quota_blocked_teams: BTreeMap<String, u64>,
     pub(super) may_start: bool,
     pub(super) reported_cancelled: BTreeSet<String>,
 }
 
 impl Fixture {
-    /// Records of one machine type `box`, and the sample settings.
+    /// Creates a fixture with the sample settings and a record of one machine type, `box`.
     pub(super) fn new() -> Self {
         let mut fixture = Fixture {
             replica: Replica::default(),
@@ -42,7 +43,7 @@
         fixture
     }
 
-    /// Sets a record.
+    /// Puts a record into the replica.
     pub(super) fn put(&mut self, key: &str, value: serde_json::Value) {
         self.revision += 1;
         self.replica
@@ -52,13 +53,13 @@
     }
 
     /// Adds an activated machine of the region.
-    pub(super) fn machine(&mut self, name: &str) {
+    pub(super) fn add_machine(&mut self, name: &str) {
         let record = json!({"region":"t-0","flavor":"box","zone":"a","spot":false,"opened":true});
         self.put(&format!("st/machine/{name}"), record);
     }
 
-    /// Adds an array of tasks that take half a machine each, submitted at `at`.
-    pub(super) fn job(
+    /// Adds an array whose tasks take half a machine each, submitted at `at`.
+    pub(super) fn add_job(
         &mut self,
         id: &str,
         team: &str,
@@ -73,11 +74,11 @@
     }
 
     /// Records the region's share of a team's quota.
-    pub(super) fn share(&mut self, team: &str, cpus: u64) {
+    pub(super) fn set_share(&mut self, team: &str, cpus: u64) {
         self.put(&format!("st/quota/{team}"), json!({"t-0":[cpus,0]}));
     }
 
-    /// What a step of the region may read at this time.
+    /// Returns the scheduling context of the region at this time.
     pub(super) fn context(&self, now: Micros) -> SchedulingContext<'_> {
         SchedulingContext {
             replica: &self.replica,
@@ -90,13 +91,13 @@
         }
     }
 
-    /// The region, acquired with this token.
+    /// Acquires the region with this fencing token.
     pub(super) fn acquire(&self, token: u64, now: Micros) -> Region {
         Region::new("t-0", token, 1, &self.context(now))
     }
 }
 
-/// A heartbeat with these running tasks: job, task, attempt.
+/// Returns a heartbeat with these running tasks (job, task, attempt).
 pub(super) fn heartbeat(
     machine: &str,
     sequence: u64,
@@ -126,7 +127,7 @@
     }
 }
 
-/// How many starts an answer holds.
+/// Returns the number of start commands in an answer to a heartbeat.
 pub(super) fn count_starts(outcome: &HeartbeatOutcome) -> usize {
     match outcome {
         HeartbeatOutcome::Accepted(commands) => commands
--- a/src/region/tests/job_ends.rs
+++ b/src/region/tests/job_ends.rs
@@ -1,4 +1,4 @@
-//! When a job ends, by results here and elsewhere.
+//! Tests of the end of jobs, by results in this region and in others.
 
 use salttiller_records::units::SECOND;
 use serde_json::json;
@@ -7,16 +7,17 @@
 use crate::region::{Action, CommitKind};
 use crate::worker_protocol::{ExitReason, ReportedState};
 
-/// The last task's progress and the job's cancellation come in one answer: the
-/// replica shows both before the region gets the first event. The end must not be committed
-/// on the cancelled record's revision: done would follow cancelled.
+/// Guards against a cancelled job that is then committed as done. The last task's progress and the
+/// job's cancellation arrive in one answer of the state service, so the replica holds both before
+/// the region handles the first event. The end must not be committed on the revision of the
+/// cancelled record.
 #[test]
-fn a_cancellation_in_the_same_answer_as_the_last_result() {
+fn a_cancelled_job_is_not_committed_as_done() {
     for (cancelled, ends) in [(false, 1), (true, 0)] {
         let mut fixture = Fixture::new();
-        fixture.machine("m-1");
-        fixture.job("req-1", "red", "x", "1", 2, 0);
-        fixture.share("red", 8_000_000);
+        fixture.add_machine("m-1");
+        fixture.add_job("req-1", "red", "x", "1", 2, 0);
+        fixture.set_share("red", 8_000_000);
         let mut region = fixture.acquire(7, SECOND);
         fixture.put("st/progress/req-1/t-1/0", json!("3"));
         if cancelled {
@@ -24,16 +25,22 @@
         }
         let context = fixture.context(2 * SECOND);
         region.on_progress("req-1", &context);
-        let is_end = |e: &Action| matches!(e, Action::Commit(_, _, CommitKind::JobDone(_)));
+        let is_end =
+            |action: &Action| matches!(action, Action::Commit(_, _, CommitKind::JobDone(_)));
         assert_eq!(
-            region.take_actions().iter().filter(|e| is_end(e)).count(),
-            ends
+            region
+                .take_actions()
+                .iter()
+                .filter(|action| is_end(action))
+                .count(),
+            ends,
+            "commits of the end, with cancelled={cancelled}"
         );
     }
 }
 
-/// One result of a gang ends it, whichever region saw it: its tasks complete
-/// together, and the machines of the others may be gone. Of an array each counts.
+/// One result ends a gang, whichever region received it: the tasks of a gang complete together, and
+/// the machines of the other tasks may be gone. An array ends only with the results of all tasks.
 #[test]
 fn one_result_ends_a_gang() {
     for (kind, elsewhere, ends) in [
@@ -43,7 +50,7 @@
         ("a", true, false),
     ] {
         let mut fixture = Fixture::new();
-        fixture.machine("m-1");
+        fixture.add_machine("m-1");
         let record = json!({"st":"o","b":[[0,2,""],[2,3,"t-0"]],"g":[9,null],"j":{"c":"x","t":"red","k":kind,
             "r":"1","n":3,"u":2_000_000,"m":1_000_000,"i":"img","e":5_000_000,"a":1}});
         fixture.put("st/job/req-1", record);
@@ -59,7 +66,12 @@
         let finished = region
             .take_actions()
             .into_iter()
-            .any(|e| matches!(e, Action::Commit(_, _, CommitKind::JobDone(id)) if &*id == "req-1"));
-        assert_eq!(finished, ends, "{kind} {elsewhere}");
+            .any(|action| {
+                matches!(action, Action::Commit(_, _, CommitKind::JobDone(id)) if &*id == "req-1")
+            });
+        assert_eq!(
+            finished, ends,
+            "end of a job of kind {kind} after a result, elsewhere={elsewhere}"
+        );
     }
 }
--- a/src/region/tests/placement.rs
+++ b/src/region/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which machines get tasks.
+//! Tests of the choice of machines for tasks.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +12,8 @@
 use crate::region::{Action, HeartbeatOutcome};
 use crate::worker_protocol::{CommandKind, ExitReason, ReportedState, ReportedTask};
 
-/// A machine of a type on which only large jobs depend.
-fn put_large_machine(fixture: &mut Fixture, name: &str) {
+/// Adds a machine of a type that only large jobs depend on.
+fn add_large_machine(fixture: &mut Fixture, name: &str) {
     let machine_type = json!({"name":"big","cpus":16_000_000,"gpus":0,"mem":64_000_000,"fetch":1,
         "price":9,"spot_price":9,"boot":10_000_000,"zones":["a"]});
     fixture.put("st/flavor/big", machine_type);
@@ -21,26 +21,25 @@
     fixture.put(&format!("st/machine/{name}"), machine);
 }
 
-/// A job of one task that fits on no smaller machine.
-fn put_large_job(fixture: &mut Fixture, id: &str) {
+/// Adds a job of one task that fits on no smaller machine.
+fn add_large_job(fixture: &mut Fixture, id: &str) {
     let record = json!({"st":"o","b":[[0,1,"t-0"]],"j":{"c":"l","t":"red","k":"a","r":"1","n":1,
         "u":10_000_000,"m":20_000_000,"i":"img","e":5_000_000,"a":1}});
     fixture.put(&format!("st/job/{id}"), record);
 }
 
-/// A machine of a type that large jobs need is not kept running by small work beside
-/// them: once no large one has been on it for a while it gets no more
-/// of that, until a large one is pending again.
+/// Guards against small jobs that keep a machine of a large type running. Once no large job has run
+/// on the machine for a while, it gets no more small jobs until a large job is pending again.
 #[test]
-fn small_work_keeps_no_large_machine() {
+fn small_jobs_do_not_keep_a_large_machine() {
     let mut fixture = Fixture::new();
-    put_large_machine(&mut fixture, "m-1");
-    fixture.share("red", 60_000_000);
+    add_large_machine(&mut fixture, "m-1");
+    fixture.set_share("red", 60_000_000);
     let mut region = fixture.acquire(7, SECOND);
     region.on_heartbeat(&heartbeat("m-1", 1, 7, &[]), &fixture.context(2 * SECOND));
-    put_large_job(&mut fixture, "req-1");
+    add_large_job(&mut fixture, "req-1");
     region.on_job("req-1", &fixture.context(2 * SECOND));
-    fixture.job("req-2", "red", "s", "1", 1, 0);
+    fixture.add_job("req-2", "red", "s", "1", 1, 0);
     region.on_job("req-2", &fixture.context(2 * SECOND));
     let mut attempts = BTreeMap::new();
     let mut started = Vec::new();
@@ -76,70 +75,83 @@
             }
         }
         if second == 70 {
-            fixture.job("req-3", "red", "s", "1", 1, 0);
+            fixture.add_job("req-3", "red", "s", "1", 1, 0);
             region.on_job("req-3", &fixture.context(second * SECOND));
         }
         if second == 80 {
-            assert_eq!(started, ["req-1", "req-2"], "req-3 may run elsewhere");
-            put_large_job(&mut fixture, "req-4");
+            assert_eq!(
+                started,
+                ["req-1", "req-2"],
+                "req-3 is small, so it should not start on the large machine"
+            );
+            add_large_job(&mut fixture, "req-4");
             region.on_job("req-4", &fixture.context(second * SECOND));
         }
     }
-    assert!(started.contains(&"req-4".to_owned()), "{started:?}");
+    assert!(
+        started.contains(&"req-4".to_owned()),
+        "the large job req-4 should start, started: {started:?}"
+    );
 }
 
-/// A task assigned to a machine that has yet to report is started by another that
-/// reports before, if that holds no more tasks or the delay was long; once.
+/// A task assigned to a machine that has yet to report is started by another machine that reports
+/// earlier, if that machine holds no more tasks or the delay was long. The task starts only once.
 #[test]
 fn undispatched_tasks_are_reassigned() {
     for (busy, at, reassigned) in [
         (false, 3200, true),
-        // Holds more: only after an eighth of an interval.
+        // The other machine holds more tasks: reassigned only after an eighth of an interval.
         (true, 3200, false),
         (true, 3500, true),
-        // The heartbeat of its own machine is due.
+        // The heartbeat of the assigned machine is due.
         (false, 5300, false),
     ] {
         let mut fixture = Fixture::new();
-        fixture.machine("m-1");
-        fixture.machine("m-2");
-        fixture.share("red", 8_000_000);
+        fixture.add_machine("m-1");
+        fixture.add_machine("m-2");
+        fixture.set_share("red", 8_000_000);
         if busy {
-            fixture.job("req-1", "red", "x", "1", 1, 0);
+            fixture.add_job("req-1", "red", "x", "1", 1, 0);
         }
         let mut region = fixture.acquire(7, SECOND);
-        let had = [("req-1", 0, 7 << 24)];
-        let had = if busy { &had[..] } else { &[] };
-        region.on_heartbeat(&heartbeat("m-2", 1, 7, had), &fixture.context(2 * SECOND));
+        let running = [("req-1", 0, 7 << 24)];
+        let running = if busy { &running[..] } else { &[] };
+        region.on_heartbeat(
+            &heartbeat("m-2", 1, 7, running),
+            &fixture.context(2 * SECOND),
+        );
         region.on_heartbeat(&heartbeat("m-1", 1, 7, &[]), &fixture.context(2 * SECOND));
-        fixture.job("req-2", "red", "x", "1", 1, 0);
+        fixture.add_job("req-2", "red", "x", "1", 1, 0);
         region.on_job("req-2", &fixture.context(3 * SECOND));
         region.place_pending(&fixture.context(3 * SECOND));
-        let first = region.on_heartbeat(
-            &heartbeat("m-2", 2, 7, had),
+        let other_outcome = region.on_heartbeat(
+            &heartbeat("m-2", 2, 7, running),
             &fixture.context(at * MILLISECOND),
         );
-        let then = region.on_heartbeat(
+        let assigned_outcome = region.on_heartbeat(
             &heartbeat("m-1", 2, 7, &[]),
             &fixture.context(at * MILLISECOND + 1),
         );
         assert_eq!(
-            (count_starts(&first), count_starts(&then)),
+            (
+                count_starts(&other_outcome),
+                count_starts(&assigned_outcome)
+            ),
             (reassigned.into(), (!reassigned).into()),
-            "{busy} {at}"
+            "starts on the other and the assigned machine, with busy={busy} at {at} ms"
         );
         assert!(region.undispatched.is_empty());
     }
 }
 
-/// A machine that carries out nothing gets no more work after two tries; what was
-/// assigned to it runs elsewhere, and it is used again once its incarnation lasts.
+/// A machine that executes no commands gets no more tasks after two attempts. The tasks assigned to
+/// it run on another machine, and the machine is used again once its incarnation lasts.
 #[test]
-fn an_unreachable_machine_gets_no_work() {
+fn an_unreachable_machine_gets_no_tasks() {
     let mut cluster = TestCluster::new(2);
     cluster.submit("req-1", "a", "red", 4, 2_000_000, SECOND);
     for second in 2..8 {
-        cluster.play_second(second * SECOND, Some("m-0"));
+        cluster.run_second(second * SECOND, Some("m-0"));
     }
     assert_eq!(
         cluster.region.inventory.machine("m-0").unwrap().index_entry,
@@ -153,11 +165,15 @@
         .tasks
         .is_empty());
     for second in 8..16 {
-        cluster.play_second(second * SECOND, Some("m-0"));
+        cluster.run_second(second * SECOND, Some("m-0"));
     }
-    assert_eq!(cluster.began.len(), 4, "all run on the other");
+    assert_eq!(
+        cluster.first_starts.len(),
+        4,
+        "all tasks should run on the other machine"
+    );
     for second in 16..40 {
-        cluster.play_second(second * SECOND, None);
+        cluster.run_second(second * SECOND, None);
     }
     assert!(matches!(
         cluster.region.inventory.machine("m-0").unwrap().index_entry,
--- a/src/region/tests/scheduling_order.rs
+++ b/src/region/tests/scheduling_order.rs
@@ -1,4 +1,4 @@
-//! The order in which pending jobs are served, under lasting overload too.
+//! Tests of the order in which pending jobs are served, also under lasting overload.
 
 use salttiller_records::units::SECOND;
 use serde_json::json;
@@ -6,12 +6,13 @@
 use super::fixture::Fixture;
 use super::test_cluster::TestCluster;
 
-/// Guarantee, then priority, then the operators' precedence, then the objectives.
+/// Pending jobs are ordered by guarantee, then priority, then the operators' class precedence, then
+/// objectives.
 #[test]
 fn order_of_pending_jobs() {
     let mut fixture = Fixture::new();
     fixture.settings.operator.class_precedence = vec!["first".into(), "second".into()];
-    // Red is guaranteed 4 processors: its first job fits, the others don't.
+    // Team red is guaranteed 4 processors: its first job fits, the others don't.
     for (i, (id, class, priority, tasks)) in [
         ("req-1", "other", "1", 2),
         ("req-2", "second", "1", 2),
@@ -22,7 +23,7 @@
     .into_iter()
     .enumerate()
     {
-        fixture.job(id, "red", class, priority, tasks, i as u64);
+        fixture.add_job(id, "red", class, priority, tasks, i as u64);
     }
     let mut region = fixture.acquire(7, SECOND);
     let context = fixture.context(SECOND);
@@ -31,53 +32,62 @@
         .report(&context)
         .pending_jobs
         .into_iter()
-        .map(|w| w.job)
+        .map(|pending| pending.job)
         .collect();
     assert_eq!(order, ["req-1", "req-4", "req-3", "req-2", "req-5"]);
 }
 
-/// Small work that never leaves a whole set of machines by itself does not keep a large
-/// gang from its places: they are reserved for it in time.
+/// Guards against small jobs that starve a large gang because they never leave enough machines free
+/// at once: capacity is reserved for the gang in time.
 #[test]
 fn a_large_gang_is_not_starved() {
     let mut cluster = TestCluster::new(4);
-    let mut began = None;
+    let mut started_at = None;
     for second in 2..240u64 {
         let now = second * SECOND;
-        // More small work than can be started, of the same priority and team.
+        // More small jobs than can be started, of the same priority and team.
         cluster.overload(second, "red");
         if second == 10 {
             cluster.submit("req-1", "g", "red", 4, 4_000_000, now);
         }
-        cluster.play_second(now, None);
-        if cluster.began.keys().filter(|(j, _)| j == "req-1").count() == 4 {
-            began = Some(second);
+        cluster.run_second(now, None);
+        let started = cluster
+            .first_starts
+            .keys()
+            .filter(|(job, _)| job == "req-1")
+            .count();
+        if started == 4 {
+            started_at = Some(second);
             break;
         }
     }
-    let began = began.expect("never began");
-    assert!(began < 10 + 120, "began after {} s", began - 10);
+    let started_at = started_at.expect("the gang never started");
+    assert!(
+        started_at < 10 + 120,
+        "the gang should start within 120 s, started after {} s",
+        started_at - 10
+    );
 }
 
-/// Under more small work than there is capacity for, whatever comes later or is shorter
-/// doesn't pass a job over for ever: not a class's largest, not a class whose objectives
-/// are missed, not a team beyond its guarantee. Each begins within four minutes.
+/// Guards against starvation under more small jobs than there is capacity for. Later or shorter
+/// jobs must not overtake forever the largest job of a class, a class whose objectives are missed,
+/// or a team beyond its guarantee. Each of these starts within four minutes.
 #[test]
-fn nothing_is_passed_over_for_ever() {
-    let past = crate::settings::Objective {
+fn no_job_is_starved_under_overload() {
+    let missed_objective = crate::settings::Objective {
         kind: "wait".into(),
         class: Some("late".into()),
         threshold: Some(SECOND),
         target: 0.9,
     };
-    for (what, class, team, tasks) in [
+    for (case, class, team, tasks) in [
         ("largest", "x", "red", 24),
         ("class", "late", "red", 1),
         ("team", "x", "blue", 24),
     ] {
         let mut cluster = TestCluster::new(4);
-        cluster.fixture.settings.objectives = vec![past.clone()];
-        let mut began = None;
+        cluster.fixture.settings.objectives = vec![missed_objective.clone()];
+        let mut started_at = None;
         for second in 2..300u64 {
             let now = second * SECOND;
             for i in 0..3 {
@@ -92,45 +102,59 @@
                     .region
                     .on_job("req-1", &cluster.fixture.context(now));
             }
-            cluster.play_second(now, None);
-            let n = cluster.began.keys().filter(|(j, _)| j == "req-1").count();
-            if n as u64 == tasks {
-                began = Some(second);
+            cluster.run_second(now, None);
+            let started = cluster
+                .first_starts
+                .keys()
+                .filter(|(job, _)| job == "req-1")
+                .count();
+            if started as u64 == tasks {
+                started_at = Some(second);
                 break;
             }
         }
-        let began = began.unwrap_or_else(|| panic!("{what}: never began"));
-        assert!(began <= 10 + 240, "{what}: began after {} s", began - 10);
+        let started_at =
+            started_at.unwrap_or_else(|| panic!("{case}: req-1 never started all its tasks"));
+        assert!(
+            started_at <= 10 + 240,
+            "{case}: req-1 should start within 240 s, started after {} s",
+            started_at - 10
+        );
     }
 }
 
-/// Work of low priority begins within four minutes, a task at a time, though work of higher
-/// priority never leaves a machine free; that work goes on being served.
+/// Guards against low-priority jobs that starve while jobs of higher priority never leave a machine
+/// free. A low-priority job starts within four minutes, one task at a time, and the jobs of higher
+/// priority are still served.
 #[test]
-fn low_priority_begins_under_lasting_overload() {
+fn low_priority_starts_under_lasting_overload() {
     let mut cluster = TestCluster::new(3);
     cluster.submit_with("req-1", "red", ("a", "0"), 4, 2_000_000, 2 * SECOND);
-    let mut began = None;
+    let mut started_at = None;
     for second in 3..300u64 {
         let now = second * SECOND;
         cluster.overload(second, "blue");
-        cluster.play_second(now, None);
-        if began.is_none() && cluster.starts.contains_key("req-1") {
-            began = Some(second);
+        cluster.run_second(now, None);
+        if started_at.is_none() && cluster.starts.contains_key("req-1") {
+            started_at = Some(second);
         }
     }
-    let began = began.expect("never began");
-    assert!((150..240).contains(&began), "began at {began} s");
+    let started_at = started_at.expect("the low-priority job never started");
+    assert!(
+        (150..240).contains(&started_at),
+        "the low-priority job should start between 150 s and 240 s, started at {started_at} s"
+    );
     assert!(
         cluster.starts["req-1"] <= 4,
-        "{} starts",
+        "expected at most 4 starts of the low-priority job, got {}",
         cluster.starts["req-1"]
     );
 }
 
-/// A flood of old one-task jobs of low priority doesn't go before other work as a whole.
+/// Guards against a flood of aged one-task jobs of low priority that all go first: only one task of
+/// them at a time is started before its regular rank.
 #[test]
-fn a_flood_of_old_jobs_goes_first_one_at_a_time() {
+fn aged_jobs_go_first_one_at_a_time() {
     let mut cluster = TestCluster::new(3);
     for n in 0..200 {
         let id = format!("req-{}", 10_000 + n);
@@ -139,13 +163,16 @@
     for second in 3..300u64 {
         let now = second * SECOND;
         cluster.overload(second, "blue");
-        cluster.play_second(now, None);
+        cluster.run_second(now, None);
         if second == 60 {
-            // What was free at the beginning is in use by then.
+            // The capacity that was free at the beginning is in use by then.
             cluster.starts.clear();
         }
     }
-    let low = cluster.starts.keys().filter(|id| id.len() == 9);
-    let low = low.count();
-    assert!((10..=30).contains(&low), "{low} of the flood began");
+    let started = cluster.starts.keys().filter(|id| id.len() == 9);
+    let started = started.count();
+    assert!(
+        (10..=30).contains(&started),
+        "expected 10 to 30 started jobs of the flood, got {started}"
+    );
 }
--- a/src/region/tests/test_cluster.rs
+++ b/src/region/tests/test_cluster.rs
@@ -1,4 +1,4 @@
-//! A region with machines that carry out their commands, for tests that play a while.
+//! A region with simulated machines that execute their commands, for tests over a longer time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -13,12 +13,12 @@
 use crate::state_store::Transaction;
 use crate::worker_protocol::{Command, CommandKind, ExitReason, ReportedState, ReportedTask};
 
-/// How long each task runs.
+/// Run time of each task.
 const RUN_TIME: Micros = 4 * SECOND;
-/// The fencing token of the region.
+/// Fencing token of the region.
 const TOKEN: u64 = 7;
 
-/// A task that runs on a machine.
+/// A task running on a machine.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct RunningTask {
     job: String,
@@ -27,43 +27,43 @@
 }
 
 impl RunningTask {
-    fn reported_as(&self, stage: ReportedState) -> ReportedTask {
+    fn reported_as(&self, state: ReportedState) -> ReportedTask {
         ReportedTask {
             job: Rc::from(self.job.as_str()),
             task: self.task,
             attempt: self.attempt,
-            state: stage,
+            state,
         }
     }
 }
 
-/// Machines that carry out their commands, and the region that they are in.
+/// A region and its machines, which execute their commands.
 pub(in crate::region) struct TestCluster {
     pub(super) fixture: Fixture,
     pub(in crate::region) region: Region,
-    /// The sequence number of all machines' last heartbeats.
+    /// Sequence number of the last heartbeat of every machine.
     sequence: u64,
-    /// By machine: what runs there, and until when.
+    /// Running tasks by machine, with the time at which each ends.
     running: BTreeMap<String, BTreeMap<RunningTask, Micros>>,
-    /// When each task was first started.
-    pub(in crate::region) began: BTreeMap<(String, u32), Micros>,
-    /// How often tasks of a job were started.
+    /// When each task (job, number) was first started.
+    pub(in crate::region) first_starts: BTreeMap<(String, u32), Micros>,
+    /// Number of task starts by job.
     pub(in crate::region) starts: BTreeMap<String, u32>,
-    /// Jobs whose tasks fail wherever they run.
+    /// Jobs whose tasks fail on every machine.
     pub(in crate::region) broken: BTreeSet<String>,
     /// Machines on which all tasks fail.
     pub(in crate::region) faulty: BTreeSet<String>,
 }
 
 impl TestCluster {
-    /// So many machines, `m-0` and on.
+    /// Creates a cluster with this number of machines, named from `m-0` on.
     pub(in crate::region) fn new(machines: usize) -> Self {
         let mut fixture = Fixture::new();
         let names: Vec<String> = (0..machines).map(|i| format!("m-{i}")).collect();
         for name in &names {
-            fixture.machine(name);
+            fixture.add_machine(name);
         }
-        // The limits are large enough: these tests are not about them.
+        // Raises the limits, so that they do not affect these tests.
         for team in &mut fixture.settings.teams {
             team.limit = team.limit.map(|limit| limit.times(100));
         }
@@ -76,14 +76,14 @@
                 .into_iter()
                 .map(|name| (name, BTreeMap::new()))
                 .collect(),
-            began: BTreeMap::new(),
+            first_starts: BTreeMap::new(),
             starts: BTreeMap::new(),
             broken: BTreeSet::new(),
             faulty: BTreeSet::new(),
         }
     }
 
-    /// Submits a job of the usual priority.
+    /// Submits a job of normal priority.
     pub(in crate::region) fn submit(
         &mut self,
         id: &str,
@@ -96,7 +96,7 @@
         self.submit_with(id, team, (kind, "1"), tasks, cpus, now);
     }
 
-    /// Submits a job of a kind and a priority.
+    /// Submits a job with an explicit kind and priority.
     pub(super) fn submit_with(
         &mut self,
         id: &str,
@@ -112,12 +112,12 @@
         self.region.on_job(id, &self.fixture.context(now));
     }
 
-    /// The region's pending jobs as reported to the other controllers.
+    /// Returns the region's pending jobs as reported to the other controllers.
     pub(in crate::region) fn pending_jobs(&self, now: Micros) -> Vec<PendingJob> {
         self.region.report(&self.fixture.context(now)).pending_jobs
     }
 
-    /// Submits more small work of a team than can be started in this second.
+    /// Submits more small jobs of a team than can be started in this second.
     pub(super) fn overload(&mut self, second: u64, team: &str) {
         for i in 0..3 {
             let id = format!("req-{}", second * 10 + i);
@@ -125,8 +125,8 @@
         }
     }
 
-    /// A machine reports these tasks (job, task, attempt) as failed. Returns how many commands
-    /// it gets.
+    /// Reports these tasks (job, task, attempt) of a machine as failed. Returns the number of
+    /// commands that the machine gets.
     pub(in crate::region) fn report_failures(
         &mut self,
         machine: &str,
@@ -151,15 +151,15 @@
         }
     }
 
-    /// Plays a second: tasks whose time is up end, each machine reports and carries out its
-    /// commands, and the region's commits succeed. Answers to `unreachable` are lost.
-    pub(in crate::region) fn play_second(&mut self, now: Micros, unreachable: Option<&str>) {
+    /// Runs one second: tasks past their run time end, each machine reports and executes its
+    /// commands, and the region's commits succeed. Answers to the machine `unreachable` are lost.
+    pub(in crate::region) fn run_second(&mut self, now: Micros, unreachable: Option<&str>) {
         self.sequence += 1;
         let machines: Vec<String> = self.running.keys().cloned().collect();
         for machine in machines {
             let commands = self.report(&machine, now);
             if unreachable != Some(machine.as_str()) {
-                self.carry_out(&machine, commands, now);
+                self.execute(&machine, commands, now);
             }
         }
         self.region.tick(&self.fixture.context(now));
@@ -172,21 +172,22 @@
         }
     }
 
-    /// A machine reports its tasks; those whose time is up have ended.
+    /// Sends a heartbeat of a machine, in which tasks past their run time have ended. Returns the
+    /// commands of the answer.
     fn report(&mut self, machine: &str, now: Micros) -> Vec<Command> {
         let mut report = heartbeat(machine, self.sequence, TOKEN, &[]);
         let tasks = self.running.get_mut(machine).unwrap();
-        for (task, ends) in tasks.iter() {
+        for (task, ends_at) in tasks.iter() {
             let fails = self.broken.contains(&task.job) || self.faulty.contains(machine);
             report
                 .tasks
-                .push(task.reported_as(match (*ends <= now, fails) {
+                .push(task.reported_as(match (*ends_at <= now, fails) {
                     (false, _) => ReportedState::Running,
                     (true, true) => ReportedState::Ended(ExitReason::Failed),
                     (true, false) => ReportedState::Ended(ExitReason::Done),
                 }));
         }
-        tasks.retain(|_, ends| *ends > now);
+        tasks.retain(|_, ends_at| *ends_at > now);
         let context = self.fixture.context(now);
         match self.region.on_heartbeat(&report, &context) {
             HeartbeatOutcome::Accepted(commands) => commands,
@@ -194,13 +195,13 @@
         }
     }
 
-    fn carry_out(&mut self, machine: &str, commands: Vec<Command>, now: Micros) {
+    fn execute(&mut self, machine: &str, commands: Vec<Command>, now: Micros) {
         let tasks = self.running.get_mut(machine).unwrap();
         for command in commands {
             if command.kind == CommandKind::Start {
                 let job = command.job.to_string();
-                let began = self.began.entry((job.clone(), command.task));
-                began.or_insert(now);
+                let first_start = self.first_starts.entry((job.clone(), command.task));
+                first_start.or_insert(now);
                 *self.starts.entry(job.clone()).or_default() += 1;
                 let task = RunningTask {
                     job,
