--- a/src/region/failure_attribution/tests.rs
+++ b/src/region/failure_attribution/tests.rs
@@ -6,7 +6,7 @@
 /// Simulates `span` seconds starting at second `from`. Returns the second that follows.
 fn run_for(cluster: &mut TestCluster, from: u64, span: u64) -> u64 {
     for s in from..from + span {
-        cluster.play_second(s * SECOND, None);
+        cluster.run_second(s * SECOND, None);
     }
     from + span
 }
@@ -117,7 +117,11 @@
     // Once its tasks succeed, all tasks of the job are started.
     cluster.broken.clear();
     run_for(&mut cluster, now, 900);
-    let started = cluster.began.keys().filter(|(j, _)| j == "req-1").count();
+    let started = cluster
+        .first_starts
+        .keys()
+        .filter(|(j, _)| j == "req-1")
+        .count();
     assert_eq!(started, 400);
 }
 
--- a/src/region/job.rs
+++ b/src/region/job.rs
@@ -119,7 +119,7 @@
     /// Whether the gang needs a new attempt over several regions to start: all its tasks in
     /// this region are pending, and the current attempt has been started before.
     pub(super) fn needs_new_attempt(&self) -> bool {
-        self.gang.is_attempt_used_up()
+        self.gang.is_attempt_already_started()
             && self.tasks.on_machines().is_empty()
             && self.tasks.are_all_pending()
     }
