--- a/src/controller/cluster_state.rs
+++ b/src/controller/cluster_state.rs
@@ -13,7 +13,7 @@
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::region::SchedulingContext;
 use crate::settings::Settings;
-use crate::state_store::{Authority, StateStore, FRESH_FOR};
+use crate::state_store::{Authority, StateStore, MAX_READ_AGE};
 
 /// Incarnation numbers are below this, so that JSON readers keep them exact.
 const INCARNATION_LIMIT: u64 = 1 << 53;
@@ -141,7 +141,7 @@
         if is_disabled(Safeguard::AuthorityDeadline) {
             return true;
         }
-        self.state_store.authority(self.now) != Authority::Ended
+        self.state_store.authority(self.now) != Authority::Expired
     }
 
     /// Whether tasks may be started. Beyond the short deadline only while the state service is
@@ -156,9 +156,9 @@
             return false;
         }
         match self.state_store.authority(self.now) {
-            Authority::Starting => true,
-            Authority::Answering => self.is_common_outage(),
-            Authority::Ended => false,
+            Authority::Full => true,
+            Authority::HeartbeatsOnly => self.is_common_outage(),
+            Authority::Expired => false,
         }
     }
 
@@ -169,7 +169,7 @@
 
     /// Whether all controllers lost the state service at the same time.
     fn is_common_outage(&self) -> bool {
-        let Some(since) = self.state_store.fresh_at().map(|at| at + FRESH_FOR) else {
+        let Some(since) = self.state_store.last_read_at().map(|at| at + MAX_READ_AGE) else {
             return false;
         };
         self.peers.all_lost_state_store_at(since, self.now)
@@ -177,8 +177,8 @@
 
     /// Whether the replica was up to date a moment ago.
     pub(super) fn is_fresh(&self) -> bool {
-        let fresh_at = self.state_store.fresh_at();
-        fresh_at.is_some_and(|at| self.now < at + FRESH_FOR)
+        let fresh_at = self.state_store.last_read_at();
+        fresh_at.is_some_and(|at| self.now < at + MAX_READ_AGE)
     }
 
     /// Whether users should send requests here. While the state service is out for everybody
--- a/src/controller/state_store_events.rs
+++ b/src/controller/state_store_events.rs
@@ -50,7 +50,7 @@
         let replica = &mut self.cluster.state_store.replica;
         replica.take_changed_machines();
         self.cluster.cancellations.retain_unrecorded(replica);
-        replica.take_respecified();
+        replica.take_changed_specs();
         let context = self.cluster.scheduling_context(self.net.wall());
         for region in self.ownership.regions_mut() {
             region.on_replica_reloaded(&context);
@@ -73,7 +73,7 @@
     fn on_changed(&mut self, keys: Vec<Key>) {
         let replica = &mut self.cluster.state_store.replica;
         let machines = replica.take_changed_machines();
-        let respecified_jobs = replica.take_respecified();
+        let respecified_jobs = replica.take_changed_specs();
         self.on_machines_changed(&machines);
         let context = self.cluster.scheduling_context(self.net.wall());
         for job in &respecified_jobs {
--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -94,7 +94,7 @@
     /// Machines without a record are assigned like any other and used, or returned when idle.
     fn on_list(&mut self, list: &[ListedMachine], context: &SchedulingContext<'_>) {
         // Records that can't be read may name them.
-        if !context.replica.unreadable.is_empty() {
+        if !context.replica.unreadable_machine_records.is_empty() {
             return;
         }
         let provisioning = self.provisioning_batches.machine_names();
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -73,7 +73,7 @@
         }
         // Guards against records of machines that can't be read: tasks on those have ended
         // for sure only when every lease that a former owner granted has expired.
-        if !context.replica.unreadable.is_empty()
+        if !context.replica.unreadable_machine_records.is_empty()
             && context.now
                 < self.reconciliation.acquired_at
                     + add_drift(context.settings.worker_lease)
--- a/src/simulation/invariants/starts.rs
+++ b/src/simulation/invariants/starts.rs
@@ -3,7 +3,7 @@
 use crate::simulation::workers::Worker;
 use crate::simulation::world::World;
 use crate::simulation::CANCEL_DEADLINE;
-use crate::state_store::FRESH_FOR;
+use crate::state_store::MAX_READ_AGE;
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
 use super::Rule;
@@ -63,7 +63,7 @@
         }
         // Without its peers a controller learns of the cancellation from its next read.
         if self.now < self.controllers[controller].partitions.peers_until {
-            return FRESH_FOR + COMMAND_LATENCY;
+            return MAX_READ_AGE + COMMAND_LATENCY;
         }
         COMMAND_LATENCY
     }
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -1,17 +1,17 @@
 //! Client of the consensus-backed key-value store ("state service"): the replica of the
-//! records, leases, commits and the read barrier, paced under the service's rates.
+//! records, leases, commits and the read barrier, all within the service's rate limits.
 //!
-//! The controller owns one [`StateStore`]. It calls [`StateStore::pump`] for the calls to
-//! make, hands their ends to [`StateStore::on_response`] and reads [`StateStore::replica`].
-//! Nothing here does I/O.
+//! The controller owns one [`StateStore`]. The controller calls [`StateStore::pump`] to get
+//! the calls to make, passes their results to [`StateStore::on_response`] and reads
+//! [`StateStore::replica`]. This module does no I/O.
 //!
-//! What makes it safe:
-//! - A commit whose answer is missing is *unknown*. It is sent again unchanged,
-//!   with the same conditions, until the answer is definite; a late copy then
-//!   finds its conditions broken and changes nothing.
-//! - `read_at` is the send time of the last completed read that asked for everything up to
-//!   "now", and `renewed_at` that of the last renewal: both are earlier than what they
-//!   prove.
+//! Two rules make the client safe:
+//! - A commit without a response has an *unknown* outcome. The client retries it unchanged,
+//!   with the same conditions, until the response is definite. A delayed duplicate then
+//!   fails its conditions and changes nothing.
+//! - `read_at` is the send time of the last completed read of all changes up to "now", and
+//!   `renewed_at` is the send time of the last successful lease renewal. Both times are
+//!   earlier than the moment for which the response holds.
 
 mod answer;
 mod authority;
@@ -31,7 +31,7 @@
 mod transaction;
 mod versioned;
 
-pub use authority::{Authority, FRESH_FOR};
+pub use authority::{Authority, MAX_READ_AGE};
 pub use calls::StoreCall;
 pub use commits::{CommitOutcome, CommitPriority};
 pub use lease::LeaseRole;
@@ -59,53 +59,53 @@
 
 /// Time to live of the leader's lease.
 const LEADER_LEASE_TTL: Micros = 4 * SECOND;
-/// Longest time between two pumps.
+/// Maximum time between two pumps.
 const MAX_PUMP_INTERVAL: Micros = SECOND;
-/// Least interval of long polls and of barriers, however high the rate of requests.
+/// Minimum interval between long polls, and between barriers, at any request rate.
 const MIN_READ_INTERVAL: Micros = 20 * MILLISECOND;
-/// Part of this controller's share of the request rate that all its calls may use: the rest
-/// is left for clocks that run apart.
+/// Fraction of this controller's share of the request rate that its calls may use. The rest
+/// allows for clock drift.
 const USABLE_SHARE: f64 = 0.95;
-/// Part of this controller's share of the request rate for long polls.
+/// Fraction of this controller's share of the request rate for long polls.
 const LONG_POLL_SHARE: f64 = 0.3;
-/// Part of this controller's share of the request rate for barriers.
+/// Fraction of this controller's share of the request rate for barriers.
 const BARRIER_SHARE: f64 = 0.2;
 
-/// What happened in the state store, for the other modules.
+/// An event of the state store that other modules handle.
 #[derive(Debug)]
 pub enum StateStoreEvent {
-    /// Records that changed.
+    /// Records changed; lists their keys.
     Changed(Vec<Key>),
-    /// The whole replica was read anew.
+    /// The replica was reloaded in full.
     Loaded,
-    /// A read barrier is complete: the replica shows all that was committed before it.
+    /// A read barrier completed: the replica contains every commit made before it was sent.
     BarrierCompleted {
-        /// When it was sent.
+        /// Send time of the barrier.
         sent_at: Micros,
     },
     /// A read barrier failed.
     BarrierFailed {
-        /// When it was sent.
+        /// Send time of the barrier.
         sent_at: Micros,
     },
     /// A commit ended.
     CommitEnded {
         /// The ticket that [`StateStore::commit`] returned.
         ticket: u64,
-        /// How it ended.
+        /// Outcome of the commit.
         outcome: CommitOutcome,
     },
-    /// The process's lease is gone, and all regions held under it.
+    /// The owner lease expired, and with it the ownership of all regions.
     OwnerLeaseLost,
-    /// The leader's lease is gone.
+    /// The leader lease expired.
     LeaderLeaseLost,
     /// The state service lost records.
     RecordsLost(Finding),
 }
 
-/// The client's state.
+/// Client of the state service.
 pub struct StateStore {
-    /// The copy of the records.
+    /// Local copy of the records.
     pub replica: Replica,
     loader: Loader,
     long_poll: LongPoll,
@@ -116,17 +116,17 @@
     leader_lease: Lease,
     commits: CommitQueue,
     calls: Calls,
-    /// The time of the last pump.
+    /// Time of the last pump.
     pumped_at: Micros,
 }
 
-/// The interval at which `rate` reads a second are made.
+/// Returns the interval between reads at `rate` reads per second.
 fn read_interval(rate: f64) -> Micros {
     ((SECOND as f64 / rate) as Micros).max(MIN_READ_INTERVAL)
 }
 
 impl StateStore {
-    /// A client that knows nothing yet.
+    /// Returns a client with an empty replica.
     pub fn new(settings: &Settings) -> Self {
         let request_rate = settings.store_request_rate / settings.region_count() as f64;
         StateStore {
@@ -144,13 +144,13 @@
         }
     }
 
-    /// Whether the replica has been read.
+    /// Whether the replica has been loaded.
     pub fn is_loaded(&self) -> bool {
         self.loader.is_done()
     }
 
-    /// Send time of the last complete read, if there was one.
-    pub fn fresh_at(&self) -> Option<Micros> {
+    /// Send time of the last completed read, if there was one.
+    pub fn last_read_at(&self) -> Option<Micros> {
         self.freshness.read_at()
     }
 
@@ -159,17 +159,17 @@
         self.freshness.is_failing()
     }
 
-    /// How far an owner may act.
+    /// Returns what an owner may do at `now`.
     pub fn authority(&self, now: Micros) -> Authority {
         self.freshness.authority(&self.owner_lease, now)
     }
 
-    /// Until when an owner may answer heartbeats.
+    /// Returns the time until which an owner may answer heartbeats.
     pub fn authority_until(&self) -> Micros {
         self.freshness.authority_until(&self.owner_lease)
     }
 
-    /// Until when a leader may act as one.
+    /// Returns the time until which the leader may act as leader.
     pub fn leader_until(&self) -> Micros {
         let lease = &self.leader_lease;
         lease
@@ -177,12 +177,12 @@
             .map_or(0, |renewed_at| lease.safe_until(renewed_at))
     }
 
-    /// Asks for a read that begins after now.
+    /// Requests a read barrier that is sent after this call.
     pub fn request_barrier(&mut self) {
         self.barrier.request();
     }
 
-    /// Sends what is due. Returns the calls to make and when to pump again.
+    /// Sends the calls that are due. Returns them and the latest time of the next pump.
     #[must_use]
     pub fn pump(
         &mut self,
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Applies the end of the call with the id `op`.
+    /// Handles the result of the call with the id `op`.
     pub fn on_response(
         &mut self,
         op: u64,
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Replaces the replica by what a full read brought.
+    /// Replaces the replica with the result of a full read.
     fn on_read_complete(&mut self, read: CompleteRead, events: &mut Vec<StateStoreEvent>) {
         let finding =
             self.history
@@ -279,7 +279,7 @@
         self.long_poll.answered(now);
         let watch = Watch {
             from,
-            verified: None,
+            expected: None,
         };
         if !self.on_changes(&watch, result, now, events) {
             self.history.verify_at_next_barrier();
@@ -313,18 +313,19 @@
         }
     }
 
-    /// The known history is gone: reads all records again, under new leases, and sends
-    /// nothing that was meant for the old one. Returns the replica of the old history.
+    /// Discards the known history after the state service lost it: reloads all records,
+    /// requests a new owner lease, releases the leader lease and refuses the queued commits,
+    /// which were meant for the old history. Returns the replica of the old history.
     #[must_use]
     pub fn forget_history(&mut self, events: &mut Vec<StateStoreEvent>) -> Replica {
-        // Late answers to these would mix the old history with the new one.
+        // Late responses to these calls would mix the old history with the new one.
         self.calls.abandon_all_but_commits();
         self.long_poll.reset(self.pumped_at);
         self.barrier.reset(self.pumped_at);
         self.loader.restart(0);
         self.freshness.forget_reads();
         self.history.forget();
-        self.owner_lease.request_anew();
+        self.owner_lease.request_new();
         self.leader_lease.release();
         self.commits.refuse_all(events);
         std::mem::take(&mut self.replica)
--- a/src/state_store/answer.rs
+++ b/src/state_store/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the state service, and why one can't be used.
+//! Decodes the responses of the state service and classifies their errors.
 
 use salttiller_protocol::http::Response;
 use salttiller_protocol::state_service;
@@ -6,23 +6,23 @@
 
 use crate::reactor::CallError;
 
-/// Why a call brought no answer that can be used.
+/// Error of a call that returned no usable response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum AnswerError {
-    /// There is no whole answer.
+    /// The call returned no complete response.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The state service refused or couldn't answer.
+    /// The state service responded with an error status.
     #[error("status {0}")]
     Status(u16),
-    /// The body isn't what the protocol says.
-    #[error("answer can't be read: {0}")]
+    /// The body doesn't match the protocol.
+    #[error("response can't be decoded: {0}")]
     Unreadable(#[from] rmp_serde::decode::Error),
 }
 
 impl AnswerError {
-    /// Logs the error. An answer that can't be read is a fault; the others are usual while
-    /// the state service is away.
+    /// Logs the error. An undecodable response is a fault; the other errors are expected
+    /// while the state service is unavailable.
     pub(super) fn log(&self, request: &str) {
         match self {
             AnswerError::Unreadable(_) => log::error!("{request}: {self}"),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Reads the body of an answer with status 200.
+/// Decodes the body of a response with status 200.
 pub(super) fn read_answer<T: for<'a> Deserialize<'a>>(
     result: Result<Response, CallError>,
 ) -> Result<T, AnswerError> {
@@ -42,7 +42,7 @@
     read_body(&response)
 }
 
-/// Reads the body of an answer, whatever its status.
+/// Decodes the body of a response with any status.
 pub(super) fn read_body<T: for<'a> Deserialize<'a>>(response: &Response) -> Result<T, AnswerError> {
     Ok(state_service::decode(&response.body)?)
 }
--- a/src/state_store/authority.rs
+++ b/src/state_store/authority.rs
@@ -1,34 +1,35 @@
-//! How current the copy of the records is, and how far an owner or leader may act by it.
+//! Tracks how current the replica is and what an owner may do with it.
 
 use salttiller_records::units::{Micros, SECOND};
 
 use super::lease::Lease;
 
-/// How old the last complete read may be for requests to be accepted and tasks to be started.
-pub const FRESH_FOR: Micros = 3 * SECOND;
+/// Maximum age of the last completed read for accepting requests and starting tasks.
+pub const MAX_READ_AGE: Micros = 3 * SECOND;
 
-/// How far an owner may act just now.
+/// What an owner may do at a given time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Authority {
-    /// Not at all: another may own the region, or jobs may have been cancelled unnoticed.
-    Ended,
-    /// It may answer heartbeats and so keep running tasks alive, but its copy is too old to
-    /// start any by: a job may have been cancelled since.
-    Answering,
-    /// It may start tasks, too.
-    Starting,
+    /// The owner may do nothing: another controller may own the region, or a cancellation
+    /// may have been missed.
+    Expired,
+    /// The owner may answer heartbeats, which keeps running tasks alive. The replica is too
+    /// old to start tasks: a job may have been cancelled since the last read.
+    HeartbeatsOnly,
+    /// The owner may answer heartbeats and start tasks.
+    Full,
 }
 
-/// How current the copy is: the complete reads and whether the last one failed.
+/// Send time of the last completed read, and whether the last read failed.
 #[derive(Debug, Default)]
 pub(super) struct Freshness {
-    /// Send time of the last complete read.
+    /// Send time of the last completed read.
     read_at: Option<Micros>,
     failing: bool,
 }
 
 impl Freshness {
-    /// Send time of the last complete read, if there was one.
+    /// Send time of the last completed read, if there was one.
     pub(super) fn read_at(&self) -> Option<Micros> {
         self.read_at
     }
@@ -38,41 +39,44 @@
         self.failing
     }
 
-    /// A read sent at `sent_at` is complete.
+    /// Records that the read sent at `sent_at` completed.
     pub(super) fn read_completed(&mut self, sent_at: Micros) {
         self.read_at = Some(self.read_at.unwrap_or(0).max(sent_at));
         self.failing = false;
     }
 
-    /// A read failed.
+    /// Records that a read failed.
     pub(super) fn read_failed(&mut self) {
         self.failing = true;
     }
 
-    /// Nothing that was read counts any more.
+    /// Discards the time of the last completed read.
     pub(super) fn forget_reads(&mut self) {
         self.read_at = None;
     }
 
-    /// How far an owner may act under its lease.
+    /// Returns what an owner may do under its lease at `now`.
     ///
-    /// There are two deadlines, since a lost cancellation costs differently: a task started
-    /// after it is noticed at once, one that runs on not before `cancel_s`. If answers to
-    /// heartbeats ended with the shorter one, each outage would end all tasks.
+    /// Starting tasks and answering heartbeats have separate deadlines, because a missed
+    /// cancellation has different consequences. A task that starts after the cancellation
+    /// violates it at once; a task that keeps running violates it only after `cancel_s`. If
+    /// heartbeat responses ended at the shorter deadline, every outage of the state service
+    /// would end all tasks.
     pub(super) fn authority(&self, lease: &Lease, now: Micros) -> Authority {
         if now >= self.authority_until(lease) {
-            Authority::Ended
+            Authority::Expired
         } else if self
             .read_at
-            .is_some_and(|read_at| now < read_at + FRESH_FOR)
+            .is_some_and(|read_at| now < read_at + MAX_READ_AGE)
         {
-            Authority::Starting
+            Authority::Full
         } else {
-            Authority::Answering
+            Authority::HeartbeatsOnly
         }
     }
 
-    /// Until when an owner may answer heartbeats under its lease; 0 if it may not.
+    /// Returns the time until which an owner may answer heartbeats under its lease, or 0 if
+    /// it may not.
     pub(super) fn authority_until(&self, lease: &Lease) -> Micros {
         match (lease.renewed_at(), self.read_at) {
             (Some(renewed_at), Some(read_at)) => lease.safe_until(renewed_at.min(read_at)),
--- a/src/state_store/barrier.rs
+++ b/src/state_store/barrier.rs
@@ -1,5 +1,5 @@
-//! The read barrier: a read of all changes up to "now", which proves that the copy was
-//! complete when it was sent.
+//! The read barrier: a read of all changes up to "now". A completed barrier proves that the
+//! replica contains every commit made before the barrier was sent.
 
 use salttiller_records::key::PREFIX;
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
@@ -8,15 +8,15 @@
 use super::changes::Watch;
 use super::read_pacing::ReadPacing;
 
-/// How long after a complete read the next is sent without being asked for: keeps authority
-/// and readiness up.
+/// Interval from a completed read to the next barrier if none is requested earlier. These
+/// barriers maintain the owner's authority and the readiness of the controller.
 const SYNC_INTERVAL: Micros = SECOND;
-/// Longest time a barrier may take.
+/// Timeout of a barrier.
 const BARRIER_TIMEOUT: Micros = SECOND;
-/// Time after a failed barrier until the next.
-const RETRY: Micros = 250 * MILLISECOND;
+/// Delay between a failed barrier and the next one.
+const RETRY_DELAY: Micros = 250 * MILLISECOND;
 
-/// The barrier: at most one is outstanding.
+/// State of the read barrier; at most one is outstanding.
 #[derive(Debug)]
 pub(super) struct ReadBarrier {
     pacing: ReadPacing,
@@ -24,7 +24,7 @@
 }
 
 impl ReadBarrier {
-    /// Barriers of which one is sent `interval` after another at the earliest.
+    /// Returns a barrier that is sent at most once per `interval`.
     pub(super) fn new(interval: Micros) -> Self {
         ReadBarrier {
             pacing: ReadPacing::new(interval),
@@ -32,13 +32,14 @@
         }
     }
 
-    /// Asks for a barrier that begins after now.
+    /// Requests a barrier that is sent after this call.
     pub(super) fn request(&mut self) {
         self.requested = true;
     }
 
-    /// Whether a barrier is to be sent now; `read_at` is the send time of the last complete
-    /// read. If not, and none is outstanding, `wake` is brought forward to when one is.
+    /// Whether to send a barrier now; `read_at` is the send time of the last completed read.
+    /// If no barrier is due or outstanding, moves `wake` forward to the time at which the
+    /// next one is due.
     #[must_use]
     pub(super) fn is_due(
         &self,
@@ -56,7 +57,7 @@
         } else {
             next_at.max(read_at.unwrap_or(0) + SYNC_INTERVAL)
         };
-        if now >= due_at && calls.allow_another() {
+        if now >= due_at && calls.allows_request() {
             return true;
         }
         wake.no_later_than(due_at.max(now + calls.time_until_allowed()));
@@ -76,18 +77,18 @@
         calls.get(operation, target, BARRIER_TIMEOUT);
     }
 
-    /// The outstanding barrier was answered.
+    /// Records the response to the outstanding barrier.
     pub(super) fn answered(&mut self) {
         self.pacing.ended();
     }
 
-    /// The outstanding barrier failed.
+    /// Records that the outstanding barrier failed, and schedules a retry.
     pub(super) fn failed(&mut self, now: Micros) {
         self.pacing.ended();
-        self.pacing.set_next_at(now + RETRY);
+        self.pacing.set_next_at(now + RETRY_DELAY);
     }
 
-    /// Ignores the outstanding barrier; the next may be sent at once.
+    /// Abandons the outstanding barrier; the next one may be sent at once.
     pub(super) fn reset(&mut self, now: Micros) {
         self.pacing.reset(now);
     }
--- a/src/state_store/calls.rs
+++ b/src/state_store/calls.rs
@@ -1,7 +1,6 @@
-//! Calls to the state service: their pace, their ids, and which are outstanding.
+//! Calls to the state service: rate limit, ids and the set of outstanding calls.
 //!
-//! Every part of the client sends through [`Calls`]; it knows nothing of what the answers
-//! mean.
+//! Every part of the client sends through [`Calls`], which doesn't interpret the responses.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +16,7 @@
 /// A call to the state service.
 #[derive(Debug)]
 pub struct StoreCall {
-    /// Id of the operation, to be handed back with the response.
+    /// Id of the operation, to be passed back with the response.
     pub op: u64,
     /// Request method.
     pub method: &'static str,
@@ -25,11 +24,11 @@
     pub target: String,
     /// Body.
     pub body: Vec<u8>,
-    /// Time it may take.
+    /// Timeout of the call.
     pub timeout: Micros,
 }
 
-/// What an outstanding call is for.
+/// Purpose of an outstanding call.
 pub(super) enum Operation {
     /// A page of the full read.
     Page,
@@ -37,15 +36,15 @@
     LongPoll { from: u64 },
     /// A read barrier.
     Barrier { sent_at: Micros, watch: Watch },
-    /// A lease is to be granted.
+    /// A request for a lease.
     AcquireLease(LeaseRole),
-    /// A lease is to be renewed.
+    /// A renewal of a lease.
     RenewLease(LeaseRole),
-    /// A transaction is to be committed.
+    /// A commit of a transaction.
     Commit(Box<PendingCommit>),
 }
 
-/// When the client must be pumped again at the latest.
+/// Latest time of the next pump.
 pub(super) struct WakeTime(Micros);
 
 impl WakeTime {
@@ -53,7 +52,7 @@
         WakeTime(at)
     }
 
-    /// Brings the time forward to `at` if it is later.
+    /// Moves the time forward to `at` if `at` is earlier.
     pub(super) fn no_later_than(&mut self, at: Micros) {
         self.0 = self.0.min(at);
     }
@@ -63,7 +62,7 @@
     }
 }
 
-/// Outstanding calls and those that wait to be handed to the network.
+/// Outstanding calls, and calls that have not been passed to the network yet.
 pub(super) struct Calls {
     outstanding: BTreeMap<u64, Operation>,
     next_id: u64,
@@ -72,7 +71,8 @@
 }
 
 impl Calls {
-    /// Calls of which at most `rate` a second are made where they can wait.
+    /// Returns an empty set of calls with a limit of `rate` calls per second. Callers that
+    /// can wait check [`Calls::allows_request`] before they send.
     pub(super) fn new(rate: f64) -> Self {
         Calls {
             outstanding: BTreeMap::new(),
@@ -86,23 +86,22 @@
         self.requests.refill(now);
     }
 
-    /// Whether the rate of requests allows another call.
-    pub(super) fn allow_another(&self) -> bool {
+    /// Whether the rate limit allows another call now.
+    pub(super) fn allows_request(&self) -> bool {
         self.requests.allows(1.0)
     }
 
-    /// Time until the rate of requests allows another call.
+    /// Time until the rate limit allows another call.
     pub(super) fn time_until_allowed(&self) -> Micros {
         self.requests.time_until_allowed(1.0)
     }
 
-    /// Sends a read. It counts against the rate of requests, but doesn't wait for it.
+    /// Sends a read at once and counts it against the rate limit.
     pub(super) fn get(&mut self, operation: Operation, target: String, timeout: Micros) {
         self.send(operation, "GET", target, Vec::new(), timeout);
     }
 
-    /// Sends a request with a body. It counts against the rate of requests, but doesn't
-    /// wait for it.
+    /// Sends a request with a body at once and counts it against the rate limit.
     pub(super) fn post(
         &mut self,
         operation: Operation,
@@ -134,19 +133,20 @@
         });
     }
 
-    /// The calls to hand to the network.
+    /// Takes the calls to pass to the network.
     #[must_use]
     pub(super) fn take_unsent(&mut self) -> Vec<StoreCall> {
         std::mem::take(&mut self.unsent)
     }
 
-    /// Ends a call. `None` if its answer isn't waited for any more.
+    /// Removes an outstanding call and returns its purpose. `None` if the call was
+    /// abandoned or has ended before.
     #[must_use]
     pub(super) fn complete(&mut self, op: u64) -> Option<Operation> {
         self.outstanding.remove(&op)
     }
 
-    /// Ignores the answers to all outstanding calls but commits.
+    /// Ignores the responses to all outstanding calls except commits.
     pub(super) fn abandon_all_but_commits(&mut self) {
         self.outstanding
             .retain(|_, operation| matches!(operation, Operation::Commit(_)));
--- a/src/state_store/changes.rs
+++ b/src/state_store/changes.rs
@@ -1,5 +1,4 @@
-//! Answers that bring changes, of long polls and of barriers alike, and their way into the
-//! replica.
+//! Applies the changes in the responses to long polls and barriers to the replica.
 
 use salttiller_protocol::http::Response;
 use salttiller_protocol::state_service::Changes;
@@ -10,31 +9,32 @@
 use super::{StateStore, StateStoreEvent};
 use crate::reactor::CallError;
 
-/// Status of an answer whose revision is too old to list the changes after it.
+/// Status of the response if the state service no longer has the changes after the requested
+/// revision.
 const STATUS_GONE: u16 = 410;
 
-/// What was asked for.
+/// A request for changes.
 #[derive(Debug)]
 pub(super) struct Watch {
-    /// Changes after this revision.
+    /// Revision after which changes are requested.
     pub from: u64,
-    /// The changes that the answer must show, if the history is to be verified.
-    pub verified: Option<RecentChanges>,
+    /// Changes that the response must contain, if this request verifies the history.
+    pub expected: Option<RecentChanges>,
 }
 
-/// Why an answer brought no changes.
+/// Error of a request for changes.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ChangesError {
-    /// More changed than is read at once.
-    #[error("too many changes at once")]
+    /// The response exceeds the size limit.
+    #[error("too many changes for one response")]
     TooMany,
-    /// The state service doesn't keep the changes that far back.
-    #[error("revision too old")]
+    /// The state service no longer has the changes after the requested revision.
+    #[error("changes after this revision are no longer available")]
     RevisionTooOld,
     /// The state service lost records.
     #[error("records lost: {0:?}")]
     RecordsLost(Finding),
-    /// There is no answer that can be used.
+    /// The call returned no usable response.
     #[error(transparent)]
     Answer(AnswerError),
 }
@@ -50,8 +50,8 @@
 }
 
 impl StateStore {
-    /// Applies the changes of an answer. Returns whether the replica is complete up to the
-    /// answer's revision.
+    /// Applies the changes in a response. Returns whether the replica is complete up to the
+    /// response's revision.
     #[must_use]
     pub(super) fn on_changes(
         &mut self,
@@ -100,14 +100,15 @@
         events: &mut Vec<StateStoreEvent>,
     ) {
         match error {
-            // Guards against a controller that was away while so much changed that the
-            // answer is never read: pages are bounded.
+            // Guards against a controller that was disconnected while so many records
+            // changed that every response exceeds the size limit. Pages of a full read are
+            // bounded.
             ChangesError::TooMany => {
-                log::info!("watch: {error}, reading all records again");
+                log::info!("watch: {error}; reloading all records");
                 self.loader.restart(now);
             }
             ChangesError::RevisionTooOld => {
-                log::info!("watch: {error}, reading all records again");
+                log::info!("watch: {error}; reloading all records");
                 if self.is_loaded() {
                     self.loader.restart(now);
                 }
--- a/src/state_store/commits.rs
+++ b/src/state_store/commits.rs
@@ -1,7 +1,7 @@
-//! Commits: queues by priority, the rate of changes, retries.
+//! Commits: priority queues, the write rate limit and retries.
 //!
-//! A commit whose answer is missing may have been carried out. It is sent again unchanged,
-//! with the same conditions, until the answer is definite.
+//! A commit without a response may have been executed. The queue retries it unchanged, with
+//! the same conditions, until the response is definite.
 
 mod pending;
 mod write_rate;
@@ -20,12 +20,12 @@
 pub use pending::{CommitOutcome, CommitPriority};
 use write_rate::WriteRate;
 
-/// Least time after a commit without a definite answer until it is sent again.
-const RETRY: Micros = 100 * MILLISECOND;
-/// A random time up to this is added, so that controllers don't all send at once.
-const RETRY_JITTER: Micros = 150 * MILLISECOND;
+/// Minimum delay before a commit without a definite response is retried.
+const RETRY_DELAY: Micros = 100 * MILLISECOND;
+/// Upper bound of the jitter added to a retry, so that controllers don't retry in step.
+const MAX_RETRY_JITTER: Micros = 150 * MILLISECOND;
 
-/// The commits that wait to be sent.
+/// Commits that have not been sent yet, by priority.
 #[derive(Default)]
 struct Queues {
     urgent: VecDeque<PendingCommit>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Commits that have not ended, and the rate of changes.
+/// Queued commits, the number of outstanding ones and the write rate limit.
 pub(super) struct CommitQueue {
     queues: Queues,
     next_ticket: u64,
@@ -57,7 +57,7 @@
 }
 
 impl CommitQueue {
-    /// An empty queue.
+    /// Returns an empty queue.
     pub(super) fn new(settings: &Settings) -> Self {
         CommitQueue {
             queues: Queues::default(),
@@ -72,7 +72,7 @@
         self.write_rate.refill(now);
     }
 
-    /// Sends what may be sent, and ends what is past its deadline.
+    /// Sends the commits that may be sent and ends those past their deadlines.
     pub(super) fn pump(
         &mut self,
         now: Micros,
@@ -102,7 +102,7 @@
         let reserved = commit.priority.reserved_capacity();
         now >= commit.not_before
             && self.in_flight < commit.priority.max_in_flight()
-            && calls.allow_another()
+            && calls.allows_request()
             && self.write_rate.allows(changes, reserved)
     }
 
@@ -118,7 +118,7 @@
         let rate_allows_in = self.write_rate.time_until_allowed(changes, reserved);
         let allowed_at = now + rate_allows_in.max(calls.time_until_allowed());
         let send_at = commit.not_before.max(allowed_at);
-        // Otherwise it waits for the end of an outstanding one.
+        // Otherwise the commit waits until an outstanding one ends.
         if send_at > now {
             wake.no_later_than(send_at);
         }
@@ -137,14 +137,14 @@
         calls.post(operation, "/commit".into(), &body, timeout);
     }
 
-    /// Counts a response; it lowers or raises the rate of changes.
-    fn on_response(&mut self, result: &Result<Response, CallError>, leads: bool) {
+    /// Counts a response and adapts the write rate to it.
+    fn on_response(&mut self, result: &Result<Response, CallError>, is_leader: bool) {
         self.in_flight -= 1;
-        self.write_rate.on_response(result, leads);
+        self.write_rate.on_response(result, is_leader);
     }
 
-    /// Sends a commit again. Those that were answered with 429 or 503 were not executed;
-    /// one without an answer may have been. Either way the same conditions go out again.
+    /// Queues a commit for a retry with the same conditions. A commit that was refused with
+    /// 429 or 503 was not executed; a commit without a response may have been.
     fn retry(
         &mut self,
         mut commit: PendingCommit,
@@ -152,11 +152,11 @@
         now: Micros,
     ) {
         commit.may_be_committed |= matches!(result, Err(CallError::NoAnswer | CallError::TooLarge));
-        commit.not_before = now + RETRY + fastrand::u64(0..RETRY_JITTER);
+        commit.not_before = now + RETRY_DELAY + fastrand::u64(0..MAX_RETRY_JITTER);
         self.queues.queue(commit.priority).push_front(commit);
     }
 
-    /// Ends all commits that wait to be sent as refused.
+    /// Ends all queued commits as refused.
     pub(super) fn refuse_all(&mut self, events: &mut Vec<StateStoreEvent>) {
         for priority in CommitPriority::ALL {
             for commit in std::mem::take(self.queues.queue(priority)) {
@@ -168,8 +168,8 @@
 }
 
 impl StateStore {
-    /// Queues a commit. Returns its ticket; its end comes as [`StateStoreEvent::CommitEnded`]
-    /// with the same ticket, at `deadline` at the latest if there is one.
+    /// Queues a commit and returns its ticket. [`StateStoreEvent::CommitEnded`] with the same
+    /// ticket reports the outcome, by `deadline` at the latest if there is one.
     pub fn commit(
         &mut self,
         transaction: Transaction,
@@ -192,12 +192,12 @@
         ticket
     }
 
-    /// Commits that wait to be sent.
+    /// Number of commits that have not been sent yet.
     pub fn backlog(&self) -> usize {
         self.commits.queues.len()
     }
 
-    /// Times that commits took since the last call, for the admission limit.
+    /// Takes the latencies of the commits since the last call, for the admission limit.
     pub fn take_commit_latencies(&mut self) -> Vec<Micros> {
         std::mem::take(&mut self.commits.latencies)
     }
@@ -209,8 +209,8 @@
         now: Micros,
         events: &mut Vec<StateStoreEvent>,
     ) {
-        let leads = self.lease_id(LeaseRole::Leader).is_some();
-        self.commits.on_response(&result, leads);
+        let is_leader = self.lease_id(LeaseRole::Leader).is_some();
+        self.commits.on_response(&result, is_leader);
         match commit.outcome(&result) {
             Some(CommitOutcome::Committed(revision)) => {
                 self.on_committed(commit, revision, now, events);
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Enters the changes of a commit into the replica.
+    /// Applies the changes of a commit to the replica.
     fn on_committed(
         &mut self,
         commit: PendingCommit,
--- a/src/state_store/commits/pending.rs
+++ b/src/state_store/commits/pending.rs
@@ -1,4 +1,4 @@
-//! A commit from its request to its end, and what responses say of it.
+//! A commit from its request to its outcome, and how responses determine the outcome.
 
 use salttiller_protocol::http::Response;
 use salttiller_protocol::state_service::{decode, Refused, Revision};
@@ -9,17 +9,17 @@
 use crate::state_store::transaction::Transaction;
 use crate::state_store::StateStoreEvent;
 
-/// Most commits outstanding at once, for those of the highest priority.
+/// Maximum number of outstanding commits; lower priorities have lower limits.
 const MAX_IN_FLIGHT: usize = 6;
 
-/// How soon a commit matters.
+/// Priority of a commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitPriority {
-    /// Users wait for it, or authority depends on it.
+    /// A user waits for the commit, or authority depends on it.
     Urgent,
-    /// Work waits for it.
+    /// Scheduling waits for the commit.
     Normal,
-    /// Nothing does.
+    /// Nothing waits for the commit.
     Background,
 }
 
@@ -30,7 +30,8 @@
         CommitPriority::Background,
     ];
 
-    /// Most commits outstanding, of all priorities, for one of this priority to be sent.
+    /// Number of outstanding commits, of all priorities, below which a commit of this priority
+    /// may be sent.
     pub(super) fn max_in_flight(self) -> usize {
         match self {
             CommitPriority::Urgent => MAX_IN_FLIGHT,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Part of the capacity for changes that is left for commits of higher priority.
+    /// Fraction of the write capacity that is reserved for commits of higher priority.
     pub(super) fn reserved_capacity(self) -> f64 {
         match self {
             CommitPriority::Urgent => 0.0,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Longest time a call may take.
+    /// Timeout of the call.
     pub(super) fn timeout(self) -> Micros {
         match self {
             CommitPriority::Urgent => 1200 * MILLISECOND,
@@ -57,46 +58,47 @@
     }
 }
 
-/// How a commit ended.
+/// Outcome of a commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// Carried out, with this revision.
+    /// The commit was executed at this revision.
     Committed(u64),
-    /// A condition didn't hold: surely not carried out by this sending, but an
-    /// earlier unanswered one may have been. The replica must reach the revision
-    /// before anything is concluded.
+    /// A condition failed at this revision. The last attempt was not executed, but an
+    /// earlier attempt without a response may have been. The replica must reach the
+    /// revision before the caller draws a conclusion.
     Conflict(u64),
-    /// Surely not carried out.
+    /// The commit was definitely not executed.
     Refused,
-    /// Its time ran out with no definite answer.
+    /// The deadline passed without a definite response.
     Unknown,
 }
 
 impl CommitOutcome {
-    /// Whether the transaction is surely carried out.
+    /// Whether the transaction was definitely executed.
     #[must_use]
     pub fn is_committed(&self) -> bool {
         matches!(self, CommitOutcome::Committed(_))
     }
 }
 
-/// A commit that has not ended.
+/// A commit without an outcome yet.
 pub(crate) struct PendingCommit {
     pub(super) ticket: u64,
     pub(super) transaction: Transaction,
     pub(super) priority: CommitPriority,
     pub(super) requested_at: Micros,
-    /// When it ends if it has no definite answer.
+    /// Time at which the commit ends without a definite response.
     pub(super) deadline: Option<Micros>,
+    /// Earliest time of the next attempt.
     pub(super) not_before: Micros,
-    /// When it was last sent.
+    /// Send time of the last attempt.
     pub(super) sent_at: Micros,
-    /// A sending of it is unanswered: it may yet be carried out.
+    /// Whether an attempt got no response and may still be executed.
     pub(super) may_be_committed: bool,
 }
 
 impl PendingCommit {
-    /// Its outcome if it is not sent again and the last sending was surely not carried out.
+    /// Outcome if the commit is not retried and the last attempt was definitely not executed.
     pub(super) fn outcome_if_dropped(&self) -> CommitOutcome {
         if self.may_be_committed {
             CommitOutcome::Unknown
@@ -105,7 +107,7 @@
         }
     }
 
-    /// What a response says of it; `None`: nothing definite.
+    /// Outcome according to a response, or `None` if the response isn't definite.
     pub(super) fn outcome(&self, result: &Result<Response, CallError>) -> Option<CommitOutcome> {
         let response = result.as_ref().ok()?;
         match response.status {
@@ -115,13 +117,14 @@
                 log_refusal(&self.transaction, &response.body);
                 Some(self.outcome_if_dropped())
             }
-            // Users get an error at once when the state service can't be reached.
+            // Commits with a deadline end at once, so that users get an error immediately
+            // when the state service is unavailable.
             503 if self.deadline.is_some() => Some(self.outcome_if_dropped()),
             _ => None,
         }
     }
 
-    /// The event of its end.
+    /// Returns the event that reports the outcome.
     pub(super) fn ended(&self, outcome: CommitOutcome) -> StateStoreEvent {
         StateStoreEvent::CommitEnded {
             ticket: self.ticket,
@@ -139,7 +142,7 @@
     }
 }
 
-/// The revision in an answer to a commit.
+/// Returns the revision in the response to a commit.
 fn revision_in(response: &Response) -> Option<u64> {
     match read_body::<Revision>(response) {
         Ok(answer) => Some(answer.revision),
@@ -150,8 +153,9 @@
     }
 }
 
-/// A lease that expired is part of losing a region, and logged there; anything else that is
-/// refused for good is a fault of this process. Neither is sent again.
+/// Logs a permanent refusal, which is not retried. An expired lease is expected when a region
+/// is lost, which is logged separately. Any other permanent refusal is a fault of this
+/// process.
 fn log_refusal(transaction: &Transaction, body: &[u8]) {
     let reason = decode::<Refused>(body).map(|refused| refused.error);
     let reason = reason.unwrap_or_default();
--- a/src/state_store/commits/tests.rs
+++ b/src/state_store/commits/tests.rs
@@ -1,30 +1,36 @@
-//! Tests of the rate of changes.
+//! Tests of the write rate limit.
 
 use super::write_rate::min_write_rate;
 use super::*;
 use crate::state_store::lease::LeaseStep;
 
-/// However often all controllers are refused, together they stay below the limit, and the
-/// leader keeps the greater part of it.
+/// Guards against minimum write rates that add up to more than the limit when all controllers
+/// are refused repeatedly. The leader keeps the largest share.
 #[test]
 fn minimum_rates_fit_under_the_limit() {
     for (limit, controllers) in [(18.0, 5.0), (25.0, 5.0), (50.0, 3.0), (10.0, 1.0)] {
         let leader = min_write_rate(limit, controllers, true);
         let other = min_write_rate(limit, controllers, false);
         let all = leader + other * (controllers - 1.0);
-        assert!(all < limit && all > limit * 0.9, "{limit}, {controllers}");
-        assert!(leader >= 2.0 * other, "{limit}, {controllers}");
+        assert!(
+            all < limit && all > limit * 0.9,
+            "limit {limit}, {controllers} controllers: total {all} isn't within 90 to 100 %"
+        );
+        assert!(
+            leader >= 2.0 * other,
+            "limit {limit}, {controllers} controllers: leader {leader}, others {other}"
+        );
     }
 }
 
-/// A refusal for the rate brings a controller down to its least share and no further; the
-/// leader's is the greater.
+/// Guards against repeated 429 responses that lower a controller's write rate below its
+/// minimum. The leader's minimum is higher than that of the others.
 #[test]
 fn refusals_lower_the_rate_to_its_minimum() {
     let settings = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
-    let rate_after = |leads: bool| {
+    let rate_after = |is_leader: bool| {
         let mut store = StateStore::new(&settings);
-        if leads {
+        if is_leader {
             store.leader_lease.request();
             assert_eq!(store.leader_lease.next_step(0), LeaseStep::Acquire);
             store.leader_lease.granted(1);
@@ -53,10 +59,10 @@
     let (leader, other) = (rate_after(true), rate_after(false));
     assert!(
         (leader - min_write_rate(50.0, 3.0, true)).abs() < 1e-6,
-        "{leader}"
+        "rate of the leader is {leader}, expected its minimum"
     );
     assert!(
         (other - min_write_rate(50.0, 3.0, false)).abs() < 1e-6,
-        "{other}"
+        "rate of another controller is {other}, expected its minimum"
     );
 }
--- a/src/state_store/commits/write_rate.rs
+++ b/src/state_store/commits/write_rate.rs
@@ -1,5 +1,5 @@
-//! The rate of changes that this controller sends: lowered when the state service refuses,
-//! raised again slowly.
+//! Adaptive limit on the changes per second that this controller sends: a 429 response lowers
+//! the limit, successful commits raise it slowly.
 
 use salttiller_protocol::http::Response;
 use salttiller_records::units::Micros;
@@ -8,34 +8,36 @@
 use crate::settings::Settings;
 use crate::state_store::rate_limiter::TokenBucket;
 
-/// Factor by which a refusal for the rate lowers the rate of changes.
+/// Factor by which a 429 response lowers the write rate.
 const RATE_DECREASE: f64 = 0.7;
-/// Changes a second by which each commit raises it again.
+/// Changes per second by which each successful commit raises the write rate.
 const RATE_INCREASE: f64 = 0.05;
-/// Part of the write rate that all controllers may use together: some is left for clocks
-/// that run apart and requests that are tried again.
+/// Fraction of the service's write rate that all controllers may use together. The rest
+/// allows for clock drift and retries.
 const USABLE_RATE: f64 = 0.95;
-/// Part of the write rate that one controller may use even if its even share is less.
+/// Fraction of the service's write rate that one controller may use even if its even share is
+/// smaller.
 const BURST_SHARE: f64 = 0.4;
-/// What the leader needs of the write rate, in shares of the others.
+/// Minimum write rate of the leader as a multiple of that of another controller.
 const LEADER_SHARES: f64 = 2.5;
 
-/// The rate of changes, and its bounds.
+/// The write rate limit and its bounds.
 pub(super) struct WriteRate {
-    /// Changes that may be sent.
+    /// Token bucket with one token per change.
     changes: TokenBucket,
     max_rate: f64,
-    /// The lowest rate of changes that the state service allows all controllers together.
+    /// Lowest write rate that the state service allows all controllers together.
     min_total_rate: f64,
-    /// How many controllers share it.
+    /// Number of controllers that share the write rate.
     controllers: f64,
 }
 
 impl WriteRate {
     pub(super) fn new(settings: &Settings) -> Self {
         let controllers = settings.region_count() as f64;
-        // More than an even share each, since not all have much to write at once;
-        // when that is too much together, each comes down to its even share.
+        // Each controller may exceed its even share, because controllers rarely all write
+        // much at the same time. If their total is too high, 429 responses lower each
+        // controller towards its even share.
         let share = (USABLE_RATE / controllers).max(BURST_SHARE);
         let max_rate = settings.store_write_rate * share;
         WriteRate {
@@ -50,12 +52,12 @@
         self.changes.refill(now);
     }
 
-    /// Whether `changes` may be sent if the part `reserved` of the capacity is left.
+    /// Whether `changes` may be sent while the fraction `reserved` of the capacity is kept.
     pub(super) fn allows(&self, changes: usize, reserved: f64) -> bool {
         self.changes.allows(self.needed_level(changes, reserved))
     }
 
-    /// Time until [`WriteRate::allows`] them.
+    /// Time until [`WriteRate::allows`] the changes.
     pub(super) fn time_until_allowed(&self, changes: usize, reserved: f64) -> Micros {
         self.changes
             .time_until_allowed(self.needed_level(changes, reserved))
@@ -65,18 +67,18 @@
         changes as f64 + self.changes.capacity() * reserved
     }
 
-    /// Counts changes that are sent.
+    /// Takes the tokens of `changes` that are sent.
     pub(super) fn take(&mut self, changes: usize) {
         self.changes.take(changes as f64);
     }
 
-    /// Adapts the rate to a response; `leads`: whether this controller is the leader.
-    pub(super) fn on_response(&mut self, result: &Result<Response, CallError>, leads: bool) {
+    /// Adapts the rate to a response. `is_leader` is whether this controller is the leader.
+    pub(super) fn on_response(&mut self, result: &Result<Response, CallError>, is_leader: bool) {
         let rate = self.changes.rate();
         match result.as_ref().map(|response| response.status) {
             Ok(429) => {
-                let least = min_write_rate(self.min_total_rate, self.controllers, leads);
-                self.changes.set_rate((rate * RATE_DECREASE).max(least));
+                let min_rate = min_write_rate(self.min_total_rate, self.controllers, is_leader);
+                self.changes.set_rate((rate * RATE_DECREASE).max(min_rate));
             }
             Ok(200) => {
                 let raised = rate + RATE_INCREASE;
@@ -86,20 +88,20 @@
         }
     }
 
-    /// Changes a second.
+    /// Changes per second.
     #[cfg(test)]
     pub(super) fn rate(&self) -> f64 {
         self.changes.rate()
     }
 }
 
-/// The rate of changes below which a controller doesn't go, however often it is refused.
-/// The leader binds every job and records every machine in addition to what its own region
-/// needs. With an even share its changes waited for up to 20 s under a lowered limit, and
-/// every step of a pipeline with them, while the others recorded progress.
-pub(super) fn min_write_rate(total: f64, controllers: f64, leads: bool) -> f64 {
+/// Returns the minimum write rate of a controller, which repeated refusals don't lower.
+/// The leader binds every job and records every machine in addition to the writes of its own
+/// region. With an even share under a lowered limit, its changes, and with them every step of
+/// a pipeline, waited for up to 20 s while the other controllers recorded progress.
+pub(super) fn min_write_rate(total: f64, controllers: f64, is_leader: bool) -> f64 {
     let share = total * USABLE_RATE / (controllers - 1.0 + LEADER_SHARES);
-    if leads {
+    if is_leader {
         share * LEADER_SHARES
     } else {
         share
--- a/src/state_store/history.rs
+++ b/src/state_store/history.rs
@@ -1,5 +1,5 @@
-//! Whether the state service still has the history that this controller knows. Only active
-//! with the operators' setting `detect_lost_records`.
+//! Verifies that the state service still has the history of changes that this controller has
+//! seen. Verification is active only with the operator setting `detect_lost_records`.
 
 use salttiller_protocol::state_service::{encode, Changes, Event};
 use salttiller_records::history::Fingerprint;
@@ -11,23 +11,25 @@
 use super::replica::Replica;
 use crate::fault_injection::{is_disabled, Safeguard};
 
-/// How often the history is verified without an interruption.
+/// Interval at which the history is verified while no read fails.
 const VERIFY_INTERVAL: Micros = 30 * SECOND;
 
-/// The last changes that are known, and when they are compared with those of the state
-/// service.
+/// The last known changes, and the time at which they are next compared with those of the
+/// state service.
 #[derive(Debug)]
 pub(super) struct History {
-    /// The last changes, if lost records are looked for.
+    /// The last known changes, if detection of lost records is enabled.
     recent: Option<RecentChanges>,
-    /// There was an interruption: the next barrier verifies the history.
+    /// Whether the next barrier verifies the history because a read failed or a lease
+    /// expired.
     verify_next: bool,
-    /// When the next barrier does so without one.
+    /// Time from which a barrier verifies the history in any case.
     verify_at: Micros,
 }
 
 impl History {
-    /// A history without changes; `detect_lost_records`: whether it is verified at all.
+    /// Returns a history without changes. `detect_lost_records` is whether the history is
+    /// verified at all.
     pub(super) fn new(detect_lost_records: bool) -> Self {
         History {
             recent: detect_lost_records.then(RecentChanges::default),
@@ -36,24 +38,25 @@
         }
     }
 
-    /// Has the next barrier verify the history.
+    /// Makes the next barrier verify the history.
     pub(super) fn verify_at_next_barrier(&mut self) {
         self.verify_next = true;
     }
 
-    /// What a barrier asks for: the changes after `revision`, or from the last known changes
-    /// on if the history is to be verified.
+    /// Returns what a barrier requests: the changes after `revision`, or those starting with
+    /// the last known changes if the barrier verifies the history.
     #[must_use]
     pub(super) fn next_watch(&mut self, revision: u64, now: Micros) -> Watch {
         let verify = std::mem::take(&mut self.verify_next) || now >= self.verify_at;
-        let verified = self.recent.as_ref().filter(|_| verify).cloned();
-        let from = verified
+        let expected = self.recent.as_ref().filter(|_| verify).cloned();
+        let from = expected
             .as_ref()
             .map_or(revision, RecentChanges::compare_after);
-        Watch { from, verified }
+        Watch { from, expected }
     }
 
-    /// What an answer shows against the known history. If nothing, its changes are added.
+    /// Compares a response with the known history. Returns the finding if they differ;
+    /// otherwise adds the response's changes to the history.
     #[must_use]
     pub(super) fn check(
         &mut self,
@@ -65,28 +68,29 @@
         if is_disabled(Safeguard::KnownHistory) {
             return None;
         }
-        // The revision asked from was shown by the state service itself, so a late answer
-        // can't be below it.
-        let verified = watch.verified.as_ref();
-        let seen = verified.map_or(watch.from, RecentChanges::reached);
+        // The state service itself reported the revision that was requested from, so even a
+        // late response can't have a lower revision.
+        let expected = watch.expected.as_ref();
+        let seen = expected.map_or(watch.from, RecentChanges::reached);
         if answer.revision < seen {
             let now = answer.revision;
             return Some(Finding::RevisionWentBack { seen, now });
         }
-        let shown: Vec<Fingerprint> = answer.events.iter().filter_map(fingerprint).collect();
-        if let Some(known) = verified {
-            if !known.agrees_with(&shown) {
+        let fingerprints: Vec<Fingerprint> = answer.events.iter().filter_map(fingerprint).collect();
+        if let Some(known) = expected {
+            if !known.agrees_with(&fingerprints) {
                 return Some(Finding::HistoryReplaced { seen });
             }
             recent.confirm(seen);
             self.verify_at = now + VERIFY_INTERVAL;
         }
-        recent.append(shown, answer.revision);
-        deleted_record(answer)
+        recent.append(fingerprints, answer.revision);
+        find_forbidden_deletion(answer)
     }
 
-    /// What a full read shows against the copy that it replaces; `seen` is the revision that
-    /// was known before its first page was asked for.
+    /// Compares a full read with the replica that it replaces and returns the finding if
+    /// records were lost. `seen` is the revision that was known before the first page was
+    /// requested.
     #[must_use]
     pub(super) fn check_full_read(
         &self,
@@ -99,7 +103,8 @@
         if now < seen {
             return Some(Finding::RevisionWentBack { seen, now });
         }
-        // What changed since the first page may be on one that was read before.
+        // A record that was written after the first page may belong to a page that was
+        // already read, so its absence proves nothing.
         let mut known = known.jobs.iter().filter(|(_, job)| job.version <= now);
         let (lost, _) = known.find(|(id, _)| !read.jobs.contains_key(*id))?;
         Some(Finding::RecordDeleted {
@@ -107,21 +112,21 @@
         })
     }
 
-    /// All records were read anew: the history begins with their revision.
+    /// Restarts the history at the revision of a full read.
     pub(super) fn start_at(&mut self, revision: u64) {
         if self.recent.is_some() {
             self.recent = Some(RecentChanges::starting_at(revision));
         }
     }
 
-    /// Forgets the known changes.
+    /// Discards the known changes.
     pub(super) fn forget(&mut self) {
         self.recent = Some(RecentChanges::default());
     }
 }
 
-/// The deletion in an answer of a record that is never deleted, if there is one.
-fn deleted_record(answer: &Changes) -> Option<Finding> {
+/// Returns a finding if a response deletes a record of a kind that is never deleted.
+fn find_forbidden_deletion(answer: &Changes) -> Option<Finding> {
     let never_deleted = |key: &str| matches!(Key::parse(key), Some(Key::Job(_) | Key::Token));
     let mut deleted = answer.events.iter().filter_map(|e| e.delete.as_deref());
     let key = deleted.find(|key| never_deleted(key))?;
--- a/src/state_store/history/tests.rs
+++ b/src/state_store/history/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of verifying the history.
+//! Tests of the verification of the history.
 
 use serde_json::json;
 
@@ -6,13 +6,15 @@
 use crate::settings::Settings;
 use crate::state_store::StateStore;
 
-/// A full read that lacks a job is a finding, but not one whose record came after its first
-/// page; nor is an answer that was under way and is newer than that page.
+/// Guards against a full read that reports lost records wrongly. A job missing from the read
+/// is a finding, except if its record was written after the first page. A higher revision in a
+/// response that was in flight during the read is no finding either.
 #[test]
-fn a_full_read_is_compared_with_what_was_known_before_it() {
+fn a_full_read_is_compared_with_the_previous_replica() {
     let mut settings = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
     settings.operator.detect_lost_records = true;
-    // Job's version, revision known before the read, revision of its first page: a finding?
+    // Version of the job, revision known before the read, revision of the first page, whether
+    // a finding is expected.
     for (job, known, page, found) in [
         (5, 10, 10, true),
         (5, 10, 12, true),
@@ -24,7 +26,7 @@
         store.replica.complete_up_to(known);
         let key = Key::Job("req-1".into());
         store.replica.apply_own(&key, Some(json!({"st": "o"})), job);
-        // An answer that was under way reaches further than the first page.
+        // A response that was in flight has a higher revision than the first page.
         store.replica.complete_up_to(20);
         let mut fresh = Replica::default();
         fresh.complete_up_to(page);
@@ -32,13 +34,13 @@
         assert_eq!(
             finding.is_some(),
             found,
-            "{job}, {known}, {page}: {finding:?}"
+            "job version {job}, known revision {known}, first page {page}: {finding:?}"
         );
         store.history.recent = None;
         assert_eq!(
             store.history.check_full_read(&store.replica, known, &fresh),
             None,
-            "not asked for"
+            "expected no finding while detection is disabled"
         );
     }
 }
--- a/src/state_store/lease.rs
+++ b/src/state_store/lease.rs
@@ -1,58 +1,58 @@
-//! The state machine of a lease of the state service. Nothing here sends: the caller acts
-//! on what [`Lease::next_step`] returns and reports the answers.
+//! State machine of a lease of the state service. This module sends nothing: the caller
+//! executes the step that [`Lease::next_step`] returns and reports the response.
 //!
-//! | state     | event                     | next state                                 |
-//! |-----------|---------------------------|--------------------------------------------|
-//! | Released  | `request`                 | Requested, at once                         |
-//! | Requested | its time has come         | Acquiring                                  |
-//! | Acquiring | `granted`                 | Held                                       |
-//! | Acquiring | `acquisition_failed`      | Requested, after [`ACQUIRE_RETRY`]         |
-//! | Held      | its renewal is due        | Renewing                                   |
-//! | Renewing  | `renewed`                 | Held                                       |
-//! | Renewing  | `renewal_failed`          | Held, next try after [`RENEWAL_RETRY`]     |
-//! | Renewing  | `expired`                 | owner: Requested, at once; leader: Released |
-//! | any       | `release`                 | Released                                   |
-//! | any       | `request_anew`            | Requested, at once                         |
+//! | state     | event                | next state                                    |
+//! |-----------|----------------------|-----------------------------------------------|
+//! | Released  | `request`            | Requested, at once                            |
+//! | Requested | `not_before` reached | Acquiring                                     |
+//! | Acquiring | `granted`            | Held                                          |
+//! | Acquiring | `acquisition_failed` | Requested, after [`ACQUIRE_RETRY_DELAY`]      |
+//! | Held      | renewal due          | Renewing                                      |
+//! | Renewing  | `renewed`            | Held                                          |
+//! | Renewing  | `renewal_failed`     | Held, next try after [`RENEWAL_RETRY_DELAY`]  |
+//! | Renewing  | `expired`            | owner: Requested, at once; leader: Released   |
+//! | any       | `release`            | Released                                      |
+//! | any       | `request_new`        | Requested, at once                            |
 //!
-//! An answer that finds the lease in another state than the one that waits for it changes
-//! nothing.
+//! A response that arrives in any other state than the one that waits for it is ignored.
 
 use salttiller_records::units::{subtract_drift, Micros, MILLISECOND};
 
-/// Time after a failed acquisition until the next.
-const ACQUIRE_RETRY: Micros = 300 * MILLISECOND;
-/// Time after a failed renewal until the next.
-const RENEWAL_RETRY: Micros = 400 * MILLISECOND;
-/// A lease is renewed this many times in its time to live.
+/// Delay between a failed acquisition and the next attempt.
+const ACQUIRE_RETRY_DELAY: Micros = 300 * MILLISECOND;
+/// Delay between a failed renewal and the next attempt.
+const RENEWAL_RETRY_DELAY: Micros = 400 * MILLISECOND;
+/// Number of renewals within the time to live of a lease.
 const RENEWALS_PER_TTL: u64 = 5;
-/// Authority under a lease ends this long before the lease may end in the state service.
+/// Time by which authority under a lease ends before the lease can expire in the state
+/// service.
 pub(super) const SAFETY_MARGIN: Micros = 300 * MILLISECOND;
 
 /// One of the two leases a process may hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseRole {
-    /// For regions.
+    /// Lease for the ownership of regions.
     Owner,
-    /// For leading.
+    /// Lease for leadership.
     Leader,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseState {
-    /// Neither held nor asked for.
+    /// The lease is neither held nor requested.
     Released,
-    /// To be asked for.
+    /// The lease is to be acquired at `not_before`.
     Requested { not_before: Micros },
-    /// Asked for.
+    /// An acquisition is outstanding.
     Acquiring { sent_at: Micros },
-    /// Granted. `renewed_at` is the time at which the last successful call was sent, which
-    /// is earlier than the time from which the state service counts.
+    /// The lease is held. `renewed_at` is the send time of the last successful call, which is
+    /// earlier than the time from which the state service counts the time to live.
     Held {
         id: u64,
         renewed_at: Micros,
         renewal_due: Micros,
     },
-    /// Granted, and a renewal is outstanding.
+    /// The lease is held and a renewal is outstanding.
     Renewing {
         id: u64,
         renewed_at: Micros,
@@ -60,20 +60,20 @@
     },
 }
 
-/// What is to be done for a lease.
+/// Next step for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LeaseStep {
-    /// Nothing until an answer or a request comes.
+    /// Nothing to do until a response or a request arrives.
     Idle,
-    /// Nothing before this time.
+    /// Nothing to do before this time.
     WaitUntil(Micros),
-    /// Ask for the lease.
+    /// Acquire the lease.
     Acquire,
     /// Renew the lease with this id.
     Renew(u64),
 }
 
-/// A lease: what the process knows of it and when it must act.
+/// A lease as this process knows it.
 #[derive(Debug)]
 pub(super) struct Lease {
     role: LeaseRole,
@@ -82,7 +82,7 @@
 }
 
 impl Lease {
-    /// A lease that is neither held nor asked for.
+    /// Returns a lease that is neither held nor requested.
     pub(super) fn new(role: LeaseRole, time_to_live: Micros) -> Self {
         Lease {
             role,
@@ -95,7 +95,7 @@
         self.time_to_live
     }
 
-    /// Its id, if it is held.
+    /// Id of the lease, if it is held.
     pub(super) fn id(&self) -> Option<u64> {
         match self.state {
             LeaseState::Held { id, .. } | LeaseState::Renewing { id, .. } => Some(id),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Send time of the last successful acquisition or renewal, if it is held.
+    /// Send time of the last successful acquisition or renewal, if the lease is held.
     pub(super) fn renewed_at(&self) -> Option<Micros> {
         match self.state {
             LeaseState::Held { renewed_at, .. } | LeaseState::Renewing { renewed_at, .. } => {
@@ -113,30 +113,31 @@
         }
     }
 
-    /// Until when something may be relied on that was confirmed by a call sent at
-    /// `confirmed_at`: the state service may end the lease from then on.
+    /// Returns the time until which a confirmation is valid that came from a call sent at
+    /// `confirmed_at`. The state service may expire the lease after that time.
     pub(super) fn safe_until(&self, confirmed_at: Micros) -> Micros {
         (confirmed_at + subtract_drift(self.time_to_live)).saturating_sub(SAFETY_MARGIN)
     }
 
-    /// Asks for the lease unless it is held or asked for already.
+    /// Requests the lease unless it is held or requested already.
     pub(super) fn request(&mut self) {
         if self.state == LeaseState::Released {
-            self.request_anew();
+            self.request_new();
         }
     }
 
-    /// Asks for a new lease, whatever is known of the present one.
-    pub(super) fn request_anew(&mut self) {
+    /// Requests a new lease in any state, even if one is held.
+    pub(super) fn request_new(&mut self) {
         self.state = LeaseState::Requested { not_before: 0 };
     }
 
-    /// Lets the lease run out.
+    /// Stops renewals and lets the lease expire.
     pub(super) fn release(&mut self) {
         self.state = LeaseState::Released;
     }
 
-    /// What is to be done now; the state moves on to the call that the caller makes.
+    /// Returns the step that is due, and assumes that the caller makes the call that the step
+    /// names.
     #[must_use]
     pub(super) fn next_step(&mut self, now: Micros) -> LeaseStep {
         match self.state {
@@ -164,42 +165,42 @@
         }
     }
 
-    /// The state service granted the lease.
+    /// Records that the state service granted the lease.
     pub(super) fn granted(&mut self, id: u64) {
         if let LeaseState::Acquiring { sent_at } = self.state {
             self.state = self.held_since(id, sent_at);
         }
     }
 
-    /// The lease wasn't granted, or it isn't known whether it was.
+    /// Records that an acquisition failed or has an unknown outcome.
     pub(super) fn acquisition_failed(&mut self, now: Micros) {
         if let LeaseState::Acquiring { .. } = self.state {
             self.state = LeaseState::Requested {
-                not_before: now + ACQUIRE_RETRY,
+                not_before: now + ACQUIRE_RETRY_DELAY,
             };
         }
     }
 
-    /// The state service renewed the lease.
+    /// Records that the state service renewed the lease.
     pub(super) fn renewed(&mut self) {
         if let LeaseState::Renewing { id, sent_at, .. } = self.state {
             self.state = self.held_since(id, sent_at);
         }
     }
 
-    /// The lease wasn't renewed, or it isn't known whether it was.
+    /// Records that a renewal failed or has an unknown outcome.
     pub(super) fn renewal_failed(&mut self, now: Micros) {
         if let LeaseState::Renewing { id, renewed_at, .. } = self.state {
             self.state = LeaseState::Held {
                 id,
                 renewed_at,
-                renewal_due: now + RENEWAL_RETRY,
+                renewal_due: now + RENEWAL_RETRY_DELAY,
             };
         }
     }
 
-    /// The state service has no such lease any more. Returns the id of the lease that was
-    /// lost, if this process still took it for held.
+    /// Records that the lease no longer exists in the state service. Returns the id of the
+    /// lease if this process still considered it held.
     #[must_use]
     pub(super) fn expired(&mut self, now: Micros) -> Option<u64> {
         let LeaseState::Renewing { id, .. } = self.state else {
@@ -207,7 +208,7 @@
         };
         self.state = match self.role {
             LeaseRole::Owner => LeaseState::Requested { not_before: now },
-            // The leader asks for a new one when it stands for election again.
+            // The controller requests a new leader lease when it next stands for election.
             LeaseRole::Leader => LeaseState::Released,
         };
         Some(id)
--- a/src/state_store/lease/tests.rs
+++ b/src/state_store/lease/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the lease's state machine.
+//! Tests of the state machine of a lease.
 
 use super::*;
 
 const TTL: Micros = 10_000 * MILLISECOND;
 
-fn held(role: LeaseRole) -> Lease {
+fn held_lease(role: LeaseRole) -> Lease {
     let mut lease = Lease::new(role, TTL);
     lease.request();
     assert_eq!(lease.next_step(MILLISECOND), LeaseStep::Acquire);
@@ -12,10 +12,11 @@
     lease
 }
 
-/// A renewal is due after a fifth of the time to live and counts from when it was sent.
+/// Guards against authority that outlasts the lease: a renewal is due after a fifth of the time
+/// to live and extends the lease from its send time, not from its response.
 #[test]
 fn a_lease_is_renewed_from_the_send_time() {
-    let mut lease = held(LeaseRole::Owner);
+    let mut lease = held_lease(LeaseRole::Owner);
     assert_eq!(
         (lease.id(), lease.renewed_at()),
         (Some(7), Some(MILLISECOND))
@@ -29,7 +30,7 @@
     assert_eq!(lease.renewed_at(), Some(due));
 }
 
-/// Failures are retried, and prolong nothing.
+/// Guards against a failed call that ends the retries or extends the lease.
 #[test]
 fn failed_calls_are_retried() {
     let mut lease = Lease::new(LeaseRole::Owner, TTL);
@@ -37,7 +38,7 @@
     lease.request();
     assert_eq!(lease.next_step(0), LeaseStep::Acquire);
     lease.acquisition_failed(5);
-    let retry = 5 + ACQUIRE_RETRY;
+    let retry = 5 + ACQUIRE_RETRY_DELAY;
     assert_eq!(lease.next_step(retry - 1), LeaseStep::WaitUntil(retry));
     assert_eq!(lease.next_step(retry), LeaseStep::Acquire);
     lease.granted(7);
@@ -45,18 +46,19 @@
     assert_eq!(lease.next_step(due), LeaseStep::Renew(7));
     lease.renewal_failed(due + 5);
     assert_eq!(lease.renewed_at(), Some(retry));
-    let retry = due + 5 + RENEWAL_RETRY;
+    let retry = due + 5 + RENEWAL_RETRY_DELAY;
     assert_eq!(lease.next_step(due + 6), LeaseStep::WaitUntil(retry));
 }
 
-/// The owner asks for a new lease when its own expired, the leader doesn't.
+/// Guards against a wrong reaction to an expired lease: the owner requests a new one, the
+/// leader doesn't.
 #[test]
-fn an_expired_lease() {
+fn only_the_owner_requests_a_new_lease_after_expiry() {
     for (role, step) in [
         (LeaseRole::Owner, LeaseStep::Acquire),
         (LeaseRole::Leader, LeaseStep::Idle),
     ] {
-        let mut lease = held(role);
+        let mut lease = held_lease(role);
         assert_eq!(lease.next_step(TTL), LeaseStep::Renew(7));
         assert_eq!(lease.expired(TTL + 1), Some(7));
         assert_eq!(lease.id(), None, "{role:?}");
@@ -64,10 +66,11 @@
     }
 }
 
-/// An answer that the lease doesn't wait for any more changes nothing.
+/// Guards against late responses: a response that the lease no longer waits for changes
+/// nothing.
 #[test]
-fn late_answers_change_nothing() {
-    let mut lease = held(LeaseRole::Owner);
+fn late_responses_change_nothing() {
+    let mut lease = held_lease(LeaseRole::Owner);
     lease.release();
     lease.granted(8);
     lease.renewed();
--- a/src/state_store/lease_calls.rs
+++ b/src/state_store/lease_calls.rs
@@ -1,5 +1,5 @@
-//! Acquiring leases and keeping them renewed: the calls and their answers. The states are
-//! those of [`Lease`].
+//! Calls that acquire and renew leases, and the handling of their responses. [`Lease`] holds
+//! the state.
 
 use salttiller_protocol::http::Response;
 use salttiller_protocol::state_service::Granted;
@@ -12,9 +12,9 @@
 use super::{StateStore, StateStoreEvent};
 use crate::reactor::CallError;
 
-/// Longest time a call about a lease may take.
+/// Maximum timeout of an acquisition or renewal.
 const LEASE_CALL_TIMEOUT: Micros = 2 * SECOND;
-/// A renewal may take this part of the time to live, so that several tries fit into it.
+/// Number of renewal timeouts within the time to live, so that several attempts fit into it.
 const RENEWAL_TIMEOUTS_PER_TTL: u64 = 4;
 
 impl StateStore {
@@ -32,22 +32,22 @@
         }
     }
 
-    /// The lease's id, if it is held.
+    /// Id of the lease, if it is held.
     pub fn lease_id(&self, role: LeaseRole) -> Option<u64> {
         self.lease(role).id()
     }
 
-    /// Asks for a lease and keeps it renewed from then on.
+    /// Requests a lease and keeps it renewed from then on.
     pub fn request_lease(&mut self, role: LeaseRole) {
         self.lease_mut(role).request();
     }
 
-    /// Lets a lease run out.
+    /// Stops renewals of a lease and lets it expire.
     pub fn release_lease(&mut self, role: LeaseRole) {
         self.lease_mut(role).release();
     }
 
-    /// Makes the call that a lease needs now, if any.
+    /// Makes the call that is due for a lease, if any.
     pub(super) fn pump_lease(&mut self, role: LeaseRole, now: Micros, wake: &mut WakeTime) {
         let time_to_live = self.lease(role).time_to_live();
         match self.lease_mut(role).next_step(now) {
--- a/src/state_store/loader.rs
+++ b/src/state_store/loader.rs
@@ -1,5 +1,5 @@
-//! The full read of all records, page by page: at the start, and whenever the changes since
-//! the known revision can't be had.
+//! The paged full read of all records, at startup and whenever the changes since the known
+//! revision are not available.
 
 use salttiller_protocol::state_service::Page;
 use salttiller_records::key::PREFIX;
@@ -8,29 +8,30 @@
 use super::calls::{Calls, Operation, WakeTime};
 use super::replica::Replica;
 
-/// Records of a page.
+/// Number of records per page.
 const PAGE_SIZE: u32 = 500;
-/// Longest time a page may take.
+/// Timeout of a page.
 const PAGE_TIMEOUT: Micros = 4 * SECOND;
-/// Least time after a failed page until the read begins anew.
-const RETRY: Micros = 300 * MILLISECOND;
-/// A random time up to this is added, so that controllers don't all begin at once.
-const RETRY_JITTER: Micros = 200 * MILLISECOND;
+/// Minimum delay before the read restarts after a failed page.
+const RETRY_DELAY: Micros = 300 * MILLISECOND;
+/// Upper bound of the jitter added to the delay, so that controllers don't restart their reads
+/// in step.
+const MAX_RETRY_JITTER: Micros = 200 * MILLISECOND;
 
-/// A read of all pages that is complete.
+/// A completed full read.
 pub(super) struct CompleteRead {
-    /// The records as read.
+    /// Replica built from the pages.
     pub replica: Replica,
     /// Send time of the first page.
     pub sent_at: Micros,
-    /// The revision that was known before the first page was asked for.
+    /// Revision that was known before the first page was requested.
     pub known_revision: u64,
 }
 
-/// A read of which pages are missing.
+/// A full read in progress.
 struct PagedRead {
     replica: Replica,
-    /// Key after which the next page begins.
+    /// Last key read; the next page begins after it.
     last_key: Option<String>,
     /// Revision of the first page.
     first_revision: Option<u64>,
@@ -46,20 +47,20 @@
     Done,
 }
 
-/// The full read and how far it has come.
+/// State of the full read.
 pub(super) struct Loader {
     state: LoadState,
 }
 
 impl Loader {
-    /// A loader that reads all records at the first pump.
+    /// Returns a loader that starts a full read at the first pump.
     pub(super) fn new() -> Self {
         Loader {
             state: LoadState::Needed { not_before: 0 },
         }
     }
 
-    /// A loader that is done.
+    /// Returns a loader that has finished.
     #[cfg(test)]
     pub(super) fn done() -> Self {
         Loader {
@@ -71,12 +72,12 @@
         matches!(self.state, LoadState::Done)
     }
 
-    /// Reads all records again, not before this time.
+    /// Restarts the full read, at `not_before` at the earliest.
     pub(super) fn restart(&mut self, not_before: Micros) {
         self.state = LoadState::Needed { not_before };
     }
 
-    /// Asks for the next page if none is outstanding.
+    /// Requests the next page if none is outstanding.
     pub(super) fn pump(
         &mut self,
         known_revision: u64,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Adds a page to the read; `None` if the page couldn't be had. Returns the read when
+    /// Adds a page to the read; `None` means that the request failed. Returns the read when
     /// it is complete.
     #[must_use]
     pub(super) fn on_page(&mut self, page: Option<Page>, now: Micros) -> Option<CompleteRead> {
@@ -104,7 +105,7 @@
             return None;
         };
         let Some(page) = page else {
-            self.restart(now + RETRY + fastrand::u64(0..RETRY_JITTER));
+            self.restart(now + RETRY_DELAY + fastrand::u64(0..MAX_RETRY_JITTER));
             return None;
         };
         if read.add(page) {
@@ -143,7 +144,7 @@
         calls.get(Operation::Page, target, PAGE_TIMEOUT);
     }
 
-    /// Adds a page. Returns whether more are to be read.
+    /// Adds a page. Returns whether there are more pages.
     fn add(&mut self, page: Page) -> bool {
         self.page_outstanding = false;
         self.first_revision.get_or_insert(page.revision);
@@ -160,8 +161,8 @@
     }
 
     fn complete(mut self) -> CompleteRead {
-        // Changes made while the pages were read come again by watching from the first
-        // page's revision; the versions tell which are known.
+        // Watches from the first page's revision report the changes made during the read
+        // again. The versions show which of them the replica already contains.
         self.replica
             .complete_up_to(self.first_revision.unwrap_or(0));
         CompleteRead {
--- a/src/state_store/long_poll.rs
+++ b/src/state_store/long_poll.rs
@@ -1,4 +1,4 @@
-//! The long poll that brings the changes of the records as they are made.
+//! The long poll that delivers changes of records as they are committed.
 
 use salttiller_records::key::PREFIX;
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
@@ -6,28 +6,28 @@
 use super::calls::{Calls, Operation, WakeTime};
 use super::read_pacing::ReadPacing;
 
-/// How long the state service holds a poll back while nothing changes.
+/// Time for which the state service holds a poll open while nothing changes.
 const POLL_WAIT: Micros = 5 * SECOND;
-/// A poll may take this much longer than [`POLL_WAIT`].
+/// Time that a poll may take beyond [`POLL_WAIT`].
 const POLL_GRACE: Micros = 3 * SECOND;
-/// Time after a failed poll until the next.
-const RETRY: Micros = 500 * MILLISECOND;
+/// Delay between a failed poll and the next one.
+const RETRY_DELAY: Micros = 500 * MILLISECOND;
 
-/// The long poll: at most one is outstanding.
+/// State of the long poll; at most one is outstanding.
 #[derive(Debug)]
 pub(super) struct LongPoll {
     pacing: ReadPacing,
 }
 
 impl LongPoll {
-    /// Polls of which one begins `interval` after the end of another at the earliest.
+    /// Returns a long poll that starts at least `interval` after the end of the previous one.
     pub(super) fn new(interval: Micros) -> Self {
         LongPoll {
             pacing: ReadPacing::new(interval),
         }
     }
 
-    /// Asks for the changes after `revision` if no poll is outstanding.
+    /// Requests the changes after `revision` if no poll is outstanding.
     pub(super) fn pump(
         &mut self,
         revision: u64,
@@ -39,7 +39,7 @@
             return;
         }
         let next_at = self.pacing.next_at();
-        if now < next_at || !calls.allow_another() {
+        if now < next_at || !calls.allows_request() {
             wake.no_later_than(next_at.max(now + calls.time_until_allowed()));
             return;
         }
@@ -52,19 +52,19 @@
         );
     }
 
-    /// The outstanding poll was answered.
+    /// Records the response to the outstanding poll.
     pub(super) fn answered(&mut self, now: Micros) {
         self.pacing.ended();
         self.pacing.start_interval(now);
     }
 
-    /// The outstanding poll brought no changes that could be used.
+    /// Records that the outstanding poll failed, and schedules a retry.
     pub(super) fn failed(&mut self, now: Micros) {
         self.pacing.ended();
-        self.pacing.set_next_at(now + RETRY);
+        self.pacing.set_next_at(now + RETRY_DELAY);
     }
 
-    /// Ignores the outstanding poll; the next may be sent at once.
+    /// Abandons the outstanding poll; the next one may be sent at once.
     pub(super) fn reset(&mut self, now: Micros) {
         self.pacing.reset(now);
     }
--- a/src/state_store/pipelines.rs
+++ b/src/state_store/pipelines.rs
@@ -1,9 +1,9 @@
-//! Dependencies between jobs: which jobs wait, which are cancelled along with one that
-//! they need, and what a job inherits from those that need it (`propagation`).
+//! Dependencies between jobs: which jobs wait, which are cancelled along with a dependency,
+//! and what a job inherits from its dependents (`propagation`).
 //!
-//! All of it is derived from the jobs' records, so every controller finds the same without
-//! a transaction of its own, and a new leader finds what the old one had. The replica owns
-//! the index and passes in the records with every call, as [`JobRecords`].
+//! The index is derived from the jobs' records alone. Every controller therefore derives the
+//! same state without a transaction, and a new leader derives what the previous one had. The
+//! replica owns the index and passes in the records with every call, as [`JobRecords`].
 
 mod pipeline_end;
 mod propagation;
@@ -20,63 +20,64 @@
 pub use pipeline_end::PipelineEnd;
 pub use propagation::MAX_STEPS_PER_CHANGE;
 
-/// The jobs' records, as the index needs them.
+/// Access to the jobs' records.
 pub trait JobRecords {
-    /// The record of a job.
+    /// Returns the record of a job.
     fn record(&self, id: &str) -> Option<&JobRecord>;
 
-    /// Replaces the effective spec of a job; nothing happens if there is no record of it.
+    /// Replaces the effective spec of a job. Does nothing if the job has no record.
     fn set_spec(&mut self, id: &str, spec: Rc<JobSpec>);
 
-    /// The effective spec of a job that is not over.
+    /// Returns the effective spec of a job that has not ended.
     fn open_spec(&self, id: &str) -> Option<&Rc<JobSpec>> {
         self.record(id)?.open_spec()
     }
 }
 
-/// State of a job with regard to the jobs that it needs.
+/// State of a job with regard to its dependencies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// All are done, or it needs none.
+    /// All dependencies are done, or the job has none.
     Ready,
-    /// Some are not over, or on no record.
+    /// A dependency has not ended, or has no record.
     Waiting,
-    /// One is cancelled, by its user or along with another: so is this one.
+    /// A dependency is cancelled, by its user or along with one of its own dependencies, so
+    /// this job is cancelled too.
     CancelledUpstream,
 }
 
-/// The index over jobs that need others.
+/// Index over the jobs with dependencies.
 #[derive(Debug, Default)]
 pub struct Pipelines {
-    /// By a needed job, the open jobs that name it.
+    /// Open jobs by the dependency that they name.
     dependents: BTreeMap<String, BTreeSet<String>>,
-    /// Open on record, but waiting for others.
+    /// Jobs that are open on record and wait for dependencies.
     waiting: BTreeSet<String>,
-    /// Open on record, but cancelled with one that they need.
+    /// Jobs that are open on record but cancelled along with a dependency.
     cancelled_upstream: BTreeSet<String>,
-    /// Jobs to which a change is still to be propagated.
+    /// Jobs to which a change has not been propagated yet.
     unpropagated: BTreeSet<String>,
-    /// Records read so far, for tests that bound the work of a change.
+    /// Number of records read so far, for tests that bound the cost of a change.
     lookups: Cell<u64>,
 }
 
 impl Pipelines {
-    /// Jobs that wait for others.
+    /// Jobs that wait for dependencies.
     pub fn waiting(&self) -> &BTreeSet<String> {
         &self.waiting
     }
 
-    /// Jobs that are cancelled with others and not yet so on record.
+    /// Jobs that are cancelled along with a dependency and still open on record.
     pub fn cancelled_upstream(&self) -> &BTreeSet<String> {
         &self.cancelled_upstream
     }
 
-    /// The open jobs that name this one.
+    /// The open jobs that name `id` as a dependency.
     pub fn dependents(&self, id: &str) -> impl Iterator<Item = &String> {
         self.dependents.get(id).into_iter().flatten()
     }
 
-    /// Records read so far.
+    /// Number of records read so far.
     pub fn lookups(&self) -> u64 {
         self.lookups.get()
     }
@@ -86,21 +87,21 @@
         jobs.record(id)
     }
 
-    /// State of a job with regard to those that it needs.
+    /// Returns the state of a job with regard to its dependencies.
     pub fn readiness(&self, spec: &JobSpec, jobs: &impl JobRecords) -> Readiness {
         if is_disabled(Safeguard::DependencyCheck) {
             return Readiness::Ready;
         }
         let mut readiness = Readiness::Ready;
-        for needed in &spec.dependencies {
-            let stage = self.record(needed, jobs).map(|record| record.stage);
+        for dependency in &spec.dependencies {
+            let stage = self.record(dependency, jobs).map(|record| record.stage);
             if is_disabled(Safeguard::UpstreamCancellation) && stage != Some(JobStage::Done) {
                 return Readiness::Waiting;
             }
             match stage {
                 Some(JobStage::Done) => {}
                 Some(JobStage::Cancelled) => return Readiness::CancelledUpstream,
-                Some(JobStage::Open) if self.cancelled_upstream.contains(needed) => {
+                Some(JobStage::Open) if self.cancelled_upstream.contains(dependency) => {
                     return Readiness::CancelledUpstream
                 }
                 Some(JobStage::Open) | None => readiness = Readiness::Waiting,
@@ -109,10 +110,10 @@
         readiness
     }
 
-    /// Adds an open job under the jobs that it needs. Returns its state.
+    /// Adds an open job to the index. Returns the job's readiness.
     pub fn insert(&mut self, id: &str, spec: &JobSpec, jobs: &impl JobRecords) -> Readiness {
-        for needed in &spec.dependencies {
-            let dependents = self.dependents.entry(needed.clone()).or_default();
+        for dependency in &spec.dependencies {
+            let dependents = self.dependents.entry(dependency.clone()).or_default();
             dependents.insert(id.to_owned());
         }
         let readiness = self.readiness(spec, jobs);
@@ -128,13 +129,13 @@
         readiness
     }
 
-    /// Removes an open job. Returns its state when it was added.
+    /// Removes an open job from the index. Returns the readiness that the job had there.
     pub fn remove(&mut self, id: &str, spec: &JobSpec) -> Readiness {
-        for needed in &spec.dependencies {
-            if let Some(dependents) = self.dependents.get_mut(needed) {
+        for dependency in &spec.dependencies {
+            if let Some(dependents) = self.dependents.get_mut(dependency) {
                 dependents.remove(id);
                 if dependents.is_empty() {
-                    self.dependents.remove(needed);
+                    self.dependents.remove(dependency);
                 }
             }
         }
--- a/src/state_store/pipelines/pipeline_end.rs
+++ b/src/state_store/pipelines/pipeline_end.rs
@@ -1,27 +1,27 @@
-//! The job by whose deadline the steps of a pipeline are judged.
+//! Finds the job whose deadline applies to the steps of a pipeline.
 
 use salttiller_records::units::Micros;
 
 use super::{JobRecords, Pipelines};
 
-/// Most steps that are followed towards the end of a pipeline.
+/// Maximum number of steps that are followed to the end of a pipeline.
 const MAX_STEPS: usize = 64;
 
 /// The job that ends a pipeline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PipelineEnd<'a> {
-    /// Name.
+    /// Name of the job.
     pub id: &'a str,
-    /// Class.
+    /// Class of the job.
     pub class: &'a str,
-    /// Its own deadline, from its submission.
+    /// The job's own deadline, counted from its submission.
     pub deadline: Micros,
 }
 
 impl Pipelines {
-    /// The job that ends a pipeline of which this one is a step: the nearest with a
-    /// deadline of its own among those that need it, on the most urgent path. `None` for a
-    /// job that is no step of a pipeline.
+    /// Returns the job that ends the pipeline of which `id` is a step: the first job with a
+    /// deadline of its own on the most urgent path of dependents, starting with `id`. `None`
+    /// if the job is not a step of a pipeline.
     pub fn end_of<'a>(&'a self, id: &'a str, jobs: &'a impl JobRecords) -> Option<PipelineEnd<'a>> {
         let mut step = id;
         for _ in 0..MAX_STEPS {
--- a/src/state_store/pipelines/propagation.rs
+++ b/src/state_store/pipelines/propagation.rs
@@ -1,6 +1,6 @@
-//! Effective specs: what a job inherits from the jobs that need it, and its times from the
-//! moment at which it became ready. Changes are propagated against the direction of the
-//! dependencies, by a bounded number of steps at a time.
+//! Effective specs: a job inherits priority and deadline from its dependents, and its times
+//! count from the time at which it became ready. Changes propagate from a job to its
+//! dependencies, in a bounded number of steps at a time.
 
 use std::rc::Rc;
 
@@ -9,14 +9,14 @@
 
 use super::{JobRecords, Pipelines, Readiness};
 
-/// Most jobs to which one change propagates priority and deadline; the rest follows with
-/// the next calls of [`Pipelines::continue_propagation`].
+/// Maximum number of jobs to which one change propagates priority and deadline. Later calls of
+/// [`Pipelines::continue_propagation`] update the rest.
 pub const MAX_STEPS_PER_CHANGE: usize = 512;
 
 impl Pipelines {
-    /// The effective spec of a job: with the highest priority of all that need it, with
-    /// the time that their deadlines leave it, and its times from the moment at which it
-    /// became ready. `None` if that is the spec that it has.
+    /// Returns the effective spec of a job: the stored spec with the highest priority of its
+    /// dependents, the time that their deadlines leave for the job, and times that count from
+    /// the time at which the job became ready. `None` if the job already has this spec.
     pub fn effective_spec(
         &self,
         id: &str,
@@ -25,18 +25,18 @@
     ) -> Option<Rc<JobSpec>> {
         let stored = spec.stored_spec.as_ref().unwrap_or(spec);
         if stored.dependencies.is_empty() && !self.dependents.contains_key(id) {
-            // No job needs it any more: as on record.
+            // The job has no dependents any more, so the stored spec applies.
             return spec.stored_spec.clone();
         }
         let mut effective = JobSpec::clone(stored);
         effective.stored_spec = Some(stored.clone());
-        self.count_from_readiness(&mut effective, stored, jobs);
+        self.count_times_from_readiness(&mut effective, stored, jobs);
         self.inherit_from_dependents(&mut effective, id, jobs);
         (effective != **spec).then(|| Rc::new(effective))
     }
 
-    /// Has the times of a ready job count from the end of the last job that it needed.
-    fn count_from_readiness(
+    /// Makes the times of a ready job count from the end of its last dependency.
+    fn count_times_from_readiness(
         &self,
         effective: &mut JobSpec,
         stored: &JobSpec,
@@ -46,18 +46,17 @@
             return;
         }
         let dependencies = stored.dependencies.iter();
-        let ends = dependencies.filter_map(|needed| self.record(needed, jobs)?.ended_at);
+        let ends = dependencies.filter_map(|dependency| self.record(dependency, jobs)?.ended_at);
         let ready_at = ends.max().unwrap_or(0).max(stored.submitted_at);
         let waited = ready_at - stored.submitted_at;
-        // The deadline alone counts from the submission.
+        // The stored deadline counts from the submission, so the waiting time is subtracted.
         effective.deadline = stored
             .deadline
             .map(|deadline| deadline.saturating_sub(waited));
         effective.submitted_at = ready_at;
     }
 
-    /// Raises the priority of a job and brings its deadline forward as the jobs that need
-    /// it require.
+    /// Raises the priority of a job and moves its deadline forward as its dependents require.
     fn inherit_from_dependents(&self, effective: &mut JobSpec, id: &str, jobs: &impl JobRecords) {
         for dependent in self.dependents(id) {
             let record = self.record(dependent, jobs);
@@ -66,16 +65,20 @@
             };
             effective.priority = effective.priority.max(dependent.priority);
             if let Some(deadline) = dependent.deadline {
-                let must_end_at = (dependent.submitted_at + deadline)
+                let latest_end = (dependent.submitted_at + deadline)
                     .saturating_sub(dependent.estimated_run_time);
-                let left = must_end_at.saturating_sub(effective.submitted_at);
-                effective.deadline = Some(effective.deadline.map_or(left, |own| own.min(left)));
+                let time_left = latest_end.saturating_sub(effective.submitted_at);
+                effective.deadline = Some(
+                    effective
+                        .deadline
+                        .map_or(time_left, |own| own.min(time_left)),
+                );
             }
         }
     }
 
-    /// Propagates what a job has to those that it needs, and so on. Returns the jobs whose
-    /// effective spec changed. A long chain is not followed to its end at once: see
+    /// Propagates priority and deadline of a job to its direct and indirect dependencies.
+    /// Returns the jobs whose effective spec changed. A long chain takes several calls: see
     /// [`Pipelines::continue_propagation`].
     pub fn propagate(&mut self, from: &str, jobs: &mut impl JobRecords) -> Vec<String> {
         let Some(spec) = jobs.open_spec(from) else {
@@ -90,13 +93,14 @@
         changed
     }
 
-    /// Whether a chain longer than [`MAX_STEPS_PER_CHANGE`] is still to be followed.
+    /// Whether a change that needs more than [`MAX_STEPS_PER_CHANGE`] steps is not fully
+    /// propagated yet.
     pub fn has_unpropagated(&self) -> bool {
         !self.unpropagated.is_empty()
     }
 
-    /// Follows what earlier changes left, for as many steps as one change may take. Returns
-    /// the jobs whose effective spec changed.
+    /// Continues the propagation of earlier changes for up to [`MAX_STEPS_PER_CHANGE`] steps.
+    /// Returns the jobs whose effective spec changed.
     pub fn continue_propagation(&mut self, jobs: &mut impl JobRecords) -> Vec<String> {
         let unpropagated = std::mem::take(&mut self.unpropagated);
         let mut changed = Vec::new();
@@ -126,7 +130,7 @@
         }
     }
 
-    /// Brings a job's effective spec up to date. Returns whether it changed.
+    /// Updates a job's effective spec. Returns whether the spec changed.
     pub fn update(&self, id: &str, jobs: &mut impl JobRecords) -> bool {
         let Some(spec) = jobs.open_spec(id).cloned() else {
             return false;
--- a/src/state_store/pipelines/tests.rs
+++ b/src/state_store/pipelines/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for jobs that need others, on records alone.
+//! Tests of jobs with dependencies, on the records of a replica.
 
 use serde_json::{json, Value};
 
@@ -7,7 +7,7 @@
 use salttiller_records::model::Priority;
 use salttiller_records::record::{value, JobStage};
 
-/// A replica to which changes of jobs' records are applied, as events of the state service.
+/// A replica to which tests apply changes of jobs' records as events of the state service.
 #[derive(Default)]
 struct Records {
     replica: Replica,
@@ -15,20 +15,20 @@
 }
 
 impl Records {
-    fn put(&mut self, id: &str, v: Value) {
+    fn put(&mut self, id: &str, record: Value) {
         self.revision += 1;
         self.replica
-            .apply_event(&format!("st/job/{id}"), Some(v), self.revision);
+            .apply_event(&format!("st/job/{id}"), Some(record), self.revision);
         self.replica.complete_up_to(self.revision);
     }
 
-    fn open(&mut self, id: &str, needs: &[&str], more: Value) {
-        let mut j = json!({"c": "x", "t": "red", "k": "a", "r": "0", "n": 2, "u": 1, "i": "img",
-            "e": 10_000_000, "a": 100_000_000, "w": needs});
-        for (k, v) in more.as_object().into_iter().flatten() {
-            j[k] = v.clone();
+    fn open(&mut self, id: &str, dependencies: &[&str], fields: Value) {
+        let mut spec = json!({"c": "x", "t": "red", "k": "a", "r": "0", "n": 2, "u": 1, "i": "img",
+            "e": 10_000_000, "a": 100_000_000, "w": dependencies});
+        for (name, value) in fields.as_object().into_iter().flatten() {
+            spec[name] = value.clone();
         }
-        self.put(id, json!({"st": "o", "j": j}));
+        self.put(id, json!({"st": "o", "j": spec}));
     }
 
     fn done(&mut self, id: &str, at: u64) {
@@ -39,9 +39,10 @@
         self.put(id, json!({"st": "c"}));
     }
 
-    /// The states of jobs, a letter each: w waiting, r ready, c cancelled, d done, - unknown.
+    /// Returns the states of jobs, one character each: `w` waiting, `r` ready, `c` cancelled,
+    /// `d` done, `-` no record.
     fn states(&self, ids: &[&str]) -> String {
-        let one = |id: &&str| match self.replica.stage(id) {
+        let state = |id: &&str| match self.replica.stage(id) {
             None => '-',
             Some(JobStage::Done) => 'd',
             Some(JobStage::Cancelled) => 'c',
@@ -49,14 +50,16 @@
             Some(JobStage::Open) if self.replica.unbound_jobs.contains(*id) => 'r',
             Some(JobStage::Open) => '?',
         };
-        ids.iter().map(one).collect()
+        ids.iter().map(state).collect()
     }
 }
 
-/// Whatever the order in which the records are read, all controllers derive the same states.
+/// Guards against controllers that derive different states from the same records because they
+/// read them in a different order.
 #[test]
 fn dependents_wait_are_ready_or_cancelled() {
-    // What happens, by job; then the states of jobs 1 to 5. 2 and 3 need 1, 4 both, 5 four.
+    // Jobs that end (d done, c cancelled), then the states of jobs 1 to 5. Jobs 2 and 3 depend
+    // on 1, job 4 on 2 and 3, job 5 on 4.
     let cases: [(&[(&str, &str)], &str); 7] = [
         (&[], "rwwww"),
         (&[("1", "d")], "drrww"),
@@ -66,7 +69,7 @@
         (&[("1", "d"), ("3", "c")], "drccc"),
         (&[("4", "c")], "rwwcc"),
     ];
-    let needs: [(&str, &[&str]); 5] = [
+    let jobs: [(&str, &[&str]); 5] = [
         ("1", &[]),
         ("2", &["1"]),
         ("3", &["1"]),
@@ -77,32 +80,34 @@
         for backwards in [false, true] {
             for events_first in [false, true] {
                 let mut records = Records::default();
-                let over = |records: &mut Records| {
-                    for (id, what) in events {
-                        match *what {
+                let apply_events = |records: &mut Records| {
+                    for (id, event) in events {
+                        match *event {
                             "d" => records.done(id, 200_000_000),
                             _ => records.cancelled(id),
                         }
                     }
                 };
                 if events_first {
-                    over(&mut records);
+                    apply_events(&mut records);
                 }
-                let mut order: Vec<_> = needs.iter().collect();
+                let mut order: Vec<_> = jobs.iter().collect();
                 if backwards {
                     order.reverse();
                 }
-                for (id, n) in order {
+                for (id, dependencies) in order {
                     if !(events_first && events.iter().any(|e| e.0 == *id)) {
-                        records.open(id, n, json!({}));
+                        records.open(id, dependencies, json!({}));
                     }
                 }
                 if !events_first {
-                    over(&mut records);
+                    apply_events(&mut records);
                 }
-                let case = format!("{events:?} backwards {backwards}, first {events_first}");
+                let case = format!(
+                    "events {events:?}, backwards: {backwards}, events first: {events_first}"
+                );
                 assert_eq!(records.states(&["1", "2", "3", "4", "5"]), states, "{case}");
-                // Waiting jobs are in no index by team or region.
+                // The indexes by team and region contain no waiting jobs.
                 let ready = states.matches('r').count();
                 assert_eq!(records.replica.ready_jobs.len(), ready, "{case}");
                 assert_eq!(
@@ -119,9 +124,10 @@
     }
 }
 
-/// A needed job with no record: it waits, and nothing starts.
+/// Guards against a job that starts although one of its dependencies has no record. The job
+/// waits and is listed among those that wait for unknown jobs.
 #[test]
-fn a_job_waits_for_one_without_a_record() {
+fn a_job_waits_for_a_dependency_without_a_record() {
     let mut records = Records::default();
     records.open("2", &["1"], json!({}));
     assert_eq!(records.states(&["1", "2"]), "-w");
@@ -130,8 +136,9 @@
     assert!(records.replica.waiting_for_unknown().is_empty());
 }
 
-/// Priority and deadline are inherited from dependents, times count from readiness, and none of it is ever
-/// written to the records.
+/// Guards against dependencies of an urgent job that keep their own low priority, and against
+/// inherited values in the records: priority and deadline are inherited from dependents and
+/// times count from readiness, but only the stored spec is written.
 #[test]
 fn priority_and_deadline_are_inherited_from_dependents() {
     let mut records = Records::default();
@@ -143,7 +150,7 @@
         json!({"r": "2", "e": 5_000_000, "d": 300_000_000}),
     );
     let spec = |records: &Records, id: &str| records.replica.jobs[id].value.spec.clone().unwrap();
-    // From the submission 300 s, less 5 for the last; less 20 more for the second.
+    // Deadline of 300 s from the submission, less 5 s for the last job, less 20 s for the second.
     for (id, deadline) in [("1", 275_000_000), ("2", 295_000_000), ("3", 300_000_000)] {
         let s = spec(&records, id);
         assert_eq!(
@@ -163,16 +170,16 @@
         (s.submitted_at, s.deadline),
         (150_000_000, Some(245_000_000))
     );
-    // The last is cancelled: no job inherits from it any more.
+    // Job 3 is cancelled, so no job inherits from it any more.
     records.cancelled("3");
     let s = spec(&records, "2");
     assert_eq!((s.priority, s.deadline), (Priority::Low, None));
 }
 
-/// Many paths to the same job, and a cycle as only a damaged store could hold: each job is
-/// visited once.
+/// Guards against exponential or endless work: each job is visited once although many paths
+/// lead to it, also in a cycle, which only a damaged store can contain.
 #[test]
-fn diamonds_and_cycles_are_followed_once() {
+fn each_job_in_diamonds_and_cycles_is_visited_once() {
     let mut records = Records::default();
     records.open("0a", &[], json!({}));
     records.open("0b", &[], json!({}));
@@ -190,7 +197,7 @@
     assert_eq!(records.replica.pipelines.waiting().len(), 0);
 }
 
-/// A chain of jobs, each needing the one before it: `0` first.
+/// Returns a chain of jobs from `0` on, each of which depends on the one before it.
 fn chain(length: usize) -> Records {
     let mut records = Records::default();
     records.open("0", &[], json!({}));
@@ -200,17 +207,18 @@
     records
 }
 
-/// How many records an event makes the index read.
+/// Returns the number of records that the index reads for an event.
 fn lookups(records: &mut Records, event: impl FnOnce(&mut Records)) -> u64 {
     let before = records.replica.pipelines.lookups();
     event(records);
     records.replica.pipelines.lookups() - before
 }
 
-/// A chain longer than one change is followed: the rest follows by bounded steps, and the
-/// first job has the priority and the deadline of the last in the end.
+/// Guards against unbounded work for one change, and against a propagation that stops halfway:
+/// in a chain longer than the limit of a change, later calls continue in bounded steps until
+/// the first job has inherited priority and deadline of the last.
 #[test]
-fn a_long_chain_gets_priority_by_bounded_steps() {
+fn priority_propagates_along_a_long_chain_in_bounded_steps() {
     const LENGTH: usize = 3 * MAX_STEPS_PER_CHANGE;
     let mut records = chain(LENGTH);
     let last = LENGTH.to_string();
@@ -220,35 +228,46 @@
         records.open(&last, &[&before], urgent);
     });
     let bound = 4 * MAX_STEPS_PER_CHANGE as u64;
-    assert!(first <= bound, "{first} lookups");
+    assert!(first <= bound, "{first} lookups, expected at most {bound}");
     let priority =
         |records: &Records, id: &str| records.replica.jobs[id].value.open_spec().unwrap().priority;
     assert_eq!(priority(&records, &before), Priority::High);
-    assert_eq!(priority(&records, "0"), Priority::Low, "not yet");
+    assert_eq!(
+        priority(&records, "0"),
+        Priority::Low,
+        "expected the first job not to be reached by one change"
+    );
     let mut rounds = 0;
     while records.replica.has_unpropagated() {
-        let looked = lookups(&mut records, |records| {
+        let count = lookups(&mut records, |records| {
             records.replica.continue_propagation();
         });
-        assert!(looked <= bound, "{looked} lookups");
+        assert!(count <= bound, "{count} lookups, expected at most {bound}");
         rounds += 1;
     }
-    assert!((2..=4).contains(&rounds), "{rounds}");
+    assert!(
+        (2..=4).contains(&rounds),
+        "{rounds} rounds, expected 2 to 4"
+    );
     assert_eq!(priority(&records, "0"), Priority::High);
     let spec = records.replica.jobs["0"].value.open_spec().unwrap();
-    // The estimates, 10 s each, of all behind it but the last.
+    // The deadline of the last job less the estimated run times, 10 s each, of the jobs between
+    // the first and the last.
     let left = 30_000_000_000 - (LENGTH as u64 - 1) * 10_000_000;
     assert_eq!(spec.deadline, Some(left));
 }
 
-/// Cancelling the first of a long chain cancels all of it at once, each job read a few
-/// times: if some were cancelled later, two controllers could answer differently.
+/// Guards against controllers that answer differently about the same job: cancelling the first
+/// job of a long chain cancels the whole chain at once, with a few lookups per job.
 #[test]
 fn a_long_chain_is_cancelled_at_once() {
     const LENGTH: usize = 3 * MAX_STEPS_PER_CHANGE;
     let mut records = chain(LENGTH);
-    let looked = lookups(&mut records, |records| records.cancelled("0"));
-    assert!(looked <= 8 * LENGTH as u64, "{looked} lookups");
+    let count = lookups(&mut records, |records| records.cancelled("0"));
+    assert!(
+        count <= 8 * LENGTH as u64,
+        "{count} lookups, expected at most 8 per job"
+    );
     for i in 1..LENGTH {
         assert_eq!(
             records.replica.stage(&i.to_string()),
@@ -262,10 +281,11 @@
     );
 }
 
-/// Hundreds of dependents of one job, hundreds of needs of one job, hundreds of steps: an
-/// end costs in proportion to the jobs that depend on it directly.
+/// Guards against excessive work at the end of a job, with hundreds of dependents, hundreds of
+/// dependencies or hundreds of steps: the number of lookups is proportional to the number of
+/// direct dependents.
 #[test]
-fn the_work_of_an_end_is_bounded() {
+fn lookups_at_the_end_of_a_job_are_bounded() {
     const MANY: usize = 400;
     let names: Vec<String> = (1..=MANY).map(|i| i.to_string()).collect();
     let mut fan_out = Records::default();
@@ -273,36 +293,46 @@
     for id in &names {
         fan_out.open(id, &["0"], json!({}));
     }
-    let looked = lookups(&mut fan_out, |records| records.done("0", 200_000_000));
-    assert!(looked <= 8 * MANY as u64, "fan out: {looked} lookups");
+    let count = lookups(&mut fan_out, |records| records.done("0", 200_000_000));
+    assert!(
+        count <= 8 * MANY as u64,
+        "fan out: {count} lookups, expected at most 8 per job"
+    );
     assert_eq!(fan_out.replica.unbound_jobs.len(), MANY);
 
     let mut fan_in = Records::default();
     for id in &names {
         fan_in.open(id, &[], json!({}));
     }
-    let needs: Vec<&str> = names.iter().map(String::as_str).collect();
-    fan_in.open("0", &needs, json!({}));
+    let dependencies: Vec<&str> = names.iter().map(String::as_str).collect();
+    fan_in.open("0", &dependencies, json!({}));
     for (i, id) in names.iter().enumerate() {
         assert_eq!(fan_in.states(&["0"]), "w", "{i} done");
-        let looked = lookups(&mut fan_in, |records| records.done(id, 200_000_000));
-        assert!(looked <= 8 * MANY as u64, "fan in: {looked} lookups");
+        let count = lookups(&mut fan_in, |records| records.done(id, 200_000_000));
+        assert!(
+            count <= 8 * MANY as u64,
+            "fan in: {count} lookups, expected at most 8 per job"
+        );
     }
     assert_eq!(fan_in.states(&["0"]), "r");
 
     let mut steps = chain(MANY);
     for i in 0..MANY {
-        let looked = lookups(&mut steps, |records| {
+        let count = lookups(&mut steps, |records| {
             records.done(&i.to_string(), 200_000_000);
         });
-        assert!(looked <= 16, "step {i}: {looked} lookups");
+        assert!(
+            count <= 16,
+            "step {i}: {count} lookups, expected at most 16"
+        );
     }
 }
 
-/// The job whose deadline a step is judged by: the nearest with one of its own, on the
-/// most urgent path; none for a job that is no step of a pipeline.
+/// Guards against a step that is measured against the deadline of the wrong job: the pipeline
+/// ends with the nearest job with a deadline of its own on the most urgent path. A job that is
+/// not a step of a pipeline has no pipeline end.
 #[test]
-fn pipelines_end_with_a_deadline() {
+fn a_pipeline_ends_with_the_nearest_deadline() {
     let mut records = Records::default();
     records.open("1", &[], json!({}));
     records.open("2", &["1"], json!({}));
--- a/src/state_store/rate_limiter.rs
+++ b/src/state_store/rate_limiter.rs
@@ -1,26 +1,27 @@
-//! A token bucket: paces what is sent to the state service under its rates.
+//! A token bucket that keeps the client within the rate limits of the state service.
 //!
-//! Used for the requests of [`Calls`](super::calls::Calls) and for the changes of the
-//! commit queue. It touches nothing but its own level.
+//! [`Calls`](super::calls::Calls) uses one for requests and the commit queue another one for
+//! changes.
 
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
-/// Least capacity, so that a bucket with a very low rate still lets a pair of calls through.
+/// Minimum capacity, so that a bucket with a very low rate still allows two calls in a row.
 const MIN_CAPACITY: f64 = 2.0;
 
-/// A bucket of tokens that fills at a rate and holds at most a second's worth.
+/// A bucket of tokens that is refilled at a fixed rate and holds the tokens of one second at
+/// most, or [`MIN_CAPACITY`] if that is more.
 #[derive(Debug)]
 pub(super) struct TokenBucket {
-    /// Tokens a second.
+    /// Tokens per second.
     rate: f64,
-    /// Tokens in the bucket; below zero after calls that don't wait for it.
+    /// Tokens in the bucket; negative after calls that don't wait for tokens.
     level: f64,
     capacity: f64,
     refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// A full bucket that fills at `rate` tokens a second.
+    /// Returns a full bucket that is refilled at `rate` tokens per second.
     pub(super) fn new(rate: f64) -> Self {
         let capacity = rate.max(MIN_CAPACITY);
         TokenBucket {
@@ -31,25 +32,25 @@
         }
     }
 
-    /// Adds the tokens of the time since the last refill.
+    /// Adds the tokens for the time since the last refill.
     pub(super) fn refill(&mut self, now: Micros) {
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64;
         self.level = (self.level + elapsed * self.rate).min(self.capacity);
         self.refilled_at = now;
     }
 
-    /// Whether `cost` tokens are there. A cost above the capacity would never be: for such
-    /// a full bucket is enough.
+    /// Whether the bucket holds `cost` tokens. A full bucket suffices for a cost above the
+    /// capacity, which would never be allowed otherwise.
     pub(super) fn allows(&self, cost: f64) -> bool {
         self.level >= cost.min(self.capacity)
     }
 
-    /// Takes `cost` tokens, whether they are there or not.
+    /// Takes `cost` tokens, even if the bucket holds fewer.
     pub(super) fn take(&mut self, cost: f64) {
         self.level -= cost;
     }
 
-    /// Time until `cost` tokens are there.
+    /// Time until the bucket allows `cost` tokens.
     pub(super) fn time_until_allowed(&self, cost: f64) -> Micros {
         let missing = cost.min(self.capacity) - self.level;
         if missing <= 0.0 {
@@ -59,17 +60,17 @@
         }
     }
 
-    /// Most tokens that it holds.
+    /// Maximum number of tokens in the bucket.
     pub(super) fn capacity(&self) -> f64 {
         self.capacity
     }
 
-    /// Tokens a second.
+    /// Tokens per second.
     pub(super) fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Changes the rate; capacity and level stay.
+    /// Changes the rate but neither the capacity nor the level.
     pub(super) fn set_rate(&mut self, rate: f64) {
         self.rate = rate;
     }
--- a/src/state_store/read_pacing.rs
+++ b/src/state_store/read_pacing.rs
@@ -1,9 +1,8 @@
-//! When a read of one kind may be sent again: at most one is outstanding, and reads keep an
-//! interval.
+//! Limits reads of one kind to one outstanding read and a minimum interval.
 
 use salttiller_records::units::Micros;
 
-/// The pace of one kind of read.
+/// Pacing of one kind of read.
 #[derive(Debug)]
 pub(super) struct ReadPacing {
     outstanding: bool,
@@ -12,7 +11,7 @@
 }
 
 impl ReadPacing {
-    /// Reads that may begin at once and keep `interval`.
+    /// Returns a pacing that allows the first read at once and keeps `interval` between reads.
     pub(super) fn new(interval: Micros) -> Self {
         ReadPacing {
             outstanding: false,
@@ -21,37 +20,37 @@
         }
     }
 
-    /// Whether a read has been sent and not ended.
+    /// Whether a read is outstanding.
     pub(super) fn is_outstanding(&self) -> bool {
         self.outstanding
     }
 
-    /// When the next may be sent.
+    /// Earliest time of the next read.
     pub(super) fn next_at(&self) -> Micros {
         self.next_at
     }
 
-    /// A read was sent.
+    /// Records that a read was sent.
     pub(super) fn sent(&mut self) {
         self.outstanding = true;
     }
 
-    /// The outstanding read ended, with whatever result.
+    /// Records that the outstanding read ended, with any result.
     pub(super) fn ended(&mut self) {
         self.outstanding = false;
     }
 
-    /// The interval to the next read begins now.
+    /// Starts the interval to the next read at `now`.
     pub(super) fn start_interval(&mut self, now: Micros) {
         self.next_at = now + self.interval;
     }
 
-    /// Sends the next read at this time, whatever the interval.
+    /// Sets the earliest time of the next read regardless of the interval.
     pub(super) fn set_next_at(&mut self, at: Micros) {
         self.next_at = at;
     }
 
-    /// Ignores the outstanding read; the next may be sent at once.
+    /// Abandons the outstanding read; the next one may be sent at once.
     pub(super) fn reset(&mut self, now: Micros) {
         self.outstanding = false;
         self.next_at = now;
--- a/src/state_store/replica.rs
+++ b/src/state_store/replica.rs
@@ -1,8 +1,8 @@
-//! A controller's copy of the state service's records, kept current by watching.
+//! A controller's replica of the state service's records, kept current by watches.
 //!
-//! The state store's client applies changes (`apply`); everyone else reads. Beside the
-//! records by kind, the copy holds indexes that are derived from them: machines by pool
-//! (`machines`), open jobs by team and region and the jobs that need others (`jobs`).
+//! The client of the state service applies changes (`apply`); all other modules only read.
+//! Besides the records by kind, the replica holds indexes derived from them: machines by pool
+//! (`machines`), and open jobs by team, region and dependency (`jobs`).
 
 mod apply;
 mod jobs;
@@ -22,18 +22,18 @@
 use super::pipelines::Pipelines;
 pub use super::versioned::Versioned;
 
-/// What machines have in common that are interchangeable for placement.
+/// Properties shared by machines that are interchangeable for placement.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PoolKey {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot or on-demand.
+    /// Whether the machines are spot instances.
     pub spot: bool,
 }
 
-/// Names an activation record.
+/// Key of an activation record.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ActivationKey {
     /// Region.
@@ -42,85 +42,86 @@
     pub number: u32,
 }
 
-/// Names a job's progress record within the job.
+/// Key of a progress record within its job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProgressKey {
-    /// The region that found the tasks finished.
+    /// Region that recorded the tasks as finished.
     pub region: String,
     /// Chunk of task numbers.
     pub chunk: u32,
 }
 
-/// Orders a team's jobs by time of submission, then by name.
+/// Orders the jobs of a team by time of submission, then by name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SubmissionKey {
-    /// Time of day at submission.
+    /// Wall-clock time of submission.
     pub submitted_at: u64,
     /// Name of the job.
     pub job: String,
 }
 
 impl SubmissionKey {
-    /// Whether this job was submitted after the one with this time and name, or is the same.
+    /// Whether this job was submitted after the job with this time and name, or is that job.
     #[must_use]
     pub fn is_not_before(&self, submitted_at: u64, job: &str) -> bool {
         (self.submitted_at, self.job.as_str()) >= (submitted_at, job)
     }
 }
 
-/// The copy. Equal to the state service as of `revision`, plus our own later
-/// changes, which are applied as soon as they are answered.
+/// Copy of the state service's records. The replica equals the state service as of `revision`,
+/// plus later changes that this controller committed, which are applied as soon as the commit
+/// is confirmed.
 #[derive(Debug, Default)]
 pub struct Replica {
-    /// As of when the copy is complete.
+    /// Revision up to which the replica is complete.
     pub revision: u64,
-    /// Who leads.
+    /// The current leader.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// The last fencing token that was handed out.
+    /// The last fencing token that was issued.
     pub token: Option<Versioned<u64>>,
-    /// That records were lost, and what operators decided.
+    /// The data-loss hold, if records were lost, with the operators' decision.
     pub data_loss_hold: Option<Versioned<DataLossHoldRecord>>,
-    /// Regions' owners.
+    /// Owners of the regions.
     pub regions: BTreeMap<String, Versioned<RegionRecord>>,
-    /// Machines, of batches and with records of their own.
+    /// Machines, both those in batches and those with records of their own.
     pub machines: BTreeMap<String, Versioned<MachineRecord>>,
     /// Machine batches.
     pub batches: BTreeMap<String, Versioned<MachineBatchRecord>>,
-    /// Which machines of batches were activated.
+    /// Records that list the activated machines of batches.
     pub activations: BTreeMap<ActivationKey, Versioned<ActivationRecord>>,
     /// Number of machines by region and pool.
     pub machine_counts: BTreeMap<String, BTreeMap<PoolKey, u32>>,
-    /// Jobs.
+    /// Records of all jobs.
     pub jobs: BTreeMap<String, Versioned<JobRecord>>,
-    /// Names of the jobs that are not over and wait for no others.
+    /// Names of the open jobs that don't wait for dependencies.
     pub ready_jobs: BTreeSet<String>,
-    /// Names of the ready jobs that are bound to no region.
+    /// Names of the ready jobs that are not bound to a region.
     pub unbound_jobs: BTreeSet<String>,
     /// Number of ready jobs bound to each region.
     pub jobs_per_region: BTreeMap<String, u32>,
-    /// Ready jobs of each team by time of submission, with the quota that they need.
+    /// Ready jobs of each team by time of submission, with their quota demand.
     pub teams: BTreeMap<String, BTreeMap<SubmissionKey, QuotaAmount>>,
     /// Finished tasks by job, region and chunk, as bitmaps.
     pub progress: BTreeMap<String, BTreeMap<ProgressKey, Versioned<String>>>,
-    /// Shares of the teams' limits.
+    /// Regions' shares of each team's quota limit.
     pub quotas: BTreeMap<String, Versioned<QuotaRecord>>,
     /// Machine types.
     pub machine_types: BTreeMap<String, Versioned<MachineType>>,
-    /// Ready jobs that are gangs over several regions.
+    /// Ready jobs that are gangs spread over several regions.
     pub multi_region_gangs: BTreeSet<String>,
-    /// Machine records that can't be read. While there are any, nobody may take
-    /// the machines that are known for all there are.
-    pub unreadable: BTreeSet<Key>,
-    /// Jobs that need others.
+    /// Machine records that can't be read. While there are any, the known machines may be
+    /// incomplete.
+    pub unreadable_machine_records: BTreeSet<Key>,
+    /// Index of the dependencies between jobs.
     pub pipelines: Pipelines,
-    /// Our own changes beyond `revision`: key and version (also of deletions), so
-    /// that an older event that arrives later can't undo them.
-    ahead: BTreeMap<Key, u64>,
-    /// Machines that changed since they were last asked for.
+    /// Versions of this controller's own changes after `revision`, including deletions, by key.
+    /// An older event that arrives later can't undo these changes.
+    own_changes: BTreeMap<Key, u64>,
+    /// Machines that changed since the last call of [`Replica::take_changed_machines`].
     changed_machines: BTreeSet<String>,
-    /// Jobs whose effective spec another job's record has changed, since they were last
-    /// asked for.
-    respecified: BTreeSet<String>,
+    /// Jobs whose effective spec changed because of another job's record, since the last call
+    /// of [`Replica::take_changed_specs`].
+    changed_specs: BTreeSet<String>,
 }
 
 fn version_of<T>(record: Option<&Versioned<T>>) -> u64 {
@@ -128,8 +129,8 @@
 }
 
 impl Replica {
-    /// The revision of a record; 0 if there is none. This is what a transaction
-    /// names as its condition.
+    /// Returns the revision of a record, or 0 if the record doesn't exist. Transactions use
+    /// this revision as a condition.
     pub fn version(&self, key: &Key) -> u64 {
         match key {
             Key::Leader => version_of(self.leader.as_ref()),
--- a/src/state_store/replica/apply.rs
+++ b/src/state_store/replica/apply.rs
@@ -1,5 +1,5 @@
-//! Applying changes: those that the state service reports and those that this process
-//! committed.
+//! Applies changes to the replica: those that the state service reports and those that this
+//! process committed.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 use super::{ActivationKey, ProgressKey, Replica, Versioned};
 
-/// Puts or deletes a record of a kind that has many.
+/// Puts or deletes a record of a kind with many records.
 fn write_entry<K: Ord, T: DeserializeOwned>(
     records: &mut BTreeMap<K, Versioned<T>>,
     key: K,
@@ -28,7 +28,7 @@
     Ok(())
 }
 
-/// Puts or deletes a record of a kind that has only one.
+/// Puts or deletes the record of a kind with a single record.
 fn write_single<T: DeserializeOwned>(
     record: &mut Option<Versioned<T>>,
     value: Option<Value>,
@@ -44,62 +44,60 @@
 }
 
 impl Replica {
-    /// Applies a change that the state service reported. Returns the key if it changed
-    /// anything here.
+    /// Applies a change that the state service reported. Returns the key if the replica
+    /// changed.
     pub fn apply_event(&mut self, key: &str, value: Option<Value>, version: u64) -> Option<Key> {
         let Some(key) = Key::parse(key) else {
             log::debug!("key={key}: unknown kind of record, ignored");
             return None;
         };
-        // Guards against an answer to an older read that comes in late: the copy is
-        // complete up to its revision, and what such an answer shows as there may
-        // have been deleted since.
+        // Guards against a late response to an older read. The replica is complete up to its
+        // revision, and a record in such a response may have been deleted since.
         if version <= self.revision || self.is_known(&key, version) {
             return None;
         }
         self.write(&key, value, version).then_some(key)
     }
 
-    /// Applies a change of our own that was committed with the revision `version`.
+    /// Applies a change that this controller committed with the revision `version`.
     pub fn apply_own(&mut self, key: &Key, value: Option<Value>, version: u64) {
         if self.is_known(key, version) {
             return;
         }
         if version > self.revision {
-            self.ahead.insert(key.clone(), version);
+            self.own_changes.insert(key.clone(), version);
         }
         self.write(key, value, version);
     }
 
-    /// Whether a change of this version, or a later one, of a record has been applied.
+    /// Whether this version of a record, or a later one, has been applied.
     fn is_known(&self, key: &Key, version: u64) -> bool {
-        version <= self.version(key) || self.ahead.get(key).is_some_and(|own| version <= *own)
+        version <= self.version(key) || self.own_changes.get(key).is_some_and(|own| version <= *own)
     }
 
-    /// The copy is now complete up to `revision`.
+    /// Marks the replica as complete up to `revision`.
     pub fn complete_up_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
         let complete = self.revision;
-        self.ahead.retain(|_, version| *version > complete);
+        self.own_changes.retain(|_, version| *version > complete);
     }
 
-    /// Writes a record and brings the indexes up to date. Returns whether the value could
-    /// be read.
+    /// Writes a record and updates the indexes. Returns whether the value could be decoded.
     fn write(&mut self, key: &Key, value: Option<Value>, version: u64) -> bool {
         let written = self.write_record(key, value, version);
         if let Err(error) = &written {
-            // A record that can't be read is left as it was known: it was written by a
-            // later version of this program, or is damaged.
+            // The replica keeps the last readable value. An unreadable record is damaged or
+            // was written by a later version of this program.
             log::error!("key={}: record can't be read: {error}", key.text());
         }
-        let is_of_machines = matches!(
+        let is_machine_record = matches!(
             key,
             Key::Machine(_) | Key::MachineBatch(_) | Key::Activation(..)
         );
-        if is_of_machines && written.is_ok() {
-            self.unreadable.remove(key);
-        } else if is_of_machines {
-            self.unreadable.insert(key.clone());
+        if is_machine_record && written.is_ok() {
+            self.unreadable_machine_records.remove(key);
+        } else if is_machine_record {
+            self.unreadable_machine_records.insert(key.clone());
         }
         written.is_ok()
     }
@@ -167,7 +165,7 @@
         self.add_to_indexes(job);
         written?;
         self.update_dependents(job);
-        // A job that is over passes nothing on to those that it needed any more.
+        // The dependencies of a job that has ended inherit nothing from it any more.
         if self.open_spec(job).is_none() {
             for dependency in dependencies {
                 self.propagate(&dependency);
--- a/src/state_store/replica/jobs.rs
+++ b/src/state_store/replica/jobs.rs
@@ -1,5 +1,5 @@
-//! Indexes over the jobs' records: ready jobs by team and region, and what follows for a job
-//! from the records of the jobs that it needs or that need it.
+//! Indexes over the jobs' records: ready jobs by team and region, and the effects of a job's
+//! record on its dependents and dependencies.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 }
 
 impl Replica {
-    /// Stage of a job: as on record, or cancelled along with one that it needs.
+    /// Stage of a job: cancelled if a dependency is, otherwise the stage on record.
     pub fn stage(&self, id: &str) -> Option<JobStage> {
         let on_record = self.jobs.get(id)?.value.stage;
         if self.pipelines.cancelled_upstream().contains(id) {
@@ -32,13 +32,13 @@
         Some(on_record)
     }
 
-    /// Whether all that a job needs is done.
+    /// Whether all dependencies of a job are done.
     pub fn is_ready(&self, spec: &JobSpec) -> bool {
         spec.dependencies.is_empty()
             || self.pipelines.readiness(spec, &self.jobs) == Readiness::Ready
     }
 
-    /// The specs of the ready jobs, by name.
+    /// Names, records and specs of the ready jobs, ordered by name.
     pub fn open_jobs(&self) -> impl Iterator<Item = (&String, &JobRecord, &Rc<JobSpec>)> {
         self.ready_jobs.iter().filter_map(|id| {
             let record = &self.jobs.get(id)?.value;
@@ -46,46 +46,48 @@
         })
     }
 
-    /// The job that ends a pipeline of which this one is a step.
+    /// The job that ends the pipeline of which `id` is a step.
     pub fn pipeline_end<'a>(&'a self, id: &'a str) -> Option<PipelineEnd<'a>> {
         self.pipelines.end_of(id, &self.jobs)
     }
 
-    /// Jobs that wait for others of which there is no record.
+    /// Jobs that wait for a dependency without a record.
     pub fn waiting_for_unknown(&self) -> Vec<&String> {
         let needs_unknown = |id: &&String| {
             self.open_spec(id).is_some_and(|spec| {
                 let mut dependencies = spec.dependencies.iter();
-                dependencies.any(|needed| !self.jobs.contains_key(needed))
+                dependencies.any(|dependency| !self.jobs.contains_key(dependency))
             })
         };
         let waiting = self.pipelines.waiting().iter();
         waiting.filter(needs_unknown).collect()
     }
 
-    /// Jobs whose effective spec changed because of another's record, since the last call.
-    pub fn take_respecified(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.respecified).into_iter().collect()
+    /// Jobs whose effective spec changed because of another job's record, since the last call.
+    pub fn take_changed_specs(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.changed_specs)
+            .into_iter()
+            .collect()
     }
 
-    /// Whether a change of priority or deadline is still to be propagated along a chain.
+    /// Whether a change of priority or deadline is not fully propagated yet.
     pub fn has_unpropagated(&self) -> bool {
         self.pipelines.has_unpropagated()
     }
 
-    /// Propagates such a change by a bounded number of steps.
+    /// Continues the propagation of priority and deadline for a bounded number of steps.
     pub fn continue_propagation(&mut self) {
         let changed = self.pipelines.continue_propagation(&mut self.jobs);
-        self.respecified.extend(changed);
+        self.changed_specs.extend(changed);
     }
 
-    /// The spec of a job that is not over.
+    /// The effective spec of a job that has not ended.
     pub(super) fn open_spec(&self, id: &str) -> Option<&Rc<JobSpec>> {
         self.jobs.get(id)?.value.open_spec()
     }
 
-    /// A job's record changed: those that need it may be ready, or cancelled along, and
-    /// the effective specs of those that it needs may change.
+    /// Updates other jobs after a change of a job's record: its dependents may become ready or
+    /// be cancelled along with it, and the effective specs of its dependencies may change.
     pub(super) fn update_dependents(&mut self, id: &str) {
         let mut ended = vec![id.to_owned()];
         while let Some(id) = ended.pop() {
@@ -102,11 +104,11 @@
         self.propagate(id);
     }
 
-    /// Brings the indexes up to date for a job that needs `ended`. Returns whether it is
-    /// now cancelled along with it.
+    /// Updates the indexes for a dependent of the job `ended`. Returns whether the dependent is
+    /// now cancelled along with that job.
     fn update_dependent(&mut self, dependent: &str, ended: &str) -> bool {
-        // Guards against a job that is reached by many paths being followed on as
-        // often: with a few dozen steps two wide that would never end.
+        // Guards against visiting a job once for each path that leads to it. With a few dozen
+        // steps of two jobs each, following every path would never finish.
         if self.pipelines.cancelled_upstream().contains(dependent) {
             return false;
         }
@@ -123,10 +125,10 @@
         false
     }
 
-    /// Propagates what a job passes on to those that it needs.
+    /// Propagates priority and deadline of a job to its dependencies.
     pub(super) fn propagate(&mut self, id: &str) {
         let changed = self.pipelines.propagate(id, &mut self.jobs);
-        self.respecified.extend(changed);
+        self.changed_specs.extend(changed);
     }
 
     /// Adds an open job to the indexes.
@@ -136,7 +138,7 @@
         };
         let stored = spec.stored_spec.as_ref().unwrap_or(spec).clone();
         let readiness = self.pipelines.insert(id, &stored, &self.jobs);
-        // From the first on with its effective spec: the indexes go by it.
+        // The indexes below use the effective spec, so it is updated first.
         self.pipelines.update(id, &mut self.jobs);
         if readiness == Readiness::Ready {
             self.add_ready_job(id);
@@ -194,7 +196,7 @@
     }
 }
 
-/// The regions that tasks of a job are bound to, each once.
+/// Returns the regions to which tasks of a job are bound.
 fn bound_regions(record: &JobRecord) -> BTreeSet<&str> {
     let ranges = record.task_ranges.iter();
     ranges.map(|range| &*range.region).collect()
--- a/src/state_store/replica/machines.rs
+++ b/src/state_store/replica/machines.rs
@@ -1,5 +1,5 @@
-//! Machines, derived from records of their own, batches and activation records, and their
-//! number by region and pool.
+//! Machines, derived from machine records, machine batches and activation records, and the
+//! number of machines by region and pool.
 
 use std::rc::Rc;
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Puts or removes a batch and its machines.
+    /// Puts or removes a batch along with its machines.
     pub(super) fn set_batch(&mut self, id: &str, record: Option<MachineBatchRecord>, version: u64) {
         self.remove_machines_not_in(id, record.as_ref(), version);
         let Some(value) = record else { return };
@@ -68,7 +68,7 @@
             .insert(id.to_owned(), Versioned { value, version });
     }
 
-    /// Removes a batch, and of its machines those that its new record doesn't have.
+    /// Removes a batch and those of its machines that its new record doesn't contain.
     fn remove_machines_not_in(
         &mut self,
         id: &str,
@@ -92,7 +92,8 @@
         let activated = self.activated_in(&record.region, id);
         for (index, name) in record.machines.iter().enumerate() {
             let known = self.machines.get(name).map(|machine| &machine.value);
-            // A record of its own, written by an earlier version, has precedence.
+            // A separate machine record, written by an earlier version of this program, takes
+            // precedence.
             if name.is_empty() || known.is_some_and(|machine| !is_in_batch(machine, id)) {
                 continue;
             }
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The activation records of a region, by number.
+    /// The activation records of a region, ordered by number.
     pub fn activations_of(
         &self,
         region: &str,
@@ -126,7 +127,7 @@
         records.map(|(key, record)| (key.number, record))
     }
 
-    /// The indexes of a batch's machines that were activated.
+    /// Returns the indexes of the activated machines in a batch.
     fn activated_in(&self, region: &str, batch: &str) -> RangeSet {
         let mut activated = RangeSet::default();
         for (_, record) in self.activations_of(region) {
--- a/src/state_store/replica/progress.rs
+++ b/src/state_store/replica/progress.rs
@@ -1,4 +1,4 @@
-//! Finished tasks on record.
+//! Access to the records of finished tasks.
 
 use salttiller_records::bitmap::{count_bits, decode_bitmap};
 use salttiller_records::model::RangeSet;
@@ -6,7 +6,7 @@
 use super::{ProgressKey, Replica, Versioned};
 
 impl Replica {
-    /// The bitmap of finished tasks of a job's chunk that a region recorded.
+    /// Returns the bitmap of finished tasks that a region recorded for a chunk of a job.
     pub fn progress(&self, job: &str, region: &str, chunk: u32) -> Option<&Versioned<String>> {
         self.progress.get(job)?.get(&ProgressKey {
             region: region.to_owned(),
@@ -14,7 +14,7 @@
         })
     }
 
-    /// Finished tasks of a job that are on record, over all regions.
+    /// Returns the recorded finished tasks of a job, over all regions.
     pub fn done_tasks(&self, job: &str) -> RangeSet {
         let mut done = RangeSet::default();
         for (key, bitmap) in self.progress.get(job).into_iter().flatten() {
@@ -23,8 +23,8 @@
         done
     }
 
-    /// How many tasks of a job are done on record. Counts the bits of a single record as
-    /// they are, since it is called with every request about a job.
+    /// Returns the number of recorded finished tasks of a job. A single record is counted
+    /// without decoding, because every request about a job calls this function.
     pub fn done_count(&self, job: &str) -> u32 {
         let Some(chunks) = self.progress.get(job) else {
             return 0;
@@ -33,7 +33,7 @@
         if let (Some(only), None) = (bitmaps.next(), bitmaps.next()) {
             return count_bits(&only.value);
         }
-        // Several regions may have found the same task done.
+        // Several regions may have recorded the same task as finished.
         self.done_tasks(job).len()
     }
 }
--- a/src/state_store/replica/tests.rs
+++ b/src/state_store/replica/tests.rs
@@ -1,10 +1,9 @@
-//! Tests of applying changes.
+//! Tests of applying changes to the replica.
 
 use super::*;
 use serde_json::json;
 
-/// An event that is older than what we wrote ourselves must not undo it:
-/// neither a change nor a deletion.
+/// Guards against a late event that undoes a later change or deletion by this controller.
 #[test]
 fn late_events_do_not_undo_later_changes() {
     let mut replica = Replica::default();
@@ -26,7 +25,7 @@
         .is_none());
     assert!(replica.machines.is_empty());
     replica.complete_up_to(12);
-    // An answer to a read from before the deletion, overtaken by a later one.
+    // A late response to a read that was sent before the deletion.
     assert!(replica
         .apply_event("st/machine/m-1", Some(machine("c")), 11)
         .is_none());
--- a/src/state_store/tests.rs
+++ b/src/state_store/tests.rs
@@ -4,9 +4,10 @@
 
 use super::*;
 
-/// An answer that is too large to read is asked for again by pages, which are bounded.
+/// Guards against a watch whose response always exceeds the size limit: the client switches to
+/// a full read, whose pages are bounded.
 #[test]
-fn a_watch_that_is_too_large_is_read_by_pages() {
+fn an_oversized_watch_response_starts_a_full_read() {
     let settings = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
     let mut store = StateStore::new(&settings);
     store.loader = Loader::done();
@@ -16,17 +17,17 @@
         .iter()
         .find(|c| c.target.starts_with("/follow"))
         .unwrap();
-    let end = Err(CallError::TooLarge);
-    store.on_response(watch.op, end, SECOND, &mut events);
+    let too_large = Err(CallError::TooLarge);
+    store.on_response(watch.op, too_large, SECOND, &mut events);
     assert!(!store.is_loaded());
     let (calls, _) = store.pump(2 * SECOND, &mut events);
     assert!(calls.iter().any(|c| c.target.starts_with("/store")));
 }
 
-/// What is sent to the state service, as bytes: transactions, asking for a lease and
-/// renewing it; and the targets of reads.
+/// Guards against unintended changes of the protocol: compares the bytes of commits, lease
+/// acquisitions and renewals, and the targets of reads, with the fixtures.
 #[test]
-fn calls_to_the_state_service_keep_their_bytes() {
+fn requests_to_the_state_service_match_the_fixtures() {
     let files = crate::fixtures::read(include_str!("fixtures/state-service.hex"));
     let settings = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
     let mut store = StateStore::new(&settings);
@@ -36,7 +37,7 @@
         let (calls, _) = store.pump(now, &mut events);
         let call = calls.iter().find(|c| c.target == target);
         let targets: Vec<_> = calls.iter().map(|c| &c.target).collect();
-        let call = call.unwrap_or_else(|| panic!("{target}: {targets:?}"));
+        let call = call.unwrap_or_else(|| panic!("expected a call to {target}, got {targets:?}"));
         let (method, body) = match body {
             Some(name) => ("POST", files[name].as_slice()),
             None => ("GET", &[][..]),
@@ -60,9 +61,9 @@
     check(&mut store, 3 * SECOND, follow, None);
 
     store.request_lease(LeaseRole::Owner);
-    let asked = check(&mut store, 4 * SECOND, "/grants", Some("ask"));
+    let acquisition = check(&mut store, 4 * SECOND, "/grants", Some("ask"));
     let granted = Ok(Response::new(200, files["granted"].clone()));
-    store.on_response(asked, granted, 4 * SECOND, &mut Vec::new());
+    store.on_response(acquisition, granted, 4 * SECOND, &mut Vec::new());
     assert_eq!(store.lease_id(LeaseRole::Owner), Some(77));
     let renew = "/grants/77/renew";
     check(&mut store, 6 * SECOND, renew, Some("renew"));
@@ -99,6 +100,9 @@
         let ended = events.iter().any(
             |e| matches!(e, StateStoreEvent::CommitEnded { ticket: ended, outcome: CommitOutcome::Committed(70_001) } if *ended == ticket),
         );
-        assert!(ended, "{name}: {events:?}");
+        assert!(
+            ended,
+            "{name}: expected a commit at revision 70001, got {events:?}"
+        );
     }
 }
--- a/src/state_store/transaction.rs
+++ b/src/state_store/transaction.rs
@@ -1,29 +1,29 @@
-//! Transactions: changes of records under conditions, as they are sent to the state service.
+//! Transactions: conditional changes of records, and their form on the wire.
 
 use salttiller_records::key::Key;
 use serde_json::{json, Value};
 
 use crate::fault_injection::{is_disabled, Safeguard};
 
-/// A change of records, all or nothing.
+/// An atomic, conditional change of records.
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
-    /// Records it relies on, with the revision they must have (0: absent).
+    /// Records that must be unchanged, each with its expected revision (0: absent).
     pub conditions: Vec<(Key, u64)>,
-    /// Puts, and deletions (`None`).
+    /// Records to put, or to delete if the value is `None`.
     pub changes: Vec<(Key, Option<Value>)>,
-    /// Attach the puts of this key to the lease with this id.
+    /// Key whose put is attached to the lease with this id.
     pub lease: Option<(Key, u64)>,
 }
 
 impl Transaction {
-    /// The key of the first change as text, for logs.
+    /// Returns the key of the first change as text, for logs.
     pub(super) fn first_key(&self) -> String {
         let first = self.changes.first();
         first.map_or_else(String::new, |(key, _)| key.text())
     }
 
-    /// The body of the request that commits it.
+    /// Returns the body of the commit request.
     pub(super) fn request_body(&self) -> Value {
         let conditions: &[_] = if is_disabled(Safeguard::RevisionConditions) {
             &[]
--- a/src/state_store/versioned.rs
+++ b/src/state_store/versioned.rs
@@ -5,6 +5,6 @@
 pub struct Versioned<T> {
     /// The record.
     pub value: T,
-    /// Its revision.
+    /// Revision of the record's last change.
     pub version: u64,
 }
