--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -97,7 +97,7 @@
     /// returned when idle.
     fn on_list(&mut self, list: &[ListedMachine], context: &SchedulingContext<'_>) {
         // A record that can't be read may belong to a listed machine.
-        if !context.replica.unreadable.is_empty() {
+        if !context.replica.unreadable_machine_records.is_empty() {
             return;
         }
         let provisioning = self.provisioning_batches.machine_names();
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -73,7 +73,7 @@
         }
         // Guards against restarting tasks of machines whose records cannot be read. Such tasks
         // have certainly ended only once every lease granted by a former owner has expired.
-        if !context.replica.unreadable.is_empty()
+        if !context.replica.unreadable_machine_records.is_empty()
             && context.now
                 < self.reconciliation.acquired_at
                     + add_drift(context.settings.worker_lease)
