--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -1,8 +1,8 @@
-//! Alerts: what operators are told, each once when it begins and once when it is over.
+//! Alerts to operators, one when a problem begins and one when it ends.
 //!
 //! The monitor watches objectives ([`crate::slo`]), pipelines with a deadline, and conditions
-//! that matter though no objective may be breached yet. The controller shows it the open jobs
-//! and the conditions, and logs the alerts that it returns.
+//! that need attention even while every objective is met. The controller passes in the open
+//! jobs and the current conditions, and logs the alerts that the monitor returns.
 
 mod condition_watch;
 pub mod conditions;
@@ -20,28 +20,28 @@
 use pipelines::{expected_end, PipelineWatch, Step};
 use salttiller_records::units::Micros;
 
-/// Alerts that are kept for the status page.
+/// Maximum number of alerts kept for the status page.
 const MAX_RECENT: usize = 10;
 
-/// What operators are told.
+/// An alert to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Alert {
     /// An objective is breached.
     ObjectiveBreached(String),
-    /// It is met again.
+    /// A breached objective is met again.
     ObjectiveRecovered(String),
-    /// A pipeline will miss its deadline.
+    /// A pipeline is expected to miss its deadline.
     PipelineLate(String),
-    /// It will be in time after all.
+    /// A late pipeline is expected to meet its deadline again.
     PipelineRecovered(String),
     /// A condition began.
     ConditionRaised(String),
-    /// A condition is over.
+    /// A condition has ended.
     ConditionCleared(String),
 }
 
 impl Alert {
-    /// Whether somebody should look at it.
+    /// Whether the alert needs attention, as opposed to reporting a recovery.
     #[must_use]
     pub fn is_warning(&self) -> bool {
         matches!(
@@ -50,7 +50,7 @@
         )
     }
 
-    /// The alert for a change of an objective's state; `cause` is the likely one.
+    /// Creates the alert for a change of an objective's state. `cause` is its likely cause.
     fn for_objective(transition: &Transition, cause: &str) -> Self {
         let Transition {
             objective, figures, ..
@@ -67,27 +67,27 @@
 impl fmt::Display for Alert {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Alert::ObjectiveBreached(what) => write!(f, "aim behind: {what}"),
-            Alert::ObjectiveRecovered(what) => write!(f, "aim met again: {what}"),
-            Alert::PipelineLate(what) => write!(f, "pipeline behind: {what}"),
-            Alert::PipelineRecovered(what) => write!(f, "pipeline in time again: {what}"),
-            Alert::ConditionRaised(what) => write!(f, "{what}"),
-            Alert::ConditionCleared(what) => write!(f, "over: {what}"),
+            Alert::ObjectiveBreached(text) => write!(f, "aim behind: {text}"),
+            Alert::ObjectiveRecovered(text) => write!(f, "aim met again: {text}"),
+            Alert::PipelineLate(text) => write!(f, "pipeline behind: {text}"),
+            Alert::PipelineRecovered(text) => write!(f, "pipeline in time again: {text}"),
+            Alert::ConditionRaised(text) => write!(f, "{text}"),
+            Alert::ConditionCleared(text) => write!(f, "over: {text}"),
         }
     }
 }
 
-/// Watches for what operators should be told.
+/// Monitors objectives, pipelines and conditions, and raises alerts.
 pub struct AlertMonitor {
     slo: SloTracker,
     pipelines: PipelineWatch,
     conditions: ConditionWatch,
-    /// The last alerts, the oldest first.
+    /// Most recent alerts, ordered from oldest to newest.
     recent: VecDeque<String>,
 }
 
 impl AlertMonitor {
-    /// Watches the objectives of the settings, with the operators' thresholds.
+    /// Creates a monitor of the given objectives with the operators' alert thresholds.
     pub fn new(objectives: &[Objective], operator: &OperatorSettings) -> Self {
         AlertMonitor {
             slo: SloTracker::new(objectives, operator),
@@ -97,9 +97,10 @@
         }
     }
 
-    /// Takes the open jobs. `is_done` tells of one that is no longer open whether it was done
-    /// (and not cancelled), `is_open` whether a job is open; `now` is the time of day, `cause`
-    /// what is wrong just now. Returns the alerts to give.
+    /// Evaluates objectives and pipelines against the open jobs, and returns the alerts to raise.
+    /// `is_done` returns whether a job that is no longer open completed, as opposed to being
+    /// cancelled. `is_open` returns whether a job is open. `now` is the time of day, and `cause`
+    /// is the likely cause of missed objectives and deadlines at present.
     pub fn observe_jobs<'a>(
         &mut self,
         open: impl Iterator<Item = ObservedJob<'a>>,
@@ -118,40 +119,40 @@
         let steps = open.iter().filter_map(|job| self.pipeline_step(job, now));
         let steps: Vec<Step<'a>> = steps.collect();
         alerts.extend(self.pipelines.observe(steps.into_iter(), is_open, cause));
-        self.keep(&alerts);
+        self.add_recent(&alerts);
         alerts
     }
 
-    /// An open job as a step of its pipeline, if that has a deadline.
+    /// Returns an open job as a step of its pipeline if the pipeline has a deadline.
     fn pipeline_step<'a>(&self, job: &ObservedJob<'a>, now: Micros) -> Option<Step<'a>> {
         let end = job.pipeline.as_ref()?;
         let started = self.slo.started_at(job.id);
         Some(Step {
             id: job.id,
-            last: end.id,
+            last_job: end.id,
             class: end.class,
             deadline: end.deadline,
             due: job.spec.submitted_at + job.spec.deadline?,
-            expected: expected_end(started, job.spec.estimated_run_time, now),
+            expected_end: expected_end(started, job.spec.estimated_run_time, now),
         })
     }
 
-    /// Takes the conditions that there are just now. Returns the alerts to give.
+    /// Updates the tracked conditions from the current ones, and returns the alerts to raise.
     pub fn observe_conditions(&mut self, current: Vec<Condition>, now: Micros) -> Vec<Alert> {
         let alerts = self.conditions.observe(current, now);
-        self.keep(&alerts);
+        self.add_recent(&alerts);
         alerts
     }
 
-    /// Keeps alerts for the status page.
-    fn keep(&mut self, alerts: &[Alert]) {
+    /// Adds alerts to the recent ones that the status page shows.
+    fn add_recent(&mut self, alerts: &[Alert]) {
         self.recent.extend(alerts.iter().map(Alert::to_string));
         let excess = self.recent.len().saturating_sub(MAX_RECENT);
         self.recent.drain(..excess);
     }
 
-    /// Fills in the objectives and the last alerts of the status page; `now` is the time of
-    /// day.
+    /// Fills in the objectives, late pipelines and recent alerts of the status page. `now` is
+    /// the time of day.
     pub fn fill_status(&mut self, status: &mut Status, now: Micros) {
         status.objectives = self.slo.status(now);
         let late = self.pipelines.late_count() as u32;
--- a/src/alerts/condition_watch.rs
+++ b/src/alerts/condition_watch.rs
@@ -1,5 +1,7 @@
-//! Tracks conditions: each is reported once when it has lasted for a moment, and once when it
-//! is over.
+//! Debounced reporting of conditions.
+//!
+//! Each condition is reported once after it has persisted for a few seconds, and once more after
+//! it has ended.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +9,33 @@
 use super::Alert;
 use salttiller_records::units::{Micros, SECOND};
 
-/// Most conditions named in one round; the others are counted.
-const NAMED_AT_ONCE: usize = 3;
-/// Most conditions that are remembered.
-const MAX_REMEMBERED: usize = 500;
-/// How long a condition must last before it is reported.
-const RAISE_AFTER: Micros = 3 * SECOND;
-/// How long it must be gone before it is over.
-const OVER_AFTER: Micros = 30 * SECOND;
+/// Maximum number of conditions that one observation reports by name. Further new conditions are
+/// counted in a single alert.
+const MAX_NAMED_ALERTS: usize = 3;
+/// Maximum number of conditions that are tracked.
+const MAX_TRACKED: usize = 500;
+/// Time for which a condition must persist before it is reported.
+const RAISE_DELAY: Micros = 3 * SECOND;
+/// Time for which a reported condition must be absent before it counts as ended.
+const CLEAR_DELAY: Micros = 30 * SECOND;
 
-/// State of a condition that is tracked.
+/// State of a tracked condition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConditionState {
-    /// Observed, and not reported yet.
+    /// The condition was observed and is not reported yet.
     Pending,
-    /// Reported.
+    /// The condition was reported.
     Reported,
 }
 
+/// A condition with its state and the times of its observations.
 #[derive(Debug)]
 struct TrackedCondition {
     state: ConditionState,
-    /// When it was first observed.
-    first: Micros,
-    /// When it was last observed.
-    last: Micros,
+    /// Time of the first observation.
+    first_seen: Micros,
+    /// Time of the latest observation.
+    last_seen: Micros,
 }
 
 /// Tracks conditions by their subject.
@@ -41,27 +45,27 @@
 }
 
 impl ConditionWatch {
-    /// Takes the conditions that there are just now. Returns the alerts to give.
+    /// Updates the tracked conditions from the current ones, and returns the alerts to raise.
     pub(super) fn observe(&mut self, current: Vec<Condition>, now: Micros) -> Vec<Alert> {
         let mut alerts = Vec::new();
         let mut unnamed = 0;
         for condition in current {
             let subject = condition.subject();
-            let full = self.tracked.len() >= MAX_REMEMBERED;
-            if full && !self.tracked.contains_key(&subject) {
+            let is_full = self.tracked.len() >= MAX_TRACKED;
+            if is_full && !self.tracked.contains_key(&subject) {
                 continue;
             }
             let tracked = self.tracked.entry(subject).or_insert(TrackedCondition {
                 state: ConditionState::Pending,
-                first: now,
-                last: now,
+                first_seen: now,
+                last_seen: now,
             });
-            tracked.last = now;
-            if tracked.state == ConditionState::Reported || now < tracked.first + RAISE_AFTER {
+            tracked.last_seen = now;
+            if tracked.state == ConditionState::Reported || now < tracked.first_seen + RAISE_DELAY {
                 continue;
             }
             tracked.state = ConditionState::Reported;
-            if alerts.len() < NAMED_AT_ONCE {
+            if alerts.len() < MAX_NAMED_ALERTS {
                 alerts.push(Alert::ConditionRaised(condition.to_string()));
             } else {
                 unnamed += 1;
@@ -70,25 +74,29 @@
         if unnamed > 0 {
             alerts.push(Alert::ConditionRaised(format!("{unnamed} more")));
         }
-        alerts.extend(self.clear_over(now));
+        alerts.extend(self.clear_ended(now));
         alerts
     }
 
-    /// Forgets conditions that are over. Returns alerts for those that were reported.
-    fn clear_over(&mut self, now: Micros) -> Vec<Alert> {
-        let mut over = Vec::new();
+    /// Removes the conditions that have ended. Returns alerts for up to `MAX_NAMED_ALERTS` of those
+    /// that had been reported.
+    fn clear_ended(&mut self, now: Micros) -> Vec<Alert> {
+        let mut cleared = Vec::new();
         self.tracked.retain(|subject, tracked| {
-            let wait = match tracked.state {
-                ConditionState::Pending => RAISE_AFTER,
-                ConditionState::Reported => OVER_AFTER,
+            let delay = match tracked.state {
+                ConditionState::Pending => RAISE_DELAY,
+                ConditionState::Reported => CLEAR_DELAY,
             };
-            let gone = now > tracked.last + wait;
-            if gone && tracked.state == ConditionState::Reported && over.len() < NAMED_AT_ONCE {
-                over.push(Alert::ConditionCleared(subject.clone()));
+            let ended = now > tracked.last_seen + delay;
+            if ended
+                && tracked.state == ConditionState::Reported
+                && cleared.len() < MAX_NAMED_ALERTS
+            {
+                cleared.push(Alert::ConditionCleared(subject.clone()));
             }
-            !gone
+            !ended
         });
-        over
+        cleared
     }
 }
 
--- a/src/alerts/conditions.rs
+++ b/src/alerts/conditions.rs
@@ -1,57 +1,57 @@
-//! Conditions that operators should know of though no objective may be breached yet.
+//! Conditions that operators are alerted to even while every objective is met.
 
 use std::fmt;
 
 use salttiller_records::units::{to_seconds, Micros};
 
-/// Something that operators should know of.
+/// A condition that operators are alerted to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
-    /// Machines of a pool become ready late or not at all.
+    /// Machines of a pool become ready late or never.
     ProvisioningFailing {
-        /// Machine type.
+        /// Machine type of the pool.
         machine_type: String,
-        /// Zone.
+        /// Zone of the pool.
         zone: String,
-        /// Spot or on-demand.
+        /// Whether the pool consists of spot instances, as opposed to on-demand ones.
         spot: bool,
-        /// Machines that are overdue.
+        /// Number of overdue machines.
         overdue: u32,
-        /// For how long the first has been.
+        /// Time for which the first of them has been overdue.
         since: Micros,
     },
-    /// Users poll their jobs many times as often as usual.
+    /// Users poll their jobs far more often than usual.
     PollStorm {
-        /// Polls a second at this controller.
+        /// Polls per second at this controller.
         rate: u32,
-        /// The usual rate.
+        /// Usual number of polls per second.
         usual: u32,
     },
     /// Workers of a region don't reach its owner.
     OwnerUnreachable {
-        /// Region.
+        /// Name of the region.
         region: String,
-        /// Machines that turn to this controller.
+        /// Number of machines that contact this controller instead.
         machines: usize,
     },
-    /// The state store lost records; this controller holds.
+    /// The state store lost records, and this controller is in a data-loss hold.
     DataLoss {
-        /// What was seen.
+        /// Description of the evidence.
         seen: String,
     },
-    /// A job fails on machine after machine.
+    /// A job fails on every machine that runs it.
     JobFailing {
-        /// Job.
+        /// Id of the job.
         job: String,
-        /// Its team.
+        /// Team of the job.
         team: String,
-        /// Its class.
+        /// Class of the job.
         class: String,
     },
 }
 
 impl Condition {
-    /// What it is about, without its figures.
+    /// Description without figures, which identifies the condition while its figures change.
     pub(super) fn subject(&self) -> String {
         match self {
             Condition::ProvisioningFailing {
--- a/src/alerts/pipelines.rs
+++ b/src/alerts/pipelines.rs
@@ -1,78 +1,83 @@
-//! Pipelines that will miss their deadline: each is reported once when the estimates of
-//! what is left no longer fit, and once when they fit again.
+//! Detection of pipelines that are expected to miss their deadline.
+//!
+//! Each pipeline is reported once when the estimated time of its remaining steps exceeds the time
+//! to its deadline, and once more when the remaining steps fit again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Alert;
 use salttiller_records::units::{to_seconds, Micros, SECOND};
 
-/// Most pipelines named in one round; the others are counted.
-const NAMED_AT_ONCE: usize = 3;
-/// Most pipelines that are remembered as late.
+/// Maximum number of late pipelines that one observation reports by name. Further pipelines are
+/// counted in a single alert.
+const MAX_NAMED_ALERTS: usize = 3;
+/// Maximum number of late pipelines that are tracked.
 const MAX_LATE: usize = 1_000;
 
-/// A step of a pipeline that is next to run, or runs.
+/// A step of a pipeline that runs, or is the next to run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Step<'a> {
-    /// The step's job.
+    /// Id of the step's job.
     pub id: &'a str,
-    /// The job that ends the pipeline, with a deadline of its own.
-    pub last: &'a str,
-    /// That job's class.
+    /// Id of the job that ends the pipeline, which has a deadline of its own.
+    pub last_job: &'a str,
+    /// Class of the last job.
     pub class: &'a str,
-    /// That job's deadline, counted from its submission.
+    /// Deadline of the last job, relative to its submission.
     pub deadline: Micros,
-    /// By what time of day this step must be done for the rest to be in time.
+    /// Time of day by which this step must be done for the pipeline to meet its deadline.
     pub due: Micros,
-    /// When it will be done by its owner's estimate.
-    pub expected: Micros,
+    /// Time of day at which the step is expected to be done, by its estimated run time.
+    pub expected_end: Micros,
 }
 
-/// Tracks which pipelines will miss their deadline.
+/// Tracks the pipelines that are expected to miss their deadline.
 #[derive(Debug)]
 pub(super) struct PipelineWatch {
-    /// How far ahead of its deadline a late pipeline must be to recover, as a share of it.
-    margin: f64,
+    /// Share of the deadline by which a late pipeline must be early to count as recovered.
+    recovery_margin: f64,
+    /// Late pipelines, each identified by its last job.
     late: BTreeSet<String>,
 }
 
 impl PipelineWatch {
-    /// No pipeline is late yet. `margin` is the share of its deadline that one must be ahead
-    /// of it to count as recovered.
-    pub(super) fn new(margin: f64) -> Self {
+    /// Creates a watch without late pipelines. `recovery_margin` is the share of its deadline by
+    /// which a late pipeline must be early to count as recovered.
+    pub(super) fn new(recovery_margin: f64) -> Self {
         PipelineWatch {
-            margin,
+            recovery_margin,
             late: BTreeSet::new(),
         }
     }
 
-    /// How many pipelines are late.
+    /// Number of late pipelines.
     pub(super) fn late_count(&self) -> usize {
         self.late.len()
     }
 
-    /// Takes the steps that are next in all pipelines. Returns the alerts to give.
+    /// Updates the late pipelines from the steps that run or are next, and returns the alerts to
+    /// raise. `is_open` returns whether a job is open, and `cause` is the likely cause of delays.
     pub(super) fn observe<'a>(
         &mut self,
         steps: impl Iterator<Item = Step<'a>>,
         is_open: impl Fn(&str) -> bool,
         cause: &str,
     ) -> Vec<Alert> {
-        // One that is over is judged by its class's objective.
+        // A pipeline that has ended is evaluated by the objectives of its class.
         self.late.retain(|last| is_open(last));
         let mut alerts = Vec::new();
         let mut unnamed = 0;
-        for step in slowest_steps(steps) {
+        for step in most_delayed_steps(steps) {
             let delay = lateness(&step);
-            let spare = (step.deadline as f64 * self.margin) as i64;
-            if self.late.contains(step.last) {
-                if delay <= -spare {
-                    self.late.remove(step.last);
+            let required_slack = (step.deadline as f64 * self.recovery_margin) as i64;
+            if self.late.contains(step.last_job) {
+                if delay <= -required_slack {
+                    self.late.remove(step.last_job);
                     alerts.push(Alert::PipelineRecovered(describe_recovered(&step)));
                 }
             } else if delay > 0 && self.late.len() < MAX_LATE {
-                self.late.insert(step.last.to_owned());
-                if alerts.len() < NAMED_AT_ONCE {
+                self.late.insert(step.last_job.to_owned());
+                if alerts.len() < MAX_NAMED_ALERTS {
                     alerts.push(Alert::PipelineLate(describe_late(&step, cause)));
                 } else {
                     unnamed += 1;
@@ -86,40 +91,44 @@
     }
 }
 
-/// The step of each pipeline that will be latest, by the pipeline's last job.
-fn slowest_steps<'a>(steps: impl Iterator<Item = Step<'a>>) -> impl Iterator<Item = Step<'a>> {
-    let mut slowest: BTreeMap<&str, Step<'a>> = BTreeMap::new();
+/// Returns the most delayed step of each pipeline, ordered by the pipeline's last job.
+fn most_delayed_steps<'a>(steps: impl Iterator<Item = Step<'a>>) -> impl Iterator<Item = Step<'a>> {
+    let mut most_delayed: BTreeMap<&str, Step<'a>> = BTreeMap::new();
     for step in steps {
-        let known = slowest.entry(step.last).or_insert(step);
+        let known = most_delayed.entry(step.last_job).or_insert(step);
         if lateness(&step) > lateness(known) {
             *known = step;
         }
     }
-    slowest.into_values()
+    most_delayed.into_values()
 }
 
-/// How much later than it must be a step will be done; negative if it has time to spare.
+/// Time by which a step is expected to be done after it is due; negative if it is early.
 fn lateness(step: &Step<'_>) -> i64 {
-    step.expected as i64 - step.due as i64
+    step.expected_end as i64 - step.due as i64
 }
 
 fn describe_late(step: &Step<'_>, cause: &str) -> String {
-    let late = to_seconds(step.expected - step.due);
+    let late = to_seconds(step.expected_end - step.due);
     let Step {
-        id, last, class, ..
+        id,
+        last_job,
+        class,
+        ..
     } = step;
     format!(
-        "{last} of {class}: {late:.0} s late by the estimates, {id} is next, likely cause: {cause}"
+        "{last_job} of {class}: {late:.0} s late by the estimates, {id} is next, \
+         likely cause: {cause}"
     )
 }
 
 fn describe_recovered(step: &Step<'_>) -> String {
-    let spare = to_seconds(step.due.saturating_sub(step.expected)).max(0.0);
-    format!("{} of {}: {spare:.0} s to spare", step.last, step.class)
+    let slack = to_seconds(step.due.saturating_sub(step.expected_end)).max(0.0);
+    format!("{} of {}: {slack:.0} s to spare", step.last_job, step.class)
 }
 
-/// When a step will be done by its estimate: one that runs has that less before it, but
-/// is not taken for done because it should be.
+/// Time at which a step is expected to be done by its estimated run time. A running step that has
+/// exceeded its estimate is expected to end in a second, since it is not done yet.
 pub(super) fn expected_end(started: Option<Micros>, estimate: Micros, now: Micros) -> Micros {
     match started {
         Some(at) => (at + estimate).max(now + SECOND),
--- a/src/alerts/poll_rate.rs
+++ b/src/alerts/poll_rate.rs
@@ -1,21 +1,21 @@
-//! The rate at which users poll their jobs, and whether it is far above the usual one.
+//! Measurement of the rate at which users poll their jobs, and detection of poll storms.
 
 use super::conditions::Condition;
 use salttiller_records::units::{to_seconds, Micros};
 
-/// So many times the usual rate are a storm.
+/// Multiple of the usual rate above which polls count as a storm.
 const STORM_FACTOR: f64 = 4.0;
-/// Fewer a second are none, whatever is usual.
+/// Minimum rate of a storm in polls per second, regardless of the usual rate.
 const MIN_STORM_RATE: f64 = 20.0;
-/// Weight of a sample in the moving average that is the usual rate.
+/// Weight of a new sample in the exponential moving average that forms the usual rate.
 const SMOOTHING: f64 = 0.05;
 
-/// Measures the rate of polls.
+/// Measures the rate of polls and compares it with the usual rate.
 #[derive(Debug, Default)]
 pub struct PollRate {
-    /// Polls since the last sample.
+    /// Number of polls since the last sample.
     count: u32,
-    /// The usual rate, a second; 0 before the first sample.
+    /// Usual rate in polls per second; 0 before the first sample.
     usual: f64,
     sampled_at: Option<Micros>,
 }
@@ -26,8 +26,8 @@
         self.count = self.count.saturating_add(1);
     }
 
-    /// Samples the rate since the last sample. Returns the condition if it is a storm; the
-    /// usual rate doesn't follow a storm.
+    /// Samples the rate since the last sample, and returns a condition if the rate is a storm. A
+    /// storm is not included in the usual rate.
     pub fn sample(&mut self, now: Micros) -> Option<Condition> {
         let last = self.sampled_at.replace(now);
         let count = std::mem::take(&mut self.count);
--- a/src/alerts/poll_rate/tests.rs
+++ b/src/alerts/poll_rate/tests.rs
@@ -1,30 +1,31 @@
-//! Tests of the rate of polls.
+//! Tests of the detection of poll storms.
 
 use super::*;
 use salttiller_records::units::SECOND;
 
-/// Many times the usual rate of polls is a storm, a slow rise and a few more are not.
+/// A poll rate of many times the usual rate is a storm. A slow rise is none, and neither is a high
+/// multiple of a low usual rate.
 #[test]
-fn a_storm_differs_from_a_rise() {
+fn only_sudden_high_rates_are_storms() {
     let mut rate = PollRate::default();
     let mut now = 0;
-    let mut second = |polls: u32| {
+    let mut sample_second = |polls: u32| {
         (0..polls).for_each(|_| rate.record());
         now += SECOND;
         rate.sample(now)
     };
     for _ in 0..60 {
-        assert_eq!(second(10), None);
+        assert_eq!(sample_second(10), None);
     }
     for _ in 0..100 {
-        let Some(Condition::PollStorm { rate, usual }) = second(80) else {
-            panic!("no storm");
+        let Some(Condition::PollStorm { rate, usual }) = sample_second(80) else {
+            panic!("80 polls per second are a storm");
         };
         assert_eq!((rate, usual), (80, 10));
     }
-    assert_eq!(second(30), None);
+    assert_eq!(sample_second(30), None);
     for polls in (10..200).step_by(5) {
-        (0..10).for_each(|_| assert_eq!(second(polls), None, "{polls}"));
+        (0..10).for_each(|_| assert_eq!(sample_second(polls), None, "no storm at {polls} polls"));
     }
     let mut quiet = PollRate::default();
     for (at, polls) in [(1, 1), (2, 1), (3, 15), (4, 1)] {
--- a/src/alerts/tests.rs
+++ b/src/alerts/tests.rs
@@ -5,13 +5,13 @@
 use salttiller_records::units::SECOND;
 
 fn monitor(margin: f64) -> AlertMonitor {
-    let o = |kind: &str, class: Option<&str>, share: f64| Objective {
+    let objective = |kind: &str, class: Option<&str>, target: f64| Objective {
         kind: kind.into(),
         class: class.map(Into::into),
         threshold: Some(10 * SECOND),
-        target: share,
+        target,
     };
-    let op = OperatorSettings {
+    let operator = OperatorSettings {
         alert_window: 100 * SECOND,
         alert_min_jobs: 3,
         alert_recovery_margin: margin,
@@ -19,16 +19,16 @@
     };
     AlertMonitor::new(
         &[
-            o("wait", Some("x"), 0.5),
-            o("guarantee", None, 0.5),
-            o("useful", None, 0.9),
+            objective("wait", Some("x"), 0.5),
+            objective("guarantee", None, 0.5),
+            objective("useful", None, 0.9),
         ],
-        &op,
+        &operator,
     )
 }
 
 fn spec(class: &str, submitted: Micros) -> JobSpec {
-    let (_, mut s) = crate::admission::parse_submission(
+    let (_, mut spec) = crate::admission::parse_submission(
         &rmp_serde::to_vec(
             &serde_json::json!({"nameId":"req-1","crop":class,"crew":"t","furrow":"batch",
             "rank":"standard","sheaves":1,"cores":1,"cards":0,"memoryGb":1,"seed":"i","sizeGb":1,
@@ -38,35 +38,35 @@
         submitted,
     )
     .unwrap();
-    s.submitted_at = submitted;
-    s
+    spec.submitted_at = submitted;
+    spec
 }
 
-/// One alert when an objective is breached, none while it stays so, one when it has
-/// recovered; what is older than the window no longer counts.
+/// An objective is alerted once when it is breached and once when it has recovered, with no alert
+/// in between. Jobs older than the window no longer count, so the objective recovers.
 #[test]
 fn a_breach_and_its_end_are_alerted_once() {
-    let mut a = monitor(0.1);
-    let t0 = 1000 * SECOND;
+    let mut monitor = monitor(0.1);
+    let start = 1000 * SECOND;
     let mut jobs: Vec<(String, JobSpec, bool)> = Vec::new();
     let mut alerts = Vec::new();
     for step in 0..60u64 {
-        let now = t0 + step * 5 * SECOND;
-        // For the first 100 s nothing starts, later all does at once.
+        let now = start + step * 5 * SECOND;
+        // No job starts in the first 100 s, and every job starts at once after that.
         let started = step > 20;
         jobs.push((format!("req-{step}"), spec("x", now), started));
         if jobs.len() > 8 {
             jobs.remove(0);
         }
-        let open = jobs.iter().map(|(id, s, st)| ObservedJob {
+        let open = jobs.iter().map(|(id, spec, started)| ObservedJob {
             id,
-            spec: s,
+            spec,
             guaranteed: false,
-            started: *st,
+            started: *started,
             pipeline: None,
         });
-        let told = a.observe_jobs(open, |_| true, |_| true, now, "no capacity");
-        alerts.extend(told.iter().map(Alert::to_string));
+        let raised = monitor.observe_jobs(open, |_| true, |_| true, now, "no capacity");
+        alerts.extend(raised.iter().map(Alert::to_string));
     }
     assert_eq!(alerts.len(), 2, "{alerts:?}");
     assert!(alerts[0].contains("aim behind: x, wait within 10 s: 0% of"));
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -1,5 +1,5 @@
-//! The program's commands, a file each; what they have in common: the settings' files, the
-//! errors and the exit codes.
+//! Commands of the program, and what they share: the settings files, the errors and the exit
+//! codes. Each command has its own submodule.
 
 pub(crate) mod check;
 pub(crate) mod serve;
@@ -12,13 +12,13 @@
 use salttiller::settings::{Settings, SettingsError};
 use thiserror::Error;
 
-/// Files with the settings of a controller.
+/// Settings files of a controller.
 #[derive(Args)]
 pub(crate) struct SettingsFiles {
-    /// Operators' own settings (INI).
+    /// Operators' settings (INI).
     #[arg(long, value_name = "FILE")]
     ini: Option<PathBuf>,
-    /// The platform's settings (JSON).
+    /// Platform settings (JSON).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
 }
@@ -30,33 +30,33 @@
     }
 }
 
-/// Why a command failed.
+/// Reason for which a command failed.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
-    /// Neither settings nor a command were given.
-    #[error("--config FILE or a command is needed, see --help")]
-    NothingToDo,
-    /// The settings can't be used.
+    /// The command line contains neither settings nor a command.
+    #[error("--config FILE or a command is required; see --help")]
+    MissingCommand,
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The controller could not open its listeners, or its event loop failed.
+    /// The controller failed to open its listeners, or its event loop failed.
     #[error("{0}")]
     Serve(#[source] std::io::Error),
-    /// A running controller gave no usable answer.
+    /// The status request to a running controller failed.
     #[error(transparent)]
     Status(#[from] status::StatusError),
 }
 
-/// Exit code of a command that answered, with an objective breached.
-const OBJECTIVE_BREACHED: u8 = 3;
-/// Exit code of a wrong call; clap's own for the errors that it finds.
-const USAGE: u8 = 2;
+/// Exit code of `salttiller status` if an objective is breached.
+const EXIT_OBJECTIVE_BREACHED: u8 = 3;
+/// Exit code of a usage error, the same that clap uses.
+const EXIT_USAGE: u8 = 2;
 
 impl CommandError {
-    /// The exit code that scripts go by.
+    /// Exit code of the program for this error. Scripts depend on these codes.
     pub(crate) fn exit_code(&self) -> ExitCode {
         match self {
-            CommandError::NothingToDo => ExitCode::from(USAGE),
+            CommandError::MissingCommand => ExitCode::from(EXIT_USAGE),
             CommandError::Settings(_) | CommandError::Serve(_) | CommandError::Status(_) => {
                 ExitCode::FAILURE
             }
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! Checks the settings without starting a controller.
+//! The `check` command, which validates the settings without starting a controller.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,7 @@
 
 use super::{CommandError, SettingsFiles};
 
-/// Prints what a controller would go by.
+/// Loads the settings and prints a summary of them.
 pub(crate) fn run(files: &SettingsFiles, json: bool) -> Result<ExitCode, CommandError> {
     let settings = files.load()?;
     if json {
@@ -18,7 +18,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Classes that take precedence though no objective names them: perhaps misspelt.
+/// Returns the classes with precedence that no objective names. Such a class may be misspelt.
 fn precedence_without_objective(settings: &Settings) -> Vec<&String> {
     let has_objective = |class: &String| {
         let mut classes = settings.objectives.iter().map(|o| o.class.as_ref());
@@ -29,7 +29,7 @@
 }
 
 fn print_json(settings: &Settings) {
-    // Names of published fields.
+    // The field names are a stable interface for scripts.
     let document = serde_json::json!({
         "ok": true,
         "name": settings.name,
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -9,13 +9,13 @@
 
 use super::{CommandError, SettingsFiles};
 
-/// Environment variable with the least level of log lines: `error`, `info`, `debug`.
+/// Environment variable with the most verbose level that is logged: `error`, `info` or `debug`.
 const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
 const DEFAULT_LOG_LEVEL: &str = "info";
-/// Modules are named in log lines without it.
+/// Prefix that is removed from module names in log lines.
 const CRATE_PREFIX: &str = "salttiller::";
 
-/// Serves until killed; returns only with an error.
+/// Runs a controller until the process is killed. Returns only if the controller fails.
 pub(crate) fn run(files: &SettingsFiles) -> Result<ExitCode, CommandError> {
     init_logging();
     let settings = files.load()?;
@@ -33,7 +33,7 @@
         .init();
 }
 
-/// One line a record: level, module, message.
+/// Writes a log record as one line with its level, module and message.
 fn write_line(out: &mut Formatter, record: &Record<'_>) -> std::io::Result<()> {
     let level = record.level().as_str().to_ascii_lowercase();
     let module = record.target();
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! Asks a running controller for its status page and prints it.
+//! The `status` command, which prints the status page of a running controller.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,33 +9,33 @@
 use salttiller::status;
 use thiserror::Error;
 
-use super::{CommandError, OBJECTIVE_BREACHED};
+use super::{CommandError, EXIT_OBJECTIVE_BREACHED};
 
-/// Bound on connecting, and on each read and write.
+/// Timeout of connecting, and of each read and write.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// Largest answer that is read, in bytes.
-const MAX_ANSWER: usize = 1 << 20;
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Why a controller's status page could not be had.
+/// Reason for which the status page of a controller could not be fetched.
 #[derive(Debug, Error)]
 pub(crate) enum StatusError {
     /// The connection failed or timed out.
     #[error("{addr}: {source}")]
     Connection {
-        /// Address that was asked.
+        /// Address of the controller.
         addr: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// What answered is not a controller of a version that is understood.
-    #[error("{addr}: not a controller's answer")]
-    NotAController {
-        /// Address that was asked.
+    /// The response is not a status page of a known protocol version.
+    #[error("{addr}: the response is not a controller's status page")]
+    InvalidResponse {
+        /// Address of the controller.
         addr: SocketAddr,
     },
 }
 
-/// Prints the status page; the exit code tells whether an objective is breached.
+/// Prints the status page. The exit code shows whether an objective is breached.
 pub(crate) fn run(addr: SocketAddr, json: bool) -> Result<ExitCode, CommandError> {
     let page = fetch(addr)?;
     if json {
@@ -45,22 +45,22 @@
     }
     let breached = page.objectives.iter().any(|objective| objective.breached);
     Ok(if breached {
-        ExitCode::from(OBJECTIVE_BREACHED)
+        ExitCode::from(EXIT_OBJECTIVE_BREACHED)
     } else {
         ExitCode::SUCCESS
     })
 }
 
 fn fetch(addr: SocketAddr) -> Result<Status, StatusError> {
-    let answer = exchange(addr).map_err(|source| StatusError::Connection { addr, source })?;
-    match answer.as_deref().and_then(peer_protocol::decode) {
+    let response = exchange(addr).map_err(|source| StatusError::Connection { addr, source })?;
+    match response.as_deref().and_then(peer_protocol::decode) {
         Some(Message::StatusResponse(page)) => Ok(page),
-        _ => Err(StatusError::NotAController { addr }),
+        _ => Err(StatusError::InvalidResponse { addr }),
     }
 }
 
-/// One question and one answer, each after its length; `None` if the answer is too long to be
-/// a status page.
+/// Sends a status request and reads the response, each prefixed with its length. Returns `None`
+/// if the response is too long to be a status page.
 fn exchange(addr: SocketAddr) -> std::io::Result<Option<Vec<u8>>> {
     let mut stream = TcpStream::connect_timeout(&addr, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
@@ -71,10 +71,10 @@
     let mut length = [0u8; 4];
     stream.read_exact(&mut length)?;
     let length = u32::from_le_bytes(length) as usize;
-    if length > MAX_ANSWER {
+    if length > MAX_RESPONSE_BYTES {
         return Ok(None);
     }
-    let mut answer = vec![0u8; length];
-    stream.read_exact(&mut answer)?;
-    Ok(Some(answer))
+    let mut response = vec![0u8; length];
+    stream.read_exact(&mut response)?;
+    Ok(Some(response))
 }
--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -1,53 +1,58 @@
-//! Fault injection for tests: each [`Safeguard`] is one part of the safety argument
-//! (docs/safety.md) that a test can disable on its own thread, to show that some test notices.
+//! Fault injection for tests.
 //!
-//! The code that a safeguard is a part of asks [`is_disabled`]. Outside tests that is a constant
-//! `false`, and no safeguard can be disabled. The simulated days that need each safeguard are
-//! described in `src/simulation.rs`.
+//! Each [`Safeguard`] is one part of the safety argument in docs/safety.md. A test can disable a
+//! safeguard on its own thread to verify that the tests detect the lack of that safeguard.
+//!
+//! The code of a safeguard checks [`is_disabled`]. Outside tests this function is a constant
+//! `false`, so no safeguard can be disabled. `src/simulation.rs` describes the simulated days that
+//! need each safeguard.
 
-/// A part of the safety argument that a test may disable.
+/// A part of the safety argument that a test can disable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Safeguard {
-    /// A new owner reconciles every machine before it restarts tasks.
+    /// A new owner reconciles every machine of its region before it restarts tasks.
     Recovery,
-    /// An owner's authority ends by its own clock.
+    /// An owner's authority ends at a deadline of the owner's own clock.
     AuthorityDeadline,
-    /// Only a heartbeat newer than all seen is evidence.
+    /// A heartbeat is applied only if it is newer than all earlier ones of its machine.
     ReportOrder,
-    /// Tasks start only on a recent read, and cancellations that peers report count at once.
+    /// Tasks are started only after a recent read of the state store, and cancellations that peers
+    /// report take effect immediately.
     StartDeadline,
-    /// No task starts before all that its job needs is done.
+    /// No task starts before all dependencies of its job are done.
     DependencyCheck,
-    /// A job is cancelled along with one that it needs.
+    /// A job is cancelled when one of its dependencies is cancelled.
     UpstreamCancellation,
-    /// A silent machine counts as empty only after its lease.
+    /// A machine without heartbeats counts as running no task only after its lease has expired.
     LeaseWait,
     /// An inherited quota share counts as used until all machines are reconciled.
     InheritedShares,
-    /// Every change names the revisions that it relies on.
+    /// Every transaction is conditional on the revisions of the records it relies on.
     RevisionConditions,
-    /// A record of an earlier run of the same controller isn't its own.
+    /// A controller does not treat the records of its earlier incarnations as its own.
     RunNumber,
-    /// A job is done only with every task's result.
+    /// A job is done only when the results of all its tasks are known.
     CompleteResults,
-    /// An owner that its workers don't reach releases its region.
+    /// An owner that its workers cannot reach releases its region.
     UnreachedRelease,
-    /// A machine pool that comes up badly is rented by probes, with back-off.
-    BootTrouble,
-    /// A job that fails wherever it runs is retried a few tasks at a time.
+    /// While the provisioning of a machine pool is degraded, machines are rented as probes with
+    /// backoff.
+    DegradedProvisioning,
+    /// A job that fails on every machine is retried a few tasks at a time.
     SuspectJobs,
-    /// A history of the records other than the known one is noticed.
+    /// A history of the records that differs from the known history is detected.
     KnownHistory,
-    /// Workers' reports are compared with the records.
+    /// Workers' heartbeats are checked against the records for evidence of data loss.
     ReportEvidence,
-    /// After a start unknown jobs are neither accepted nor denied until workers have had the
-    /// time to report.
+    /// After a start, a controller neither accepts nor rejects unknown jobs until workers have had
+    /// time to send heartbeats.
     ProvenStart,
-    /// The fencing tokens of a hold are above all that were seen.
+    /// The fencing tokens issued during a data-loss hold exceed all tokens seen before.
     SufficientToken,
-    /// After a decision on lost records starts wait for machines without a record.
+    /// After the operators' decision on lost records, no task starts until the leases of machines
+    /// without a record have expired.
     UnrecordedMachines,
-    /// A gang that lacks its team's share keeps others from starting for a limited time only.
+    /// A gang that waits for its team's quota share blocks other jobs only for a limited time.
     ShareHoldLimit,
 }
 
@@ -56,14 +61,14 @@
     static DISABLED: std::cell::Cell<Option<Safeguard>> = const { std::cell::Cell::new(None) };
 }
 
-/// Disables one safeguard on this thread from now on, and enables all others.
+/// Disables one safeguard on this thread, or none, and enables all others.
 #[cfg(test)]
 pub(crate) fn disable(safeguard: Option<Safeguard>) {
     DISABLED.set(safeguard);
 }
 
-/// Runs something on this thread with one safeguard disabled. All are enabled again afterwards,
-/// also if it panics.
+/// Runs a closure on this thread with one safeguard disabled. All safeguards are enabled again
+/// afterwards, also if the closure panics.
 #[cfg(test)]
 pub(crate) fn with_disabled<T>(safeguard: Safeguard, run: impl FnOnce() -> T) -> T {
     struct EnableAll;
@@ -83,7 +88,7 @@
     DISABLED.get() == Some(safeguard)
 }
 
-/// Whether a test has disabled this safeguard: never outside tests.
+/// Whether a test has disabled this safeguard, which is never the case outside tests.
 #[cfg(not(test))]
 pub(crate) const fn is_disabled(_safeguard: Safeguard) -> bool {
     false
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -88,7 +88,7 @@
 
     /// The factor by which a pool's cost is multiplied when offers are compared.
     pub(super) fn cost_factor(&self, offer: &Offer) -> f64 {
-        if self.pool(offer).is_in_trouble() && !is_disabled(Safeguard::BootTrouble) {
+        if self.pool(offer).is_in_trouble() && !is_disabled(Safeguard::DegradedProvisioning) {
             TROUBLE_COST_FACTOR
         } else {
             1.0
@@ -100,7 +100,7 @@
     #[must_use]
     pub(super) fn limit(&mut self, offer: &Offer, wanted: u32, now: Micros) -> u32 {
         let pool = self.pool(offer);
-        if !pool.is_in_trouble() || is_disabled(Safeguard::BootTrouble) {
+        if !pool.is_in_trouble() || is_disabled(Safeguard::DegradedProvisioning) {
             return wanted;
         }
         let beyond_overdue = wanted.saturating_sub(pool.overdue);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,5 @@
-//! salttiller: a cluster scheduler in two levels. A leader binds jobs to regions
-//! of machines; the owner of a region places the tasks on its machines. See
-//! docs/design.md.
+//! A two-level cluster scheduler. The leader binds jobs to regions of machines, and the owner of
+//! a region places the tasks on the machines of its region. See docs/design.md.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `salttiller` program: parses the command line and dispatches to the commands.
+//! Entry point of the `salttiller` program, which parses the command line and runs a command.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
@@ -12,8 +12,8 @@
 
 use commands::{check, serve, status, CommandError, SettingsFiles};
 
-/// A hierarchical cluster scheduler. Without a command: one controller of the
-/// service, which runs until it is killed.
+/// A hierarchical cluster scheduler. Without a command, runs a controller until the process is
+/// killed.
 #[derive(Parser)]
 #[command(
     version,
@@ -29,7 +29,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Checks the settings without starting. Exit code 0: usable, 1: not.
+    /// Checks the settings without starting a controller. Exit code 0: valid, 1: invalid.
     Check {
         #[command(flatten)]
         files: SettingsFiles,
@@ -37,10 +37,10 @@
         #[arg(long)]
         json: bool,
     },
-    /// Prints the status page of a running controller. Exit code 0: answered, all
-    /// objectives met; 1: no usable answer; 3: answered, some objective breached.
+    /// Prints the status page of a running controller. Exit code 0: all objectives are met,
+    /// 1: no valid response, 3: an objective is breached.
     Status {
-        /// The controller's address for peers (`mesh_addr` in its settings).
+        /// Address of the controller for its peers (`mesh_addr` in its settings).
         addr: SocketAddr,
         /// Print JSON.
         #[arg(long)]
@@ -63,6 +63,6 @@
         (Some(Command::Check { files, json }), _) => check::run(&files, json),
         (Some(Command::Status { addr, json }), _) => status::run(addr, json),
         (None, Some(files)) => serve::run(&files),
-        (None, None) => Err(CommandError::NothingToDo),
+        (None, None) => Err(CommandError::MissingCommand),
     }
 }
--- a/src/peer_protocol/tests.rs
+++ b/src/peer_protocol/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of messages between controllers.
 
 use super::*;
-use crate::fixtures::{self as files, bytes_of};
+use crate::fixtures::{self as files, decode_hex};
 use proptest::prelude::*;
 
 fn sample() -> Message {
@@ -106,7 +106,7 @@
 #[test]
 fn messages_of_older_versions() {
     for (message, hex) in fixtures() {
-        let theirs = bytes_of(hex);
+        let theirs = decode_hex(hex);
         assert_eq!(decode(&theirs), Some(message.clone()), "read");
         assert_eq!(encode(&message), theirs, "written: {message:?}");
     }
@@ -119,7 +119,7 @@
     // Where the kind stands: in the fixtures with the fewest contents it is the one byte
     // that differs from none.
     let unknown_kind = |hex: &str, known: u8| {
-        let mut bytes = bytes_of(hex);
+        let mut bytes = decode_hex(hex);
         let at = bytes.iter().rposition(|b| *b == known).unwrap();
         bytes[at] = 0x3f;
         bytes
@@ -127,7 +127,7 @@
     let all = fixtures();
     assert_eq!(decode(&unknown_kind(all[4].1, 4)), None);
     for (message, hex) in &all {
-        let whole = bytes_of(hex);
+        let whole = decode_hex(hex);
         for length in 0..whole.len() {
             let read = decode(&whole[..length]);
             assert_ne!(read.as_ref(), Some(message), "cut to {length}");
--- a/src/region/provisioning.rs
+++ b/src/region/provisioning.rs
@@ -101,7 +101,7 @@
 
     /// Whether machines of the pool currently boot late or never.
     pub(super) fn is_degraded(&self, pool: &MachinePool) -> bool {
-        !is_disabled(Safeguard::BootTrouble)
+        !is_disabled(Safeguard::DegradedProvisioning)
             && self
                 .by_pool
                 .get(pool)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,7 @@
-//! What the controller is configured with: the platform's JSON file and, if the operators have
-//! one, their INI file. Read once at the start; nothing changes them afterwards.
+//! Settings of the controller.
+//!
+//! The settings come from the platform's JSON file and an optional INI file of the operators.
+//! Both files are read once when the controller starts, and the settings do not change afterwards.
 
 mod error;
 mod operator;
@@ -14,109 +16,112 @@
 use salttiller_records::units::{self, Micros};
 use salttiller_records::QuotaAmount;
 
-/// Share of the time between the workers' lease and the deadline of a cancellation that an
-/// owner's lease takes, in tenths.
+/// Duration of an owner's lease, in tenths of the difference between the cancellation deadline and
+/// the workers' lease.
 const OWNER_LEASE_TENTHS: u64 = 6;
-/// The longest life of an owner's lease.
+/// Maximum duration of an owner's lease.
 const MAX_OWNER_LEASE: Micros = 20 * units::SECOND;
 
-/// Another controller.
+/// A peer, which is another controller of the deployment.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Host name, which is also the name of its own region.
+    /// Host name, which is also the name of the peer's own region.
     pub name: String,
-    /// Its zone.
+    /// Zone of the peer.
     pub zone: String,
-    /// Address at which it accepts other controllers.
+    /// Address at which the peer accepts connections from other controllers.
     pub addr: SocketAddr,
 }
 
-/// A team's guarantee and limit, in millionths.
+/// A team with its guaranteed quota and its limit, both in millionths.
 #[derive(Debug, Clone)]
 pub struct Team {
-    /// Name as jobs give it.
+    /// Name of the team, as used in job submissions.
     pub name: String,
-    /// Guaranteed processors and cards.
+    /// Guaranteed CPUs and GPUs.
     pub guarantee: QuotaAmount,
-    /// Most processors and cards in use at any time; `None`: no limit.
+    /// Maximum number of CPUs and GPUs in use at any time; `None` means no limit.
     pub limit: Option<QuotaAmount>,
 }
 
-/// A service level objective: what the users expect of a class of jobs.
+/// A service-level objective for a class of jobs or for all jobs.
 #[derive(Debug, Clone)]
 pub struct Objective {
-    /// Which metric: wait, finished, deadline, guarantee and others.
+    /// Metric of the objective: `wait`, `finished`, `deadline`, `guarantee` or others.
     pub kind: String,
-    /// Class of jobs, if it is about one; else all.
+    /// Class of jobs to which the objective applies; `None` means all classes.
     pub class: Option<String>,
-    /// Time within which a job meets it.
+    /// Time within which a job meets the objective.
     pub threshold: Option<Micros>,
-    /// Share of jobs that should meet it.
+    /// Share of jobs that should meet the objective, from 0 to 1.
     pub target: f64,
 }
 
-/// Everything a controller is configured with.
+/// Complete settings of a controller.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// This controller's name, and its region's.
+    /// Name of this controller and of its region.
     pub name: String,
-    /// This controller's zone.
+    /// Zone of this controller.
     pub zone: String,
-    /// Address for users, workers and health checks.
+    /// Listening address for users, workers and health checks.
     pub http_addr: SocketAddr,
-    /// Address for the other controllers.
+    /// Listening address for the peers.
     pub peer_addr: SocketAddr,
-    /// The other controllers.
+    /// Peers of this controller.
     pub peers: Vec<Peer>,
-    /// Address of the cloud's interface.
+    /// Address of the cloud API.
     pub cloud_addr: SocketAddr,
     /// Address of the state store.
     pub state_store_addr: SocketAddr,
     /// Zones of the platform.
     pub zones: Vec<String>,
-    /// Teams, in the order given.
+    /// Teams, in the order of the settings file.
     pub teams: Vec<Team>,
-    /// AlertMonitor.
+    /// Service-level objectives.
     pub objectives: Vec<Objective>,
     /// Interval of the workers' heartbeats.
     pub heartbeat_interval: Micros,
-    /// Life of a worker's lease: without a response for so long it kills its tasks.
+    /// Duration of a worker's lease. A worker kills its tasks if it receives no response for this
+    /// time.
     pub worker_lease: Micros,
-    /// How long the tasks of a gang wait for each other.
+    /// Time for which the tasks of a gang wait for each other at the start.
     pub gang_start_timeout: Micros,
-    /// How soon the tasks of a gang notice that one was lost.
+    /// Time within which the tasks of a gang detect the loss of one of them.
     pub gang_peer_timeout: Micros,
-    /// How soon after a cancellation the job's tasks must be gone.
+    /// Time after a cancellation within which all tasks of the job must have ended.
     pub cancellation_deadline: Micros,
-    /// State store: requests a second, over all controllers.
+    /// Requests per second to the state store, summed over all controllers.
     pub store_request_rate: f64,
-    /// State store: changes a second, over all controllers.
+    /// Writes per second to the state store, summed over all controllers.
     pub store_write_rate: f64,
-    /// State store: the least that its rate of changes may become.
+    /// Lower of the present and upcoming limits on writes per second to the state store.
     pub min_store_write_rate: f64,
-    /// State store: most bytes of a value, by present and upcoming limits.
+    /// Maximum size of a value in the state store, in bytes: the lower of the present and upcoming
+    /// limits.
     pub max_value_bytes: usize,
-    /// State store: most changes of a transaction, by present and upcoming limits.
+    /// Maximum number of changes per transaction of the state store: the lower of the present and
+    /// upcoming limits.
     pub max_txn_ops: usize,
-    /// Cloud: calls a second.
+    /// Requests per second to the cloud API.
     pub cloud_request_rate: f64,
-    /// Cloud: how far the inventory usually lags behind.
+    /// Usual lag of the cloud's machine list.
     pub cloud_list_lag: Micros,
-    /// Most sockets of the process.
+    /// Maximum number of sockets of the process.
     pub max_sockets: usize,
-    /// Memory of the process in MB; 0: not given.
+    /// Memory limit of the process in MB; 0 means unspecified.
     pub memory_mb: f64,
-    /// Bound on the error of the time of day.
+    /// Maximum error of the time of day.
     pub max_clock_error: Micros,
-    /// Operators' own settings.
+    /// Settings of the operators.
     pub operator: OperatorSettings,
 }
 
 impl Settings {
-    /// Reads the platform's file and, if given, the operators' INI file.
+    /// Loads the platform's file and, if given, the operators' INI file.
     ///
     /// # Errors
-    /// A file can't be read, or holds a value that can't be used.
+    /// Returns an error if a file cannot be read, or contains an invalid value.
     pub fn load(path: &Path, ini: Option<&Path>) -> Result<Settings, SettingsError> {
         let text = read(path)?;
         let mut settings = Settings::parse(&path.display().to_string(), &text)?;
@@ -127,20 +132,20 @@
         Ok(settings)
     }
 
-    /// Reads the platform's file from its text; `file` is for messages.
+    /// Parses the text of the platform's file. `file` is the path that error messages show.
     ///
     /// # Errors
-    /// Not JSON of the expected form, or a value that can't be used.
+    /// Returns an error if the text is not JSON of the expected form, or contains an invalid value.
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
         platform::parse(file, text)
     }
 
-    /// How many controllers, and so regions, there are.
+    /// Number of regions, which equals the number of controllers.
     pub fn region_count(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// All regions' names, in one order everywhere.
+    /// Names of all regions, sorted so that every controller uses the same order.
     pub fn regions(&self) -> Vec<String> {
         let mut names: Vec<String> = self.peers.iter().map(|peer| peer.name.clone()).collect();
         names.push(self.name.clone());
@@ -148,15 +153,15 @@
         names
     }
 
-    /// The life of an owner's lease. A cancellation that an owner never hears of
-    /// must still be carried out in time by its workers' leases running out:
-    /// life + `lease_s` + margin stays below `cancel_s`.
+    /// Duration of an owner's lease. If an owner never learns of a cancellation, its own lease and
+    /// then its workers' leases must still expire before the cancellation deadline. The duration
+    /// plus `lease_s` and a margin therefore stays below `cancel_s`.
     pub fn owner_lease_life(&self) -> Micros {
-        let between = self.cancellation_deadline - self.worker_lease;
-        (between * OWNER_LEASE_TENTHS / 10).min(MAX_OWNER_LEASE)
+        let available = self.cancellation_deadline - self.worker_lease;
+        (available * OWNER_LEASE_TENTHS / 10).min(MAX_OWNER_LEASE)
     }
 
-    /// A team by name.
+    /// Returns a team by name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.iter().find(|team| team.name == name)
     }
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,17 +1,16 @@
-//! What is wrong with the settings; each error names the file, and the field if it is about
-//! one.
+//! Errors of the settings. Each error names the file, and the field if a single field is invalid.
 
 use thiserror::Error;
 
-/// Why the settings can't be used.
+/// Reason for which the settings are rejected.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{file}: {cause}")]
     Unreadable {
         /// Path as given.
         file: String,
-        /// Error of the system.
+        /// Error of the operating system.
         #[source]
         cause: std::io::Error,
     },
@@ -20,7 +19,7 @@
     Json {
         /// Path as given.
         file: String,
-        /// Error of the parser, which names the field.
+        /// Error of the JSON parser, which names the field.
         #[source]
         cause: serde_json::Error,
     },
@@ -29,73 +28,73 @@
     Ini {
         /// Path as given.
         file: String,
-        /// Error of the parser.
+        /// Error of the INI parser.
         #[source]
         cause: ini::ParseError,
     },
-    /// A field has a value that can't be used.
+    /// A field has an invalid value.
     #[error("{file}: {field}: {cause}")]
     Field {
         /// Path as given.
         file: String,
-        /// Dotted name of the field.
+        /// Name of the field with its sections, joined by dots.
         field: String,
-        /// What is wrong with its value.
+        /// Reason for which the value is invalid.
         #[source]
         cause: FieldError,
     },
 }
 
-/// What is wrong with the value of a field.
+/// Reason for which the value of a field is invalid.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum FieldError {
-    /// Not a name of a controller.
-    #[error("empty, or with a space or slash")]
+    /// The value is not a valid controller name.
+    #[error("must not be empty or contain a space or slash")]
     InvalidName,
-    /// Not a name of another controller.
-    #[error("empty or our own")]
+    /// The value is not a valid name of a peer.
+    #[error("must not be empty or this controller's own name")]
     InvalidPeerName,
-    /// Not an address.
-    #[error("\"{0}\" is not an IPv4 address with port")]
+    /// The value is not an IPv4 address with a port.
+    #[error("\"{0}\" is not an IPv4 address with a port")]
     NotAnAddress(String),
-    /// Not a time span.
+    /// The value is not a valid duration.
     #[error("{0} is not a positive number of seconds")]
     NotADuration(f64),
-    /// Not a rate.
+    /// The value is not a valid rate.
     #[error("{0} is not a positive rate")]
     NotARate(f64),
-    /// Not an amount of processors and cards.
-    #[error("not an amount")]
+    /// The value is not a valid amount of CPUs or GPUs.
+    #[error("an amount of CPUs or GPUs is negative, not finite or too large")]
     NotAnAmount,
-    /// Cancellations can't be carried out in time.
-    #[error("must exceed lease_s by more than a second: no safe lease fits between")]
+    /// The cancellation deadline leaves no time for an owner's lease.
+    #[error("must exceed lease_s by more than one second to leave time for the owner's lease")]
     CancellationDeadlineTooShort,
-    /// Too few changes a transaction.
-    #[error("fewer than {MIN_TXN_OPS} changes a transaction")]
+    /// The maximum number of changes per transaction is too low.
+    #[error("fewer than {MIN_TXN_OPS} changes per transaction")]
     TooFewTxnOps,
-    /// Too few sockets.
+    /// The maximum number of sockets is too low.
     #[error("fewer than {MIN_SOCKETS} sockets")]
     TooFewSockets,
-    /// Not a number of a range.
+    /// The value is not a number within the accepted range.
     #[error("\"{value}\" is not a number from {min} to {max}")]
     OutOfRange {
         /// The value as given.
         value: String,
-        /// Least value.
+        /// Minimum value.
         min: f64,
-        /// Greatest value.
+        /// Maximum value.
         max: f64,
     },
-    /// Neither of the words for a switch.
+    /// The value is neither `on` nor `off`.
     #[error("\"{0}\" is neither on nor off")]
     NotASwitch(String),
-    /// No such key. It is refused since a misspelt key that is passed over would be found out
-    /// on the night it matters.
+    /// The key does not exist. Unknown keys are rejected, because a misspelt key that is ignored
+    /// would only be discovered when the setting is needed.
     #[error("unknown key")]
     UnknownKey,
 }
 
-/// The fewest changes a transaction with which a takeover fits into one.
+/// Minimum number of changes per transaction with which a takeover fits into one transaction.
 pub(super) const MIN_TXN_OPS: usize = 4;
-/// The fewest sockets with which a controller can work.
+/// Minimum number of sockets with which a controller can operate.
 pub(super) const MIN_SOCKETS: usize = 32;
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,28 +1,29 @@
-//! The operators' own settings, an INI file beside the platform's.
+//! Settings of the operators, read from an optional INI file.
 
 use super::error::{FieldError, SettingsError};
 use salttiller_records::units::{self, Micros};
 
-/// The operators' own settings, with defaults that suit most sites.
+/// Settings of the operators. The defaults suit most deployments.
 #[derive(Debug, Clone)]
 pub struct OperatorSettings {
-    /// Classes in the order of precedence, after guarantee and priority.
+    /// Classes in order of precedence. Precedence applies after guarantee and priority.
     pub class_precedence: Vec<String>,
-    /// How long a machine may be idle before it is released; unless given, as long as one of
-    /// its type takes to boot.
+    /// Time for which a machine may be idle before it is released. The default is the boot time of
+    /// the machine type.
     pub idle_timeout: Option<Micros>,
-    /// How soon pending work should be running: for what takes longer, machines are rented.
-    /// Unless given, it follows from the objectives of the work's class.
+    /// Time within which pending work should start. Machines are rented for work that would start
+    /// later. The default is derived from the job's deadline and the objectives of its class.
     pub scale_out_horizon: Option<Micros>,
-    /// Processors kept beyond those in use, as a share of these.
+    /// Spare CPUs to keep, as a share of the CPUs in use.
     pub headroom: f64,
-    /// The sliding window over which the attainment of objectives is measured.
+    /// Length of the sliding window over which the attainment of objectives is measured.
     pub alert_window: Micros,
-    /// The fewest jobs in the window before an alert is raised.
+    /// Minimum number of jobs in the window for an alert.
     pub alert_min_jobs: u32,
-    /// How far above its target an objective's attainment must be to count as recovered.
+    /// Margin above the target that an objective's attainment must reach to count as recovered.
     pub alert_recovery_margin: f64,
-    /// Whether to look for records that the state store lost, and to hold if it did.
+    /// Whether to detect records that the state store lost, and to begin a data-loss hold if it
+    /// lost any.
     pub detect_lost_records: bool,
 }
 
@@ -41,10 +42,12 @@
     }
 }
 
-/// Reads the operators' INI file from its text over `base`; `file` is for messages.
+/// Parses the text of the operators' INI file and applies its values to `base`. `file` is the path
+/// that error messages show.
 ///
 /// # Errors
-/// Not an INI file, an unknown section or key, or a value that can't be used.
+/// Returns an error if the text is not an INI file, or contains an unknown section, an unknown key
+/// or an invalid value.
 pub fn parse_operator_settings(
     file: &str,
     text: &str,
@@ -71,17 +74,17 @@
 }
 
 impl OperatorSettings {
-    /// Sets what a key of the INI file stands for.
+    /// Sets the field that corresponds to a key of the INI file.
     fn set(&mut self, section: &str, key: &str, value: &str) -> Result<(), FieldError> {
         match (section, key) {
-            ("classes", "precedence") => self.class_precedence = list(value),
-            ("recovery", "detect") => self.detect_lost_records = switch(value)?,
-            ("renting", "idle_s") => self.idle_timeout = Some(seconds(value, 1.0, 3600.0)?),
+            ("classes", "precedence") => self.class_precedence = parse_list(value),
+            ("recovery", "detect") => self.detect_lost_records = parse_switch(value)?,
+            ("renting", "idle_s") => self.idle_timeout = Some(parse_seconds(value, 1.0, 3600.0)?),
             ("renting", "horizon_s") => {
-                self.scale_out_horizon = Some(seconds(value, 1.0, 3600.0)?);
+                self.scale_out_horizon = Some(parse_seconds(value, 1.0, 3600.0)?);
             }
             ("renting", "headroom") => self.headroom = parse_number(value, 0.0, 10.0)?,
-            ("alerts", "window_s") => self.alert_window = seconds(value, 10.0, 86_400.0)?,
+            ("alerts", "window_s") => self.alert_window = parse_seconds(value, 10.0, 86_400.0)?,
             ("alerts", "least_jobs") => self.alert_min_jobs = parse_number(value, 1.0, 1e6)? as u32,
             ("alerts", "margin") => self.alert_recovery_margin = parse_number(value, 0.0, 1.0)?,
             _ => return Err(FieldError::UnknownKey),
@@ -90,7 +93,7 @@
     }
 }
 
-fn list(value: &str) -> Vec<String> {
+fn parse_list(value: &str) -> Vec<String> {
     value
         .split(',')
         .map(|item| item.trim().to_owned())
@@ -98,7 +101,7 @@
         .collect()
 }
 
-fn switch(value: &str) -> Result<bool, FieldError> {
+fn parse_switch(value: &str) -> Result<bool, FieldError> {
     match value.trim() {
         "on" => Ok(true),
         "off" => Ok(false),
@@ -106,14 +109,14 @@
     }
 }
 
-fn seconds(value: &str, min: f64, max: f64) -> Result<Micros, FieldError> {
+fn parse_seconds(value: &str, min: f64, max: f64) -> Result<Micros, FieldError> {
     parse_number(value, min, max).map(units::from_seconds)
 }
 
-/// Reads a number from `min` to `max`; NaN is refused.
+/// Parses a number from `min` to `max`. NaN is rejected.
 ///
 /// # Errors
-/// Not a number, or out of range.
+/// Returns an error if the value is not a number, or is out of range.
 pub fn parse_number(value: &str, min: f64, max: f64) -> Result<f64, FieldError> {
     match value.trim().parse::<f64>() {
         Ok(number) if (min..=max).contains(&number) => Ok(number),
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! Reads and validates the platform's file.
+//! Parsing and validation of the platform's settings file.
 
 use std::net::{SocketAddr, SocketAddrV4};
 
@@ -7,14 +7,14 @@
 use salttiller_records::units::{self, Micros};
 use salttiller_records::QuotaAmount;
 
-/// Longest time span that is accepted, in seconds.
+/// Maximum duration that is accepted, in seconds.
 const MAX_SECONDS: f64 = 1e7;
-/// Amounts of processors and cards are below this.
-const AMOUNT_BOUND: f64 = 1e9;
+/// Exclusive upper bound of amounts of CPUs and GPUs.
+const MAX_AMOUNT_EXCLUSIVE: f64 = 1e9;
 const BYTES_PER_KB: f64 = 1024.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// Reads the platform's file from its text; `file` is for messages.
+/// Parses the text of the platform's file. `file` is the path that error messages show.
 pub(super) fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
     let parsed: wire::File = serde_json::from_str(text).map_err(|cause| SettingsError::Json {
         file: file.into(),
@@ -23,9 +23,9 @@
     Validator { file }.settings(parsed)
 }
 
-/// Validates the fields of a file.
+/// Validates the fields of a file and converts them into settings.
 struct Validator<'a> {
-    /// Path as given, for messages.
+    /// Path as given, which error messages show.
     file: &'a str,
 }
 
@@ -36,8 +36,9 @@
         let deployment = file.deployment;
         let teams = self.teams(&deployment.teams)?;
         let workers = &deployment.workers;
-        let (worker_lease, cancellation_deadline) = self.cancellation(workers)?;
-        self.check_process_limits(&deployment)?;
+        let (worker_lease, cancellation_deadline) =
+            self.lease_and_cancellation_deadline(workers)?;
+        self.check_minimum_limits(&deployment)?;
         let http_addr = self.address("front", &file.http_addr)?;
         let peer_addr = self.address("mesh_addr", &file.peer_addr)?;
         let cloud_addr = self.address("outside.cloud", &file.services.cloud_addr)?;
@@ -109,15 +110,18 @@
             Ok(Team {
                 name: team.name.clone(),
                 guarantee: self.quota(&field, team.guaranteed_cpus, team.guaranteed_gpus)?,
-                // A limit that would let nothing run at all is none.
+                // A limit of zero would prevent all jobs of the team, so it means no limit.
                 limit: Some(limit?).filter(|limit| *limit != QuotaAmount::default()),
             })
         };
         teams.iter().enumerate().map(team).collect()
     }
 
-    /// The workers' lease, and how soon a cancelled job's tasks must be gone.
-    fn cancellation(&self, workers: &wire::Workers) -> Result<(Micros, Micros), SettingsError> {
+    /// Returns the workers' lease and the cancellation deadline.
+    fn lease_and_cancellation_deadline(
+        &self,
+        workers: &wire::Workers,
+    ) -> Result<(Micros, Micros), SettingsError> {
         let field = "facts.workers.cancel_s";
         let lease = self.duration("facts.workers.lease_s", workers.lease)?;
         let deadline = self.duration(field, workers.cancellation_deadline)?;
@@ -127,7 +131,8 @@
         Ok((lease, deadline))
     }
 
-    fn check_process_limits(&self, deployment: &wire::Deployment) -> Result<(), SettingsError> {
+    /// Checks that the limits on transactions and sockets are high enough for a controller.
+    fn check_minimum_limits(&self, deployment: &wire::Deployment) -> Result<(), SettingsError> {
         let store = &deployment.state_store;
         let upcoming = store.upcoming.as_ref();
         for (field, ops) in [
@@ -147,8 +152,9 @@
         Ok(())
     }
 
-    /// The state store's limits. What is written from the start fits the upcoming limits, too:
-    /// they come without notice, and what is on record then must be rewritten under them.
+    /// Returns the limits of the state store. Records must fit the upcoming limits from the start,
+    /// because these limits take effect without notice, and existing records must be rewritten
+    /// under them.
     fn store_limits(&self, store: &wire::StateStore) -> Result<StoreLimits, SettingsError> {
         let none = wire::UpcomingStateStore::default();
         let upcoming = store.upcoming.as_ref().unwrap_or(&none);
@@ -199,7 +205,8 @@
     }
 
     fn quota(&self, field: &str, cpus: f64, gpus: f64) -> Result<QuotaAmount, SettingsError> {
-        let is_amount = |amount: f64| amount.is_finite() && (0.0..AMOUNT_BOUND).contains(&amount);
+        let is_amount =
+            |amount: f64| amount.is_finite() && (0.0..MAX_AMOUNT_EXCLUSIVE).contains(&amount);
         if !is_amount(cpus) || !is_amount(gpus) {
             return Err(self.error(field, FieldError::NotAnAmount));
         }
@@ -218,7 +225,7 @@
     }
 }
 
-/// Limits of the state store, present and upcoming ones taken together.
+/// Limits of the state store that comply with both the present and the upcoming limits.
 struct StoreLimits {
     request_rate: f64,
     write_rate: f64,
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of settings, and settings for tests of other modules.
+//! Tests of the settings files, and sample settings for tests of other modules.
 
 use super::*;
 
-/// Settings for tests of other modules: three controllers, one zone.
+/// Platform settings in JSON for tests of other modules, with three controllers in one zone.
 pub fn sample() -> String {
     serde_json::json!({
         "host_name": "t-0", "area": "a", "front": "127.0.0.1:7000", "mesh_addr": "127.0.0.1:7001",
@@ -23,16 +23,19 @@
     .to_string()
 }
 
+/// Settings of a valid file are derived from its fields, and the upcoming limits of the state store
+/// bound the present ones. The error for an invalid value names the file and the field.
 #[test]
-fn the_platform_file_is_validated() {
-    let s = Settings::parse("f", &sample()).unwrap();
-    assert_eq!(s.regions(), ["t-0", "t-1", "t-2"]);
-    assert!(s.owner_lease_life() + s.worker_lease + 2 * units::SECOND < s.cancellation_deadline);
-    let limit = |team: &str| s.team(team).unwrap().limit;
+fn platform_file_is_validated() {
+    let settings = Settings::parse("f", &sample()).unwrap();
+    assert_eq!(settings.regions(), ["t-0", "t-1", "t-2"]);
+    let leases = settings.owner_lease_life() + settings.worker_lease;
+    assert!(leases + 2 * units::SECOND < settings.cancellation_deadline);
+    let limit = |team: &str| settings.team(team).unwrap().limit;
     assert_eq!(limit("guest"), None);
     assert_eq!(limit("red").map(|l| (l.cpus, l.gpus)), Some((8_000_000, 0)));
-    // Limits to come, or parts of them, bound what is written from the start.
-    for (next, bytes, ops, least) in [
+    // The upcoming limits, which may be incomplete, apply from the start if they are lower.
+    for (next, bytes, ops, min_write_rate) in [
         ("", 4096, 12, 50.0),
         (r#","next":{}"#, 4096, 12, 50.0),
         (r#","next":{"value_kb":2.0}"#, 2048, 12, 50.0),
@@ -50,11 +53,16 @@
         ),
     ] {
         let text = sample().replacen(r#""txn_ops":12"#, &format!(r#""txn_ops":12{next}"#), 1);
-        let s = Settings::parse("f", &text).unwrap();
-        let got = (s.max_value_bytes, s.max_txn_ops, s.min_store_write_rate);
-        assert_eq!(got, (bytes, ops, least), "{next}");
+        let settings = Settings::parse("f", &text).unwrap();
+        let limits = (
+            settings.max_value_bytes,
+            settings.max_txn_ops,
+            settings.min_store_write_rate,
+        );
+        let expected = (bytes, ops, min_write_rate);
+        assert_eq!(limits, expected, "limits with upcoming limits {next:?}");
     }
-    for (from, to, names) in [
+    for (from, to, field) in [
         ("\"127.0.0.1:7000\"", "\"nowhere\"", "front"),
         (
             "\"lease_s\":16.0",
@@ -85,26 +93,31 @@
         ("\"area\":\"a\",\"facts\"", "\"facts\"", "area"),
     ] {
         let text = sample().replacen(from, to, 1);
-        let e = Settings::parse("the-file", &text).unwrap_err().to_string();
-        assert!(e.contains("the-file") && e.contains(names), "{from}: {e}");
+        let error = Settings::parse("the-file", &text).unwrap_err().to_string();
+        assert!(
+            error.contains("the-file") && error.contains(field),
+            "the error for {to} names the file and {field}: {error}"
+        );
     }
 }
 
+/// Values of a valid INI file replace the defaults, and the deployed file enables the detection of
+/// lost records. The error for an unknown key or invalid value names the file and the key.
 #[test]
-fn the_operators_file_is_validated() {
-    let ok = parse_operator_settings(
+fn operator_file_is_validated() {
+    let settings = parse_operator_settings(
         "i",
         "[classes]\nprecedence = a, b\n[renting]\nidle_s = 30\n",
         OperatorSettings::default(),
     )
     .unwrap();
-    assert_eq!(ok.class_precedence, ["a", "b"]);
-    assert_eq!(ok.idle_timeout, Some(30 * units::SECOND));
-    assert!(!ok.detect_lost_records);
+    assert_eq!(settings.class_precedence, ["a", "b"]);
+    assert_eq!(settings.idle_timeout, Some(30 * units::SECOND));
+    assert!(!settings.detect_lost_records);
     let deployed = include_str!("../../deploy/recovery.ini");
-    let on = parse_operator_settings("i", deployed, OperatorSettings::default()).unwrap();
-    assert!(on.detect_lost_records);
-    for (text, names) in [
+    let settings = parse_operator_settings("i", deployed, OperatorSettings::default()).unwrap();
+    assert!(settings.detect_lost_records);
+    for (text, key) in [
         ("[classes]\nprecedense = a\n", "classes.precedense"),
         ("[renting]\nidle_s = soon\n", "renting.idle_s"),
         ("[renting]\nidle_s = -4\n", "renting.idle_s"),
@@ -112,9 +125,12 @@
         ("idle_s = 4\n", "idle_s"),
         ("[recovery]\ndetect = maybe\n", "recovery.detect"),
     ] {
-        let e = parse_operator_settings("the-ini", text, OperatorSettings::default())
+        let error = parse_operator_settings("the-ini", text, OperatorSettings::default())
             .unwrap_err()
             .to_string();
-        assert!(e.contains("the-ini") && e.contains(names), "{text}: {e}");
+        assert!(
+            error.contains("the-ini") && error.contains(key),
+            "the error for {text:?} names the file and {key}: {error}"
+        );
     }
 }
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -1,8 +1,9 @@
-//! The platform's settings file in JSON: the only place where its own words occur.
+//! JSON form of the platform's settings file. The serde attributes map the field names of the
+//! file to the names that the code uses.
 
 use serde::Deserialize;
 
-/// The whole file.
+/// Top level of the settings file.
 #[derive(Deserialize)]
 pub(super) struct File {
     #[serde(rename = "host_name")]
@@ -21,7 +22,7 @@
     pub(super) deployment: Deployment,
 }
 
-/// Another controller.
+/// A peer, which is another controller of the deployment.
 #[derive(Deserialize)]
 pub(super) struct Peer {
     #[serde(rename = "host_name")]
@@ -31,7 +32,7 @@
     pub(super) addr: String,
 }
 
-/// Addresses of the services that controllers use.
+/// Addresses of the external services that a controller uses.
 #[derive(Deserialize)]
 pub(super) struct Services {
     #[serde(rename = "cloud")]
@@ -40,7 +41,7 @@
     pub(super) state_store_addr: String,
 }
 
-/// What is the same for all controllers of a deployment.
+/// Settings that all controllers of a deployment share.
 #[derive(Deserialize)]
 pub(super) struct Deployment {
     #[serde(default)]
@@ -58,7 +59,7 @@
     pub(super) max_clock_error_ms: f64,
 }
 
-/// A team.
+/// A team with its guaranteed quota and its limits.
 #[derive(Deserialize)]
 pub(super) struct Team {
     pub(super) name: String,
@@ -72,7 +73,7 @@
     pub(super) max_gpus: f64,
 }
 
-/// A service level objective.
+/// A service-level objective.
 #[derive(Deserialize)]
 pub(super) struct Objective {
     pub(super) kind: String,
@@ -83,7 +84,7 @@
     pub(super) target: Option<f64>,
 }
 
-/// Timing of workers, in seconds.
+/// Timing parameters of workers, in seconds.
 #[derive(Deserialize)]
 pub(super) struct Workers {
     #[serde(rename = "report_s")]
@@ -109,12 +110,13 @@
     pub(super) max_value_kb: f64,
     #[serde(rename = "txn_ops")]
     pub(super) max_txn_ops: usize,
-    /// The limits that it will have from some time on; each may be left out.
+    /// Limits that will take effect at some later time.
     #[serde(default, rename = "next")]
     pub(super) upcoming: Option<UpcomingStateStore>,
 }
 
-/// Limits that the state store will have from some time on.
+/// Limits of the state store that will take effect at some later time. A missing limit stays as it
+/// is.
 #[derive(Deserialize, Default)]
 pub(super) struct UpcomingStateStore {
     #[serde(rename = "write_rps")]
@@ -125,7 +127,7 @@
     pub(super) max_txn_ops: Option<usize>,
 }
 
-/// Limits of the cloud's interface.
+/// Limits of the cloud API.
 #[derive(Deserialize)]
 pub(super) struct Cloud {
     #[serde(rename = "rps")]
--- a/src/simulation/tests/partial_failures.rs
+++ b/src/simulation/tests/partial_failures.rs
@@ -80,7 +80,7 @@
             ..Plan::quiet(seed)
         };
         with_probes += machines_rented(&play(&plan), seed);
-        let world = play_without(Safeguard::BootTrouble, &plan);
+        let world = play_without(Safeguard::DegradedProvisioning, &plan);
         without_probes += machines_rented(&world, seed);
     }
     assert!(
--- a/src/slo.rs
+++ b/src/slo.rs
@@ -1,8 +1,9 @@
-//! Service level objectives and their attainment.
+//! Service-level objectives (SLOs) and their attainment.
 //!
-//! The controller shows the open jobs from time to time. Each job is judged once for each
-//! objective that it counts for; attainment is the share of jobs that met it in a sliding
-//! window. What operators are told of it is the business of [`crate::alerts`].
+//! The controller passes in the open jobs periodically. Each job is evaluated once for each
+//! objective that applies to it. The attainment of an objective is the share of evaluated jobs
+//! that met it within a sliding window. The module [`crate::alerts`] turns changes of an
+//! objective's state into alerts.
 
 mod job;
 mod objective;
@@ -21,31 +22,31 @@
 use salttiller_records::units::{Micros, SECOND};
 use window::SlidingWindow;
 
-/// Slices of the sliding window.
+/// Number of slices of the sliding window.
 const WINDOW_SLICES: u64 = 10;
 
-/// An open job as it is seen just now.
+/// Current state of an open job.
 pub struct ObservedJob<'a> {
     /// Id of the job.
     pub id: &'a str,
-    /// What was submitted.
+    /// Specification of the job.
     pub spec: &'a JobSpec,
-    /// Whether it fits into its team's guarantee.
+    /// Whether the job fits into its team's guarantee.
     pub guaranteed: bool,
-    /// Whether some task of it runs or has run.
+    /// Whether any task of the job runs or has run.
     pub started: bool,
-    /// The end of the pipeline that it is a step of, if that has a deadline.
+    /// End of the pipeline that the job is a step of, if the pipeline has a deadline.
     pub pipeline: Option<PipelineEnd<'a>>,
 }
 
-/// A change of an objective's state.
+/// Change of an objective's state.
 #[derive(Debug)]
 pub struct Transition {
-    /// The objective in words.
+    /// Description of the objective.
     pub objective: String,
-    /// Its new state.
+    /// New state of the objective.
     pub state: ObjectiveState,
-    /// Attainment and target in words.
+    /// Description of the attainment and the target.
     pub figures: String,
 }
 
@@ -53,13 +54,14 @@
 pub struct SloTracker {
     objectives: Vec<TrackedObjective>,
     jobs: BTreeMap<String, TrackedJob>,
-    slice: Micros,
+    slice_length: Micros,
     min_jobs: u32,
     recovery_margin: f64,
 }
 
 impl SloTracker {
-    /// Tracks the objectives of the settings that are about jobs.
+    /// Creates a tracker of the objectives whose metric is evaluated per job. Other objectives of
+    /// the settings are ignored.
     pub fn new(objectives: &[Objective], operator: &OperatorSettings) -> Self {
         let tracked = |objective: &Objective| {
             Some(TrackedObjective {
@@ -72,14 +74,15 @@
         SloTracker {
             objectives: objectives.iter().filter_map(tracked).collect(),
             jobs: BTreeMap::new(),
-            slice: (operator.alert_window / WINDOW_SLICES).max(SECOND),
+            slice_length: (operator.alert_window / WINDOW_SLICES).max(SECOND),
             min_jobs: operator.alert_min_jobs,
             recovery_margin: operator.alert_recovery_margin,
         }
     }
 
-    /// Takes the open jobs. `is_done` tells of one that is no longer open whether it was done
-    /// (and not cancelled); `now` is the time of day.
+    /// Evaluates the open jobs, and the jobs that ended since the last call. `is_done` returns
+    /// whether a job that is no longer open completed, as opposed to being cancelled. `now` is
+    /// the time of day.
     pub fn observe(
         &mut self,
         open: &[ObservedJob<'_>],
@@ -90,16 +93,16 @@
             self.track(job, now);
         }
         let open: BTreeSet<&str> = open.iter().map(|job| job.id).collect();
-        let slice = now / self.slice;
+        let slice = now / self.slice_length;
         for (id, job) in &mut self.jobs {
             let is_open = open.contains(id.as_str());
             if !is_open && !is_done(id) {
-                continue; // a cancelled job counts for nothing
+                continue; // a cancelled job counts for no objective
             }
             let finished = (!is_open).then_some(now);
             for (index, tracked) in self.objectives.iter_mut().enumerate() {
-                if let Some(met) = tracked.judge(job, finished, now) {
-                    if job.judged.insert(index) {
+                if let Some(met) = tracked.evaluate(job, finished, now) {
+                    if job.evaluated.insert(index) {
                         tracked.window.add(slice, met);
                     }
                 }
@@ -118,20 +121,20 @@
                 class: observed.spec.class.clone(),
                 guaranteed: observed.guaranteed,
                 started: None,
-                judged: BTreeSet::new(),
+                evaluated: BTreeSet::new(),
             });
         if observed.started {
             job.started.get_or_insert(now);
         }
     }
 
-    /// When an open job was first seen to have started.
+    /// Time at which an open job was first observed to have started.
     #[must_use]
     pub fn started_at(&self, id: &str) -> Option<Micros> {
         self.jobs.get(id)?.started
     }
 
-    /// Objectives whose state changes by the attainment at `now`.
+    /// Updates the state of each objective from its attainment at `now`, and returns the changes.
     pub fn transitions(&mut self, now: Micros) -> Vec<Transition> {
         let oldest = self.oldest_slice(now);
         let mut transitions = Vec::new();
@@ -150,7 +153,7 @@
         transitions
     }
 
-    /// The objectives as the status page shows them.
+    /// Returns the objectives for the status page.
     pub fn status(&mut self, now: Micros) -> Vec<ObjectiveStatus> {
         let oldest = self.oldest_slice(now);
         self.objectives
@@ -159,9 +162,9 @@
             .collect()
     }
 
-    /// The oldest slice that is in the window at `now`.
+    /// Index of the oldest slice in the window at `now`.
     fn oldest_slice(&self, now: Micros) -> u64 {
-        (now / self.slice).saturating_sub(WINDOW_SLICES - 1)
+        (now / self.slice_length).saturating_sub(WINDOW_SLICES - 1)
     }
 }
 
--- a/src/slo/objective.rs
+++ b/src/slo/objective.rs
@@ -1,4 +1,4 @@
-//! An objective with its attainment, and whether a job meets it.
+//! Evaluation of jobs against an objective, and the state of the objective.
 
 use super::job::TrackedJob;
 use super::window::{Attainment, SlidingWindow};
@@ -6,21 +6,21 @@
 use crate::settings::Objective;
 use salttiller_records::units::{to_seconds, Micros};
 
-/// What an objective is about.
+/// Metric to which an objective applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Metric {
     /// Time from submission to the start of the first task.
     StartLatency,
-    /// The same, of jobs within their team's guarantee.
+    /// Start latency of jobs within their team's guarantee.
     GuaranteedStartLatency,
-    /// Time from submission to the end.
+    /// Time from submission to completion.
     CompletionTime,
-    /// The job's own deadline.
+    /// Completion within the job's own deadline.
     Deadline,
 }
 
 impl Metric {
-    /// The metric by its name in the settings; others are not measured here.
+    /// Returns the metric for its name in the settings, or `None` if it is not evaluated per job.
     pub(super) fn from_name(name: &str) -> Option<Self> {
         match name {
             "wait" => Some(Metric::StartLatency),
@@ -32,16 +32,16 @@
     }
 }
 
-/// Whether an objective is attained, as last reported.
+/// State of an objective as last reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObjectiveState {
-    /// Attained.
+    /// The objective is met.
     Met,
-    /// Attainment is below the target.
+    /// The attainment is below the target.
     Breached,
 }
 
-/// An objective of the settings, and the jobs that were judged for it.
+/// An objective with the counts of evaluated jobs and its current state.
 pub(super) struct TrackedObjective {
     pub(super) objective: Objective,
     pub(super) metric: Metric,
@@ -50,7 +50,7 @@
 }
 
 impl TrackedObjective {
-    /// The objective in words.
+    /// Description of the objective, as alerts and the status page show it.
     pub(super) fn name(&self) -> String {
         let Objective {
             kind,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Attainment and target in words.
+    /// Description of an attainment and the target.
     pub(super) fn figures(&self, attainment: Attainment) -> String {
         format!(
             "{:.0}% of {}, aim {:.0}%",
@@ -75,7 +75,7 @@
         )
     }
 
-    /// The state that follows from an attainment.
+    /// Returns the state that follows from an attainment and the current state.
     pub(super) fn next_state(
         &self,
         attainment: Attainment,
@@ -83,8 +83,8 @@
         recovery_margin: f64,
     ) -> ObjectiveState {
         let target = self.objective.target;
-        // Hysteresis, so that the state doesn't flap about the target; with nothing left in
-        // the window nothing is breached either.
+        // Hysteresis keeps the state from flapping around the target. An objective without jobs
+        // in the window counts as met.
         let recovered = (target + recovery_margin).min(1.0);
         match self.state {
             ObjectiveState::Met if attainment.total >= min_jobs && attainment.ratio() < target => {
@@ -99,6 +99,7 @@
         }
     }
 
+    /// Returns the objective for the status page.
     pub(super) fn status(&mut self, oldest_slice: u64) -> ObjectiveStatus {
         let attainment = self.window.attainment(oldest_slice);
         ObjectiveStatus {
@@ -110,20 +111,20 @@
         }
     }
 
-    /// Whether a job met the objective; `None` while that is open, or if it doesn't count for
-    /// it.
-    /// See [`TrackedObjective::judge`].
-    pub(super) fn judge(
+    /// Returns whether a job met the objective. See [`evaluate`].
+    pub(super) fn evaluate(
         &self,
         job: &TrackedJob,
         finished: Option<Micros>,
         now: Micros,
     ) -> Option<bool> {
-        judge(&self.objective, self.metric, job, finished, now)
+        evaluate(&self.objective, self.metric, job, finished, now)
     }
 }
 
-pub(super) fn judge(
+/// Returns whether a job met an objective, or `None` if that is not decided yet or the objective
+/// does not apply to the job. `finished` is the time at which the job completed.
+pub(super) fn evaluate(
     objective: &Objective,
     metric: Metric,
     job: &TrackedJob,
--- a/src/slo/tests.rs
+++ b/src/slo/tests.rs
@@ -1,30 +1,33 @@
-//! Tests of objectives.
+//! Tests of the evaluation of jobs against objectives.
 
-use super::objective::judge;
+use super::objective::evaluate;
 use super::*;
 
+/// A job is evaluated only for objectives of its own class, and for the guarantee metric only
+/// within its team's guarantee. The result stays open until the job meets or misses the threshold
+/// or its deadline.
 #[test]
-fn jobs_count_for_the_objectives_that_they_should() {
-    let t = |class: &str, guaranteed, started| TrackedJob {
+fn jobs_are_evaluated_for_applicable_objectives() {
+    let job = |class: &str, guaranteed, started| TrackedJob {
         submitted: 0,
         deadline: Some(30 * SECOND),
         class: class.into(),
         guaranteed,
         started,
-        judged: BTreeSet::new(),
+        evaluated: BTreeSet::new(),
     };
-    let o = |kind: &str, class: Option<&str>| Objective {
+    let objective = |kind: &str, class: Option<&str>| Objective {
         kind: kind.into(),
         class: class.map(Into::into),
         threshold: Some(10 * SECOND),
         target: 0.5,
     };
     let s = SECOND;
-    for (kind, class, track, finished, wall, want) in [
+    for (kind, class, job, finished, now, expected) in [
         (
             "wait",
             Some("x"),
-            t("x", false, Some(9 * s)),
+            job("x", false, Some(9 * s)),
             None,
             9 * s,
             Some(true),
@@ -32,26 +35,26 @@
         (
             "wait",
             Some("x"),
-            t("x", false, Some(11 * s)),
+            job("x", false, Some(11 * s)),
             None,
             11 * s,
             Some(false),
         ),
-        ("wait", Some("x"), t("x", false, None), None, 9 * s, None),
+        ("wait", Some("x"), job("x", false, None), None, 9 * s, None),
         (
             "wait",
             Some("x"),
-            t("x", false, None),
+            job("x", false, None),
             None,
             11 * s,
             Some(false),
         ),
-        ("wait", Some("y"), t("x", false, None), None, 11 * s, None),
-        ("guarantee", None, t("x", false, None), None, 11 * s, None),
+        ("wait", Some("y"), job("x", false, None), None, 11 * s, None),
+        ("guarantee", None, job("x", false, None), None, 11 * s, None),
         (
             "guarantee",
             None,
-            t("x", true, None),
+            job("x", true, None),
             None,
             11 * s,
             Some(false),
@@ -59,7 +62,7 @@
         (
             "finished",
             Some("x"),
-            t("x", true, Some(1)),
+            job("x", true, Some(1)),
             Some(9 * s),
             9 * s,
             Some(true),
@@ -67,7 +70,7 @@
         (
             "deadline",
             Some("x"),
-            t("x", true, Some(1)),
+            job("x", true, Some(1)),
             Some(29 * s),
             29 * s,
             Some(true),
@@ -75,22 +78,22 @@
         (
             "deadline",
             Some("x"),
-            t("x", true, Some(1)),
+            job("x", true, Some(1)),
             None,
             31 * s,
             Some(false),
         ),
     ] {
         assert_eq!(
-            judge(
-                &o(kind, class),
+            evaluate(
+                &objective(kind, class),
                 Metric::from_name(kind).unwrap(),
-                &track,
+                &job,
                 finished,
-                wall
+                now
             ),
-            want,
-            "{kind} {wall}"
+            expected,
+            "{kind} evaluated at {now} us"
         );
     }
 }
--- a/src/slo/window.rs
+++ b/src/slo/window.rs
@@ -1,18 +1,18 @@
-//! Counts over a sliding window of time, kept in slices so that old ones drop off.
+//! Counts of jobs over a sliding time window, kept in slices so that old counts expire.
 
 use std::collections::VecDeque;
 
-/// How many jobs met an objective.
+/// Counts of jobs that were evaluated for an objective.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) struct Attainment {
-    /// Jobs that met it.
+    /// Number of jobs that met the objective.
     pub(super) met: u32,
-    /// Jobs that were judged.
+    /// Number of jobs that were evaluated.
     pub(super) total: u32,
 }
 
 impl Attainment {
-    /// The share of jobs that met it; all if there were none.
+    /// Share of the evaluated jobs that met the objective; 1 if no job was evaluated.
     pub(super) fn ratio(self) -> f64 {
         if self.total == 0 {
             1.0
@@ -22,20 +22,22 @@
     }
 }
 
+/// Counts of one slice of the window.
 #[derive(Debug)]
 struct Slice {
     index: u64,
     counts: Attainment,
 }
 
-/// Counts by slice, the oldest first.
+/// Counts by slice, ordered from oldest to newest.
 #[derive(Debug, Default)]
 pub(super) struct SlidingWindow {
     slices: VecDeque<Slice>,
 }
 
 impl SlidingWindow {
-    /// Counts a job in the slice of this index; indices never fall by much.
+    /// Counts a job in the slice with this index. Indices are expected to increase, apart from
+    /// small steps back of the clock.
     pub(super) fn add(&mut self, index: u64, met: bool) {
         if self.slices.back().is_none_or(|slice| slice.index != index) {
             let counts = Attainment::default();
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Counts of all slices, after dropping those before `oldest`.
+    /// Drops the slices before `oldest` and returns the sum of the others.
     pub(super) fn attainment(&mut self, oldest: u64) -> Attainment {
         while self
             .slices
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,12 +1,12 @@
-//! The status page as text, as `salttiller status` prints it. Its JSON form follows from the
-//! derives of [`Status`]. Both are interfaces that scripts read: they stay as they are.
+//! Text form of the status page, as `salttiller status` prints it. The JSON form follows from the
+//! serde attributes of [`Status`]. Scripts parse both forms, so neither may change.
 
 use std::fmt;
 
 use crate::peer_protocol::{ObjectiveStatus, RegionStatus, Status};
 use salttiller_records::units::to_seconds;
 
-/// The status page as text.
+/// Renders the status page as text.
 #[must_use]
 pub fn render_text(status: &Status) -> String {
     Page(status).to_string()
--- a/src/status/tests.rs
+++ b/src/status/tests.rs
@@ -1,15 +1,16 @@
-//! Tests of the status page.
+//! Tests of the JSON form of the status page.
 
 use super::*;
 
-/// The page as `salttiller status --json` prints it, to the byte.
+/// Guards against a change of the JSON that `salttiller status --json` prints, which scripts
+/// parse. The output is compared with the fixtures byte for byte.
 #[test]
-fn the_page_as_json() {
-    let region = |region: &str, owner: Option<&str>, settled| RegionStatus {
+fn status_page_json_matches_fixtures() {
+    let region = |region: &str, owner: Option<&str>, reconciled| RegionStatus {
         region: region.into(),
         owner: owner.map(Into::into),
         token: 9,
-        reconciled: settled,
+        reconciled,
         machines: 3,
         ready_machines: 2,
         pending_tasks: 1,
@@ -39,8 +40,8 @@
         (full, include_str!("fixtures/full.json")),
         (Status::default(), include_str!("fixtures/bare.json")),
     ];
-    for (page, text) in cases {
+    for (page, expected) in cases {
         let printed = format!("{}\n", serde_json::to_string(&page).unwrap());
-        assert_eq!(printed, text);
+        assert_eq!(printed, expected);
     }
 }
