--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -90,7 +90,7 @@
 
     /// Returns the factor by which a pool's cost is multiplied when offers are compared.
     pub(super) fn cost_factor(&self, offer: &Offer) -> f64 {
-        if self.pool(offer).is_degraded() && !is_disabled(Safeguard::BootTrouble) {
+        if self.pool(offer).is_degraded() && !is_disabled(Safeguard::DegradedProvisioning) {
             DEGRADED_COST_FACTOR
         } else {
             1.0
@@ -102,7 +102,7 @@
     #[must_use]
     pub(super) fn limit(&mut self, offer: &Offer, wanted: u32, now: Micros) -> u32 {
         let pool = self.pool(offer);
-        if !pool.is_degraded() || is_disabled(Safeguard::BootTrouble) {
+        if !pool.is_degraded() || is_disabled(Safeguard::DegradedProvisioning) {
             return wanted;
         }
         let beyond_overdue = wanted.saturating_sub(pool.overdue);
