--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,8 +1,8 @@
-//! Admission of users' requests: reading and validating submissions, whether a job can ever
-//! run here, the concurrency limit, and the answer that tells a job's state.
+//! Admission of user requests: parsing and validation of submissions, feasibility checks, the
+//! concurrency limit, and the encoding of a job's state.
 //!
-//! Called by the controller. It reads the replica and the settings and changes neither; nothing
-//! here reads a clock or touches a socket.
+//! The controller calls this module. The module reads the replica and the settings without
+//! changing them, and it uses neither clocks nor sockets.
 
 mod feasibility;
 mod job_state;
--- a/src/admission/feasibility.rs
+++ b/src/admission/feasibility.rs
@@ -1,5 +1,5 @@
-//! Whether a job can ever run here: its team's limit, machine types, zones, and the size of
-//! its record.
+//! Feasibility checks: whether a job can ever run, given its team's limit, the machine types,
+//! the zones, and the maximum size of a record.
 
 use std::collections::BTreeSet;
 
@@ -11,71 +11,76 @@
 use crate::state_store::replica::Replica;
 use salttiller_records::model::{JobSpec, MachineType};
 
-/// Bytes of a dependency in a record: an id of up to ten digits, in quotes, and a comma.
+/// Size in bytes of a dependency in a record: `req-`, up to ten digits, two quotes and a comma.
 const DEPENDENCY_BYTES: usize = 17;
-/// Bytes left in a record for what is not the submission: stage, region, task ranges.
+/// Size in bytes reserved in a record for data other than the submission: stage, region and task
+/// ranges.
 const RECORD_OVERHEAD_BYTES: usize = 1024;
 
-/// Why a well-formed submission is not accepted.
+/// Reason for which a well-formed submission is not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum AdmissionError {
-    /// The job can never run; status 422.
+    /// The job can never run. The response has status 422.
     #[error("can never run: {0}")]
     Unsatisfiable(Unsatisfiable),
-    /// It can't be decided yet; status 503.
-    #[error("can't be decided yet: {0}")]
+    /// Data that the checks need is not available yet. The response has status 503.
+    #[error("cannot be decided yet: {0}")]
     Undecided(Undecided),
-    /// A record doesn't hold so many dependencies; status 400 with this text as the body,
-    /// which is part of the interface.
+    /// The job has more dependencies than its record can hold. The response has status 400 and
+    /// this text as its body, which is part of the interface.
     #[error("needs too many jobs: a record keeps about {limit} of them")]
     TooManyDependencies {
-        /// About how many a record holds.
+        /// Approximate number of dependencies that a record can hold.
         limit: usize,
     },
 }
 
-/// Why a job can never run; names the field that can't be satisfied.
+/// Reason for which a job can never run. The text names the field of the submission that cannot be
+/// satisfied, except for [`Unsatisfiable::RecordTooLarge`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Unsatisfiable {
-    /// No team of this name.
+    /// The settings have no team with this name.
     #[error("{}: unknown team", SubmissionField::Team)]
     UnknownTeam,
-    /// More than the team's limit.
-    #[error("{}: more than the team's limit", SubmissionField::TaskCount)]
-    TeamLimit,
-    /// A task fits no allowed machine type.
+    /// The tasks that run at the same time need more than the team's limit.
+    #[error("{}: exceeds the team's limit", SubmissionField::TaskCount)]
+    TeamLimitExceeded,
+    /// No allowed machine type fits a task.
     #[error(
-        "{}: a task fits no allowed machine type",
+        "{}: no allowed machine type fits a task",
         SubmissionField::AllowedTypes
     )]
-    MachineType,
-    /// No zone of this name.
+    NoFittingMachineType,
+    /// Neither the settings nor the machine types have a zone with this name.
     #[error("{}: unknown zone", SubmissionField::Zone)]
     UnknownZone,
-    /// A task fits no machine type of the zone.
-    #[error("{}: a task fits no machine type of its zone", SubmissionField::Zone)]
-    MachineTypeInZone,
-    /// To be spread over zones and in a single one.
+    /// No allowed machine type of the zone fits a task.
     #[error(
-        "{}: it must be spread and in one zone at once",
+        "{}: no allowed machine type of the zone fits a task",
+        SubmissionField::Zone
+    )]
+    NoFittingMachineTypeInZone,
+    /// The job requires both a spread over zones and a single zone.
+    #[error(
+        "{}: the tasks cannot be both spread over zones and in one zone",
         SubmissionField::SpreadZones
     )]
     SpreadInOneZone,
-    /// A task fits machine types of fewer than two zones.
+    /// Fewer than two zones have a machine type that fits a task.
     #[error(
-        "{}: it must be spread over more zones than fit",
+        "{}: fewer than two zones have a machine type that fits a task",
         SubmissionField::SpreadZones
     )]
     TooFewZones,
-    /// The record would exceed the largest value of the state store.
-    #[error("its description is too long to keep")]
+    /// The job's record would exceed the maximum size of a value in the state store.
+    #[error("the job's record would exceed the maximum value size of the state store")]
     RecordTooLarge,
 }
 
-/// What must be known before a submission can be checked.
+/// Data without which a submission cannot be checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Undecided {
-    /// The cloud's machine types.
+    /// No machine types have been read from the cloud yet.
     #[error("machine types unknown")]
     MachineTypesUnknown,
 }
@@ -86,10 +91,10 @@
     }
 }
 
-/// Checks whether a job can ever run here.
+/// Checks whether a job can ever run in this deployment.
 ///
 /// # Errors
-/// It can't, or that isn't known yet.
+/// Returns the reason if the job can never run, or if that cannot be decided yet.
 pub fn check_satisfiable(
     spec: &JobSpec,
     replica: &Replica,
@@ -108,7 +113,7 @@
         spec,
     };
     if !offered.any_fits() {
-        return Err(Unsatisfiable::MachineType.into());
+        return Err(Unsatisfiable::NoFittingMachineType.into());
     }
     check_zone(spec, &offered, settings)?;
     check_spread(spec, &offered)?;
@@ -123,11 +128,11 @@
     if quota::fits_within_limit(spec.kind, spec.task_count, per_task, team.limit) {
         Ok(())
     } else {
-        Err(Unsatisfiable::TeamLimit)
+        Err(Unsatisfiable::TeamLimitExceeded)
     }
 }
 
-/// The cloud's machine types, as far as they fit a job's tasks.
+/// Machine types that the cloud offers, and the job whose tasks must fit them.
 struct OfferedTypes<'a> {
     types: Vec<&'a MachineType>,
     spec: &'a JobSpec,
@@ -140,7 +145,8 @@
             .any(|machine_type| self.spec.fits_machine_type(machine_type))
     }
 
-    /// Types are offered by zone: one that fits but is not offered in the zone is no use.
+    /// Whether a type that is offered in the zone fits a task. The zone matters because the cloud
+    /// offers each machine type in some zones only.
     fn any_fits_in(&self, zone: &String) -> bool {
         self.types.iter().any(|machine_type| {
             self.spec.fits_machine_type(machine_type) && machine_type.zones.contains(zone)
@@ -167,7 +173,7 @@
         return Err(Unsatisfiable::UnknownZone);
     }
     if !offered.any_fits_in(zone) {
-        return Err(Unsatisfiable::MachineTypeInZone);
+        return Err(Unsatisfiable::NoFittingMachineTypeInZone);
     }
     Ok(())
 }
@@ -191,7 +197,7 @@
     Ok(())
 }
 
-/// Checks that the job's record fits into a value of the state store.
+/// Checks that the job's record does not exceed the maximum size of a value in the state store.
 fn check_record_size(spec: &JobSpec, settings: &Settings) -> Result<(), AdmissionError> {
     let limit = settings.max_value_bytes;
     if record_bytes(spec) <= limit {
@@ -211,7 +217,7 @@
     Err(Unsatisfiable::RecordTooLarge.into())
 }
 
-/// About how long a job's record is.
+/// Returns the approximate size in bytes of a job's record.
 fn record_bytes(spec: &JobSpec) -> usize {
     serde_json::to_string(spec).map_or(usize::MAX, |text| text.len()) + RECORD_OVERHEAD_BYTES
 }
--- a/src/admission/job_state.rs
+++ b/src/admission/job_state.rs
@@ -1,18 +1,19 @@
-//! The state of a job as its user reads it.
+//! Encoding of a job's state for responses to users.
 
 use super::wire;
 use salttiller_records::record::JobStage;
 
-/// Counts of a job's tasks.
+/// Number of a job's tasks by state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of tasks on machines.
     pub running: u32,
 }
 
-/// The body that tells a user the state of a job; counts are left out if they aren't known.
+/// Encodes the state of a job as the body of a response. The body has no task counts if `counts`
+/// is `None`.
 #[must_use]
 pub fn encode_job_state(id: &str, stage: JobStage, counts: Option<TaskCounts>) -> Vec<u8> {
     let running = counts.is_some_and(|counts| counts.running > 0);
@@ -28,6 +29,6 @@
         done: counts.map(|counts| counts.done),
         running: counts.map(|counts| counts.running),
     })
-    // A plain map of text and numbers: this can't fail.
+    // Encoding a map of strings and numbers cannot fail.
     .unwrap_or_default()
 }
--- a/src/admission/submission.rs
+++ b/src/admission/submission.rs
@@ -1,4 +1,4 @@
-//! Reads submissions and validates them field by field.
+//! Parsing of submissions and validation of their fields.
 
 use std::collections::BTreeSet;
 
@@ -9,52 +9,52 @@
 use salttiller_records::model::{is_job_id, JobKind, JobSpec, Priority};
 use salttiller_records::units::{self, Micros};
 
-/// Longest time span that is accepted, in seconds.
+/// Maximum duration in a submission, in seconds.
 const MAX_SECONDS: f64 = 1e9;
-/// Largest amount of a resource that is accepted, in its unit.
+/// Maximum amount of a resource in a submission, in the resource's unit.
 const MAX_AMOUNT: f64 = 1e6;
-/// Most tasks of a job.
+/// Maximum number of tasks of a job.
 const MAX_TASKS: u32 = 100_000;
 
-/// Why a body is not a submission; it is refused with status 400.
+/// Reason for which a body is not a valid submission. The response has status 400.
 #[derive(Debug, Error)]
 pub enum SubmissionError {
-    /// Not a map from names to values.
+    /// The body is not a MessagePack map from field names to values.
     #[error("not a MessagePack map")]
     NotAMap,
-    /// Not MessagePack of the expected form: a field is missing or of another type.
+    /// The body is not valid MessagePack, or a field is missing or has another type.
     #[error("malformed submission: {0}")]
     Encoding(#[from] rmp_serde::decode::Error),
-    /// A field has a value that can't be used.
+    /// A field has an invalid value.
     #[error("{field}: {reason}")]
     Field {
         /// The field.
         field: SubmissionField,
-        /// What is wrong with its value.
+        /// Reason for which the value is invalid.
         reason: FieldError,
     },
 }
 
-/// What is wrong with the value of a field.
+/// Reason for which the value of a field is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FieldError {
-    /// Not the id of a job.
+    /// The value is not a job ID.
     #[error("not a job id")]
     NotAJobId,
-    /// None of the names that the field may have.
+    /// The value is not one of the names that the field accepts.
     #[error("unknown value")]
     UnknownValue,
-    /// Not a number, or outside of the accepted range.
+    /// The value is not a number or is outside the accepted range.
     #[error("out of range")]
     OutOfRange,
-    /// A job depends on itself.
+    /// The job lists itself as a dependency.
     #[error("the job depends on itself")]
     DependsOnItself,
 }
 
 impl FieldError {
-    /// The error of a submission with this value in `field`.
-    fn of(self, field: SubmissionField) -> SubmissionError {
+    /// Returns the error of a submission whose `field` has the invalid value.
+    fn in_field(self, field: SubmissionField) -> SubmissionError {
         SubmissionError::Field {
             field,
             reason: self,
@@ -62,11 +62,11 @@
     }
 }
 
-/// Reads a submission that came at `submitted_at` (time of day). Returns the id that the user
-/// gave the job, and the job.
+/// Parses a submission that was received at `submitted_at` (wall-clock time). Returns the job ID
+/// that the user chose and the job's specification.
 ///
 /// # Errors
-/// A body that is not a submission; the user is answered with status 400.
+/// Returns an error if the body is not a valid submission; the response has status 400.
 pub fn parse_submission(
     body: &[u8],
     submitted_at: Micros,
@@ -80,8 +80,8 @@
     Ok((submission.id, spec))
 }
 
-/// Whether bytes begin a MessagePack map; a list of the fields' values would be read as a
-/// submission too.
+/// Whether the body begins with the marker of a MessagePack map. The deserializer alone would also
+/// accept an array of the values in the order of the fields.
 fn is_map(body: &[u8]) -> bool {
     matches!(body.first(), Some(0x80..=0x8f | 0xde | 0xdf))
 }
@@ -90,9 +90,9 @@
     submission: &wire::Submission,
     submitted_at: Micros,
 ) -> Result<JobSpec, SubmissionError> {
-    // Keys of records are bounded, and so is the id, which is part of one.
+    // The job ID is part of a record's key, and the length of keys is limited.
     if !is_job_id(&submission.id) {
-        return Err(FieldError::NotAJobId.of(SubmissionField::Id));
+        return Err(FieldError::NotAJobId.in_field(SubmissionField::Id));
     }
     Ok(JobSpec {
         kind: job_kind(&submission.kind)?,
@@ -133,34 +133,34 @@
 }
 
 fn job_kind(name: &str) -> Result<JobKind, SubmissionError> {
-    wire::job_kind(name).ok_or(FieldError::UnknownValue.of(SubmissionField::Kind))
+    wire::job_kind(name).ok_or(FieldError::UnknownValue.in_field(SubmissionField::Kind))
 }
 
 fn priority(name: &str) -> Result<Priority, SubmissionError> {
-    wire::priority(name).ok_or(FieldError::UnknownValue.of(SubmissionField::Priority))
+    wire::priority(name).ok_or(FieldError::UnknownValue.in_field(SubmissionField::Priority))
 }
 
 fn task_count(count: u64) -> Result<u32, SubmissionError> {
     u32::try_from(count)
         .ok()
         .filter(|count| (1..=MAX_TASKS).contains(count))
-        .ok_or(FieldError::OutOfRange.of(SubmissionField::TaskCount))
+        .ok_or(FieldError::OutOfRange.in_field(SubmissionField::TaskCount))
 }
 
-/// Processors of a task, in millionths: unlike other resources, some are always needed.
+/// Converts the CPUs of a task to millionths. Unlike other resources, the amount must not be zero.
 fn cpus(cpus: f64) -> Result<u64, SubmissionError> {
     if cpus <= 0.0 {
-        return Err(FieldError::OutOfRange.of(SubmissionField::Cpus));
+        return Err(FieldError::OutOfRange.in_field(SubmissionField::Cpus));
     }
     amount(SubmissionField::Cpus, cpus)
 }
 
-/// An amount of a resource in millionths of its unit, rounded up.
+/// Converts an amount of a resource to millionths of its unit, rounded up.
 fn amount(field: SubmissionField, amount: f64) -> Result<u64, SubmissionError> {
     if amount.is_finite() && (0.0..=MAX_AMOUNT).contains(&amount) {
         Ok(units::round_up_to_millionths(amount))
     } else {
-        Err(FieldError::OutOfRange.of(field))
+        Err(FieldError::OutOfRange.in_field(field))
     }
 }
 
@@ -168,18 +168,18 @@
     if seconds.is_finite() && (0.0..=MAX_SECONDS).contains(&seconds) {
         Ok(units::from_seconds(seconds))
     } else {
-        Err(FieldError::OutOfRange.of(field))
+        Err(FieldError::OutOfRange.in_field(field))
     }
 }
 
-/// The jobs that must be done before, each once and in order.
+/// Returns the job IDs of the dependencies, sorted and without duplicates.
 fn dependencies(submission: &wire::Submission) -> Result<Vec<String>, SubmissionError> {
     let dependencies: BTreeSet<&String> = submission.dependencies.iter().flatten().collect();
     if dependencies.contains(&submission.id) {
-        return Err(FieldError::DependsOnItself.of(SubmissionField::Dependencies));
+        return Err(FieldError::DependsOnItself.in_field(SubmissionField::Dependencies));
     }
     if dependencies.iter().any(|id| !is_job_id(id)) {
-        return Err(FieldError::NotAJobId.of(SubmissionField::Dependencies));
+        return Err(FieldError::NotAJobId.in_field(SubmissionField::Dependencies));
     }
     Ok(dependencies.into_iter().cloned().collect())
 }
--- a/src/admission/wire.rs
+++ b/src/admission/wire.rs
@@ -1,4 +1,5 @@
-//! The users' protocol in MessagePack: the only place where its own words occur.
+//! Wire format (MessagePack) of user requests and responses. Names of the protocol that differ from
+//! those of the code occur only in this module.
 
 use std::fmt;
 
@@ -6,7 +7,7 @@
 
 use salttiller_records::model::{JobKind, Priority};
 
-/// A submission as users send it.
+/// Submission in its wire format.
 #[derive(Deserialize)]
 pub(super) struct Submission {
     #[serde(rename = "nameId")]
@@ -53,7 +54,7 @@
     pub(super) dependencies: Option<Vec<String>>,
 }
 
-/// A job's state as users read it.
+/// State of a job in its wire format.
 #[derive(Serialize)]
 pub(super) struct JobState<'a> {
     #[serde(rename = "nameId")]
@@ -65,42 +66,42 @@
     pub(super) running: Option<u32>,
 }
 
-/// A field of a submission; displayed by the name that users know.
+/// Field of a submission, displayed by its name in the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmissionField {
-    /// Id of the job.
+    /// Job ID.
     Id,
-    /// Team.
+    /// Team of the job.
     Team,
     /// Kind of the job.
     Kind,
-    /// Priority.
+    /// Priority of the job.
     Priority,
     /// Number of tasks.
     TaskCount,
-    /// Processors of a task.
+    /// CPUs of a task.
     Cpus,
-    /// Cards of a task.
+    /// Accelerators of a task.
     Gpus,
     /// Memory of a task.
     Memory,
-    /// Size of the image.
+    /// Size of the image of a task.
     ImageSize,
-    /// Machine types that a task may run on.
+    /// Machine types on which a task may run.
     AllowedTypes,
-    /// Zone in which the job must run.
+    /// Zone in which all tasks must run.
     Zone,
-    /// Whether its tasks are to be spread over zones.
+    /// Whether the tasks must be spread over zones.
     SpreadZones,
     /// Estimated run time of a task.
     EstimatedRunTime,
     /// Time between checkpoints.
     CheckpointInterval,
-    /// Time that a checkpoint takes.
+    /// Duration of a checkpoint.
     CheckpointTime,
-    /// Deadline.
+    /// Deadline of the job, as time from the submission.
     Deadline,
-    /// Jobs that must be done before.
+    /// Jobs that must be done before the job's tasks start.
     Dependencies,
 }
 
@@ -128,7 +129,7 @@
     }
 }
 
-/// A job's kind by its name on the wire.
+/// Returns the job kind with this name in the protocol.
 pub(super) fn job_kind(name: &str) -> Option<JobKind> {
     match name {
         "batch" => Some(JobKind::Array),
@@ -138,7 +139,7 @@
     }
 }
 
-/// A priority by its name on the wire.
+/// Returns the priority with this name in the protocol.
 pub(super) fn priority(name: &str) -> Option<Priority> {
     match name {
         "critical" => Some(Priority::Production),
--- a/src/peer_protocol.rs
+++ b/src/peer_protocol.rs
@@ -1,8 +1,8 @@
-//! What controllers tell each other.
+//! Protocol between controllers.
 //!
-//! Nothing here carries authority: all of it may be lost, late or repeated, and is checked
-//! against the records before it is acted on. The controller sends and takes these messages;
-//! nothing here touches a socket.
+//! Messages carry no authority. A message may be lost, delayed or duplicated, and its receiver
+//! checks it against the records before acting on it. The controller sends and receives the
+//! messages; this module uses no sockets.
 
 mod codec;
 mod message;
--- a/src/peer_protocol/message.rs
+++ b/src/peer_protocol/message.rs
@@ -1,39 +1,39 @@
-//! The messages themselves. Bytes on the wire follow from the order and the types of variants
-//! and fields: a new variant goes to the end, and only to peers that understand it.
+//! Messages between controllers. The wire format depends on the order and the types of variants and
+//! fields. A new variant must be added at the end, and must be sent only to peers that support it.
 
-#![allow(missing_docs)] // rkyv's derives make items that can't carry any
+#![allow(missing_docs)] // rkyv's derives generate items without doc comments
 
 use rkyv::{Archive, Deserialize, Serialize};
 
 use super::region_report::{ProvisioningHealth, RegionReport};
 use super::status::Status;
 
-/// A message between controllers.
+/// Message from one controller to another.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum Message {
-    /// State of the sender and of the regions that it owns.
+    /// State of the sender and of the regions it owns.
     ControllerState {
         /// Name of the sender.
         from: String,
-        /// Incarnation of its process.
+        /// Incarnation of the sender's process, with the bit [`UNDERSTANDS_EXTENSIONS`].
         incarnation: u64,
-        /// Whether its reads of the state store are recent.
+        /// Whether the sender's replica was recently up to date with the state store.
         reads_recent: bool,
-        /// Regions it owns.
+        /// Reports of the regions that the sender owns.
         regions: Vec<RegionReport>,
     },
-    /// The leader has an owner rebind pending tasks of a job to another region.
+    /// Request of the leader that an owner rebind pending tasks of a job to another region.
     RebindTasks {
         /// Job.
         job: String,
-        /// Region that hands them over.
+        /// Region that hands the tasks over.
         from: String,
-        /// Region that takes them.
+        /// Region that takes the tasks over; empty if the tasks are to be unbound.
         to: String,
-        /// How many tasks at most.
+        /// Maximum number of tasks.
         count: u32,
     },
-    /// The leader has an owner cordon machines of a pool that are not needed.
+    /// Request of the leader that an owner cordon surplus machines of a pool.
     CordonMachines {
         /// Region.
         region: String,
@@ -41,52 +41,53 @@
         machine_type: String,
         /// Zone.
         zone: String,
-        /// Spot or on-demand.
+        /// Whether the pool consists of spot instances.
         spot: bool,
-        /// How many at most; the owner picks those that hold the fewest tasks.
+        /// Maximum number of machines. The owner selects those with the fewest tasks.
         count: u32,
     },
-    /// The leader has a region start its part of a multi-region gang: all parts have their
-    /// capacity reserved.
+    /// Request of the leader that a region start its part of a multi-region gang, sent when the
+    /// capacity of all parts is reserved.
     StartGang {
         /// Job.
         job: String,
-        /// Attempt.
+        /// Attempt number of the gang.
         attempt: u64,
-        /// Region that starts its part.
+        /// Region of the part to start.
         region: String,
     },
-    /// Asks for the status page.
+    /// Request for the status page.
     StatusRequest,
-    /// The status page.
+    /// Response with the status page.
     StatusResponse(Status),
-    /// Jobs whose cancellation the sender has committed. A hint: an owner that the state store
-    /// refuses need not run them on until it reads of it.
+    /// Jobs whose cancellation the sender has committed. The message is a hint: an owner whose
+    /// requests the state store refuses can stop the jobs before it reads their cancellation.
     JobsCancelled {
-        /// Jobs.
+        /// Cancelled jobs.
         jobs: Vec<String>,
     },
-    /// Tells an owner that machines of its region turn to the sender, since they don't reach
-    /// it. Sent only to peers that understand it, see [`UNDERSTANDS_EXTENSIONS`].
+    /// Notification to an owner that workers of its region contact the sender because they cannot
+    /// reach the owner. Sent only to peers that support this message, see
+    /// [`UNDERSTANDS_EXTENSIONS`].
     OwnerUnreachable {
         /// Region.
         region: String,
-        /// The owner's fencing token, as the sender knows it.
+        /// The owner's fencing token in the sender's replica.
         token: u64,
-        /// Machines that did so lately.
+        /// Number of machines whose workers contacted the sender recently.
         machines: u32,
     },
-    /// Tells the leader how provisioning goes in a region. Sent only to peers that understand
-    /// it, see [`UNDERSTANDS_EXTENSIONS`].
+    /// Report to the leader about the provisioning of machines in a region. Sent only to peers
+    /// that support this message, see [`UNDERSTANDS_EXTENSIONS`].
     ProvisioningHealth {
         /// Region.
         region: String,
-        /// The pools of which machines are overdue.
+        /// Pools with overdue machines.
         pools: Vec<ProvisioningHealth>,
     },
 }
 
-/// Bit that is set in the incarnation of a [`Message::ControllerState`] by controllers that
-/// understand [`Message::OwnerUnreachable`] and [`Message::ProvisioningHealth`]. Incarnations
-/// are below 2^53, and earlier versions don't look at that of this message.
+/// Bit that a controller sets in the incarnation of [`Message::ControllerState`] to announce
+/// support for [`Message::OwnerUnreachable`] and [`Message::ProvisioningHealth`]. The bit is free
+/// since incarnations are below 2^53, and earlier versions ignore the incarnation in this message.
 pub const UNDERSTANDS_EXTENSIONS: u64 = 1 << 62;
--- a/src/peer_protocol/region_report.rs
+++ b/src/peer_protocol/region_report.rs
@@ -1,61 +1,62 @@
-//! What the owner of a region tells the other controllers of it.
+//! Reports that the owner of a region sends to the other controllers.
 
-#![allow(missing_docs)] // rkyv's derives make items that can't carry any
+#![allow(missing_docs)] // rkyv's derives generate items without doc comments
 
 use rkyv::{Archive, Deserialize, Serialize};
 
 use salttiller_records::Resources;
 
-/// State of a region as its owner sees it.
+/// State of a region as known to its owner.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct RegionReport {
     /// Region.
     pub region: String,
     /// The owner's fencing token.
     pub token: u64,
-    /// Whether all machines are reconciled.
+    /// Whether all machines of the region are reconciled.
     pub reconciled: bool,
-    /// Free capacity by pool.
+    /// Free capacity of the region's pools.
     pub capacity: Vec<PoolCapacity>,
-    /// Pending jobs, the most urgent first.
+    /// Pending jobs in scheduling order.
     pub pending_jobs: Vec<PendingJob>,
-    /// Running tasks by job.
+    /// Number of running tasks by job.
     pub running_tasks: Vec<RunningTasks>,
-    /// Teams of whose limit other regions' shares leave too little, and the scheduling rank
-    /// (priority, then age) of the first job that lacks some.
+    /// Teams whose pending tasks lack quota because other regions' shares use up too much of the
+    /// team's limit, and the scheduling rank (priority, then age) of the first job that lacks
+    /// quota.
     pub quota_blocked_teams: Vec<(String, u64)>,
-    /// Multi-region gangs whose part has its capacity reserved, and the attempt.
+    /// Multi-region gangs whose part in this region has its capacity reserved, and the attempt.
     pub gang_parts_ready: Vec<(String, u64)>,
-    /// Processors times time that the users of lately finished tasks that fit many machine
-    /// types had estimated.
+    /// Estimated CPU time of recently finished tasks that fit on more than one machine type, as a
+    /// decaying sum of millionths of a CPU times microseconds.
     pub estimated: f64,
-    /// Processors times time that these tasks actually took.
+    /// Actual CPU time of these tasks, as a decaying sum in the same unit.
     pub actual: f64,
 }
 
-/// Free capacity of machines of a pool that are alike, in millionths. One entry for many: one
-/// for each machine would be the greater part of what controllers send and read when there
-/// are thousands.
+/// Free capacity of a group of similar machines of a pool, in millionths. Machines are grouped
+/// since separate entries for thousands of machines would be the larger part of the data that
+/// controllers send and read.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct PoolCapacity {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot or on-demand.
+    /// Whether the pool consists of spot instances.
     pub spot: bool,
-    /// Whether they are ready for placement; if not, they are being provisioned.
+    /// Whether the machines are ready for placement; if not, they are being provisioned.
     pub available: bool,
-    /// Free processors, cards and memory of each machine, rounded down.
+    /// Free CPUs, accelerators and memory of each machine, rounded down.
     pub free: FreeResources,
-    /// How many machines.
+    /// Number of machines in the group.
     pub machines: u32,
 }
 
-/// Free resources of a machine, in millionths; memory in those of a GB.
+/// Free resources of a machine, in millionths of a CPU, an accelerator and a GB.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreeResources {
-    /// Processors.
+    /// CPUs.
     pub cpus: u64,
     /// Accelerators.
     pub gpus: u64,
@@ -83,42 +84,42 @@
     }
 }
 
-/// A job with pending tasks in a region.
+/// Job with pending tasks in a region.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct PendingJob {
     /// Job.
     pub job: String,
-    /// Pending tasks that could be started or rebound.
+    /// Number of pending tasks that may be started or rebound.
     pub pending_tasks: u32,
-    /// How long the oldest has waited for capacity, in microseconds.
+    /// Time for which the job has had pending tasks without interruption, in microseconds.
     pub waiting_us: u64,
-    /// Part of a multi-region gang whose attempt failed, or a job that failed on several
-    /// machines without a result.
+    /// Whether the job is part of a multi-region gang whose attempt failed, or has failed on
+    /// several machines without a result.
     pub needs_new_attempt: bool,
 }
 
-/// Running tasks of a job, for display.
+/// Number of running tasks of a job.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct RunningTasks {
     /// Job.
     pub job: String,
-    /// Tasks on machines.
+    /// Number of tasks on machines.
     pub running: u32,
 }
 
-/// How the provisioning of machines of a pool goes in a region.
+/// State of the provisioning of a pool's machines in a region.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ProvisioningHealth {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot or on-demand.
+    /// Whether the pool consists of spot instances.
     pub spot: bool,
-    /// Machines that should be ready and aren't.
+    /// Number of machines that are not ready although they should be.
     pub overdue: u32,
-    /// Machines that became ready lately.
+    /// Number of machines that became ready recently.
     pub arrived: u32,
-    /// For how long the first has been overdue, in microseconds.
+    /// Time for which the first of the overdue machines has been overdue, in microseconds.
     pub overdue_us: u64,
 }
--- a/src/peer_protocol/status.rs
+++ b/src/peer_protocol/status.rs
@@ -1,76 +1,78 @@
-//! The status page of a controller, as it is sent to whoever asks for it and printed as JSON.
-//! The names in JSON are those of serde's `rename`.
+//! Status page of a controller, which is sent in response to [`Message::StatusRequest`] and printed
+//! as JSON. The attributes `serde(rename)` keep the names in JSON stable.
+//!
+//! [`Message::StatusRequest`]: super::Message::StatusRequest
 
-#![allow(missing_docs)] // rkyv's derives make items that can't carry any
+#![allow(missing_docs)] // rkyv's derives generate items without doc comments
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// The status page.
+/// Status page of a controller.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, Default, serde::Serialize)]
 pub struct Status {
-    /// Host name.
+    /// Name of the controller.
     pub name: String,
-    /// Incarnation of its process.
+    /// Incarnation of the controller's process.
     #[serde(rename = "run")]
     pub incarnation: u64,
-    /// The leader, if one is known.
+    /// Name of the leader, if known.
     pub leader: Option<String>,
-    /// Time until its authority ends, in microseconds.
+    /// Time until the controller's authority ends, in microseconds.
     #[serde(rename = "authority_us")]
     pub authority_remaining_us: u64,
-    /// Whether its reads of the state store are recent.
+    /// Whether the controller's replica was recently up to date with the state store.
     #[serde(rename = "fresh")]
     pub reads_recent: bool,
-    /// Regions.
+    /// Status of each region.
     pub regions: Vec<RegionStatus>,
-    /// Pending tasks by class.
+    /// Number of pending tasks by class.
     #[serde(rename = "waiting")]
     pub pending_tasks: Vec<(String, u32)>,
-    /// AlertMonitor.
+    /// Status of each objective.
     #[serde(rename = "aims")]
     pub objectives: Vec<ObjectiveStatus>,
-    /// The last alerts.
+    /// Most recent alerts.
     #[serde(rename = "signals")]
     pub alerts: Vec<String>,
 }
 
-/// A region on the status page.
+/// Status of a region.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, serde::Serialize)]
 pub struct RegionStatus {
     /// Region.
     pub region: String,
-    /// Owner on record.
+    /// Recorded owner of the region.
     pub owner: Option<String>,
     /// The owner's fencing token.
     pub token: u64,
-    /// Whether all machines are reconciled, as last reported.
+    /// Whether all machines were reconciled, according to the last report.
     #[serde(rename = "settled")]
     pub reconciled: bool,
-    /// Machines on record.
+    /// Number of recorded machines.
     pub machines: u32,
-    /// Machines that are ready for placement, as last reported.
+    /// Number of machines that were ready for placement, according to the last report.
     #[serde(rename = "live")]
     pub ready_machines: u32,
-    /// Pending tasks.
+    /// Number of pending tasks, according to the last report.
     #[serde(rename = "waiting")]
     pub pending_tasks: u32,
 }
 
-/// An objective on the status page.
+/// Status of a service-level objective.
 #[derive(Archive, Serialize, Deserialize, Debug, Clone, PartialEq, serde::Serialize)]
 pub struct ObjectiveStatus {
-    /// The objective.
+    /// Name of the objective.
     #[serde(rename = "aim")]
     pub objective: String,
-    /// Jobs in the window that met it.
+    /// Number of jobs in the window that met the objective.
     pub met: u32,
-    /// Jobs in the window.
+    /// Number of jobs in the window.
     #[serde(rename = "all")]
     pub total: u32,
-    /// The share of jobs that should meet it.
+    /// Target share of jobs that meet the objective.
     #[serde(rename = "share")]
     pub target: f64,
-    /// Whether it is breached.
+    /// Whether the objective is breached.
     #[serde(rename = "behind")]
     pub breached: bool,
 }
--- a/src/peer_protocol/tests.rs
+++ b/src/peer_protocol/tests.rs
@@ -1,10 +1,11 @@
-//! Tests of messages between controllers.
+//! Tests of the protocol between controllers.
 
 use super::*;
-use crate::fixtures::{self as files, bytes_of};
+use crate::fixtures::{self, bytes_of};
 use proptest::prelude::*;
 
-fn sample() -> Message {
+/// Returns a message with an entry in each list.
+fn sample_message() -> Message {
     Message::ControllerState {
         from: "t-0".into(),
         incarnation: 3,
@@ -44,26 +45,26 @@
 }
 
 proptest! {
-    /// A broken message is refused or read as something harmless, never a crash.
+    /// Guards against a panic of a controller that receives a corrupted or truncated message.
     #[test]
-    fn damage_never_panics(at in 0usize..400, bit in 0u8..8, cut in 0usize..400) {
-        let mut b = encode(&sample());
-        prop_assert_eq!(decode(&b), Some(sample()));
-        let n = b.len();
-        b[at % n] ^= 1 << bit;
-        let _ = decode(&b);
-        b.truncate(cut % n);
-        let _ = decode(&b);
+    fn decoding_corrupted_messages_never_panics(at in 0usize..400, bit in 0u8..8, cut in 0usize..400) {
+        let mut bytes = encode(&sample_message());
+        prop_assert_eq!(decode(&bytes), Some(sample_message()));
+        let length = bytes.len();
+        bytes[at % length] ^= 1 << bit;
+        let _ = decode(&bytes);
+        bytes.truncate(cut % length);
+        let _ = decode(&bytes);
     }
 }
 
-/// The bytes of each kind of message as production (36efc7c) and the version before it
-/// (d88939c) write them, both alike: captured by a test that was added to their own
-/// `src/mesh.rs` and printed `encode` of these values.
-fn fixtures() -> Vec<(Message, &'static str)> {
+/// Returns messages and their bytes as written by the version in production (36efc7c) and by the
+/// version before it (d88939c). Both write the same bytes, which were captured by a test that was
+/// added to `src/mesh.rs` of these versions and printed the result of `encode`.
+fn messages_of_older_versions() -> Vec<(Message, &'static str)> {
     vec![
         (
-            sample(),
+            sample_message(),
             "6738ffffffffffff61ffffffffffffff00010000000000000100000000000000020000000000000003000000\
          0000000004000000000000007265712d31ffffff050000000000000006000000000000000000000000000000\
          7265712d31ffffff0200000000000000726564ffffffffff05000000000000007265712d32ffffff07000000\
@@ -101,48 +102,51 @@
     ]
 }
 
-/// Controllers of production and of this version understand each other: what each writes
-/// is the same to the byte.
+/// Guards against a controller that cannot exchange messages with controllers of older versions:
+/// both must write the same bytes.
 #[test]
-fn messages_of_older_versions() {
-    for (message, hex) in fixtures() {
-        let theirs = bytes_of(hex);
-        assert_eq!(decode(&theirs), Some(message.clone()), "read");
-        assert_eq!(encode(&message), theirs, "written: {message:?}");
+fn messages_of_older_versions_keep_their_bytes() {
+    for (message, hex) in messages_of_older_versions() {
+        let expected = bytes_of(hex);
+        assert_eq!(decode(&expected), Some(message.clone()), "decoded");
+        assert_eq!(encode(&message), expected, "encoded: {message:?}");
     }
 }
 
-/// A kind that this version doesn't know, a message cut short at any point, and nonsense
-/// are refused.
+/// Guards against invalid bytes that are decoded as a message: a kind that a later version may
+/// add, a truncated message, and arbitrary bytes.
 #[test]
-fn messages_of_later_versions() {
-    // Where the kind stands: in the fixtures with the fewest contents it is the one byte
-    // that differs from none.
-    let unknown_kind = |hex: &str, known: u8| {
+fn unknown_or_invalid_messages_are_rejected() {
+    // The discriminant of the kind is the only non-zero byte of the message without fields.
+    let with_unknown_kind = |hex: &str, known: u8| {
         let mut bytes = bytes_of(hex);
         let at = bytes.iter().rposition(|b| *b == known).unwrap();
         bytes[at] = 0x3f;
         bytes
     };
-    let all = fixtures();
-    assert_eq!(decode(&unknown_kind(all[4].1, 4)), None);
-    for (message, hex) in &all {
-        let whole = bytes_of(hex);
-        for length in 0..whole.len() {
-            let read = decode(&whole[..length]);
-            assert_ne!(read.as_ref(), Some(message), "cut to {length}");
+    let messages = messages_of_older_versions();
+    assert_eq!(decode(&with_unknown_kind(messages[4].1, 4)), None);
+    for (message, hex) in &messages {
+        let bytes = bytes_of(hex);
+        for length in 0..bytes.len() {
+            let decoded = decode(&bytes[..length]);
+            assert_ne!(
+                decoded.as_ref(),
+                Some(message),
+                "truncated to {length} bytes"
+            );
         }
     }
-    for nonsense in [&b""[..], &[0xff; 7], &[0xff; 96], &[0x3f; 200]] {
-        assert_eq!(decode(nonsense), None);
+    for invalid in [&b""[..], &[0xff; 7], &[0xff; 96], &[0x3f; 200]] {
+        assert_eq!(decode(invalid), None);
     }
 }
 
-/// A message of each kind under the name of its bytes in `fixtures/messages.hex`: no field
-/// has its default, lists have two entries, and texts are both short and long, which are
-/// kept in different places.
+/// Returns messages of each kind, each with the name of its bytes in `fixtures/messages.hex`.
+/// Fields have values other than their default, and lists have two entries. Strings are both short
+/// and long, since rkyv stores short strings inline and long ones out of line.
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
-fn every_kind() -> Vec<(&'static str, Message)> {
+fn messages_of_every_kind() -> Vec<(&'static str, Message)> {
     let long = || "a-name-longer-than-eight-bytes".to_owned();
     let pool = |machine_type: &str, spot, available, (cpus, gpus, memory), machines| PoolCapacity {
         machine_type: machine_type.into(),
@@ -152,20 +156,20 @@
         free: FreeResources { cpus, gpus, memory },
         machines,
     };
-    let wait = |job: String, waiting, since_us, stuck| PendingJob {
+    let pending_job = |job: String, pending_tasks, waiting_us, needs_new_attempt| PendingJob {
         job,
-        pending_tasks: waiting,
-        waiting_us: since_us,
-        needs_new_attempt: stuck,
+        pending_tasks,
+        waiting_us,
+        needs_new_attempt,
     };
-    let count = |job: String, running| RunningTasks { job, running };
-    let boot = |machine_type: String, spot, overdue, arrived, since_us| ProvisioningHealth {
+    let running_tasks = |job: String, running| RunningTasks { job, running };
+    let health = |machine_type: String, spot, overdue, arrived, overdue_us| ProvisioningHealth {
         machine_type,
         zone: "c".into(),
         spot,
         overdue,
         arrived,
-        overdue_us: since_us,
+        overdue_us,
     };
     let report = RegionReport {
         region: long(),
@@ -176,16 +180,19 @@
             pool("h4", false, true, (5 << 33, 6 << 33, 7 << 33), 70_000),
         ],
         pending_jobs: vec![
-            wait("req-1".into(), 5, 6, true),
-            wait(long(), 70_000, 1 << 41, false),
+            pending_job("req-1".into(), 5, 6, true),
+            pending_job(long(), 70_000, 1 << 41, false),
+        ],
+        running_tasks: vec![
+            running_tasks("req-1".into(), 8),
+            running_tasks(long(), 80_000),
         ],
-        running_tasks: vec![count("req-1".into(), 8), count(long(), 80_000)],
         quota_blocked_teams: vec![("red".into(), 9), (long(), 1 << 42)],
         gang_parts_ready: vec![("req-2".into(), 10), (long(), 1 << 43)],
         estimated: 1.5,
         actual: -0.25,
     };
-    let bare = RegionReport {
+    let empty_report = RegionReport {
         region: "t-1".into(),
         token: 11,
         reconciled: false,
@@ -197,11 +204,11 @@
         estimated: 0.0,
         actual: 0.0,
     };
-    let status_region = |region: &str, owner: Option<String>, settled| RegionStatus {
+    let region_status = |region: &str, owner: Option<String>, reconciled| RegionStatus {
         region: region.into(),
         owner,
         token: 12,
-        reconciled: settled,
+        reconciled,
         machines: 13,
         ready_machines: 14,
         pending_tasks: 15,
@@ -220,8 +227,8 @@
         authority_remaining_us: 18,
         reads_recent: true,
         regions: vec![
-            status_region("t-0", Some("t-0".into()), true),
-            status_region("t-1", None, false),
+            region_status("t-0", Some("t-0".into()), true),
+            region_status("t-1", None, false),
         ],
         pending_tasks: vec![("x".into(), 19), (long(), 20)],
         objectives: vec![objective("wait".into(), true), objective(long(), false)],
@@ -234,7 +241,7 @@
                 from: "t-0".into(),
                 incarnation: 21 | UNDERSTANDS_EXTENSIONS,
                 reads_recent: true,
-                regions: vec![report, bare],
+                regions: vec![report, empty_report],
             },
         ),
         (
@@ -295,24 +302,25 @@
             Message::ProvisioningHealth {
                 region: "t-2".into(),
                 pools: vec![
-                    boot("g8".into(), true, 25, 26, 27),
-                    boot(long(), false, 70_000, 28, 1 << 47),
+                    health("g8".into(), true, 25, 26, 27),
+                    health(long(), false, 70_000, 28, 1 << 47),
                 ],
             },
         ),
     ]
 }
 
-/// Each kind of message is written to the same bytes as by 0.6.0, and they are read as it.
+/// Guards against a change of the wire format since 0.6.0: messages of each kind must be encoded to
+/// the same bytes, and decoded from them.
 #[test]
 fn every_kind_of_message_keeps_its_bytes() {
-    let files = files::read(include_str!("fixtures/messages.hex"));
-    let pools = every_kind();
-    assert_eq!(files.len(), pools.len());
-    for (name, message) in pools {
-        let bytes = &files[name];
-        assert_eq!(hex_of(&encode(&message)), hex_of(bytes), "written: {name}");
-        assert_eq!(decode(bytes), Some(message), "read: {name}");
+    let fixtures = fixtures::read(include_str!("fixtures/messages.hex"));
+    let messages = messages_of_every_kind();
+    assert_eq!(fixtures.len(), messages.len());
+    for (name, message) in messages {
+        let bytes = &fixtures[name];
+        assert_eq!(hex_of(&encode(&message)), hex_of(bytes), "encoded: {name}");
+        assert_eq!(decode(bytes), Some(message), "decoded: {name}");
     }
 }
 
@@ -320,55 +328,62 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// How damaged forms of a message are read, in their order: `r` refused, `s` as the same
-/// message, `d` as a different one, each with how many in a row.
-fn readings(message: &Message, damaged: impl Iterator<Item = Vec<u8>>) -> String {
+/// Returns the outcomes of decoding corrupted forms of a message, in their order: `r` (rejected),
+/// `s` (decoded as the same message) or `d` (decoded as a different message), each followed by the
+/// number of consecutive outcomes of this kind.
+fn decode_outcomes(message: &Message, corrupted: impl Iterator<Item = Vec<u8>>) -> String {
     let mut runs: Vec<(char, usize)> = Vec::new();
-    for bytes in damaged {
-        let reading = match decode(&bytes) {
+    for bytes in corrupted {
+        let outcome = match decode(&bytes) {
             None => 'r',
-            Some(read) if read == *message => 's',
+            Some(decoded) if decoded == *message => 's',
             Some(_) => 'd',
         };
         match runs.last_mut() {
-            Some((last, n)) if *last == reading => *n += 1,
-            _ => runs.push((reading, 1)),
+            Some((last, n)) if *last == outcome => *n += 1,
+            _ => runs.push((outcome, 1)),
         }
     }
-    let runs: Vec<String> = runs.iter().map(|(r, n)| format!("{r}{n}")).collect();
+    let runs: Vec<String> = runs
+        .iter()
+        .map(|(outcome, n)| format!("{outcome}{n}"))
+        .collect();
     runs.join(" ")
 }
 
-/// Messages cut at each length, and with each byte inverted, the discriminants of the kind
-/// and of optional fields among them, are refused or read as by 0.6.0.
+/// Guards against a change since 0.6.0 of how corrupted messages are decoded. Each message is
+/// truncated to each length, and each of its bytes is inverted, including the discriminants of the
+/// kind and of optional fields.
 #[test]
-fn damaged_messages_are_refused_as_before() {
-    let files = files::read(include_str!("fixtures/messages.hex"));
-    let mut found = String::new();
-    for (name, message) in every_kind() {
-        let whole = &files[name];
-        let cut = (0..whole.len()).map(|n| whole[..n].to_vec());
-        let inverted = (0..whole.len()).map(|at| {
-            let mut bytes = whole.clone();
+fn corrupted_messages_are_decoded_as_in_0_6_0() {
+    let fixtures = fixtures::read(include_str!("fixtures/messages.hex"));
+    let mut outcomes = String::new();
+    for (name, message) in messages_of_every_kind() {
+        let valid = &fixtures[name];
+        let truncated = (0..valid.len()).map(|length| valid[..length].to_vec());
+        let inverted = (0..valid.len()).map(|at| {
+            let mut bytes = valid.clone();
             bytes[at] ^= 0xff;
             bytes
         });
-        let cut = readings(&message, cut);
-        let inverted = readings(&message, inverted);
-        found.push_str(&format!(
-            "{name}: cut: {cut}\n{name}: inverted: {inverted}\n"
+        let truncated = decode_outcomes(&message, truncated);
+        let inverted = decode_outcomes(&message, inverted);
+        outcomes.push_str(&format!(
+            "{name}: cut: {truncated}\n{name}: inverted: {inverted}\n"
         ));
     }
-    assert_eq!(found, include_str!("fixtures/damaged.txt"));
+    assert_eq!(outcomes, include_str!("fixtures/damaged.txt"));
 }
 
-/// Of the values that the discriminant of the kind can have only the nine in use are read.
+/// Guards against messages of an unknown kind that are decoded as a known one: only the nine
+/// discriminants in use are accepted.
 #[test]
-fn unknown_kinds_of_message_are_refused() {
-    /// Length of what stands at the end of each message and begins with the discriminant.
-    const LAST_PART: usize = 88;
-    let files = files::read(include_str!("fixtures/messages.hex"));
-    let pools = [
+fn unknown_kinds_of_message_are_rejected() {
+    /// Size in bytes of the root object, which is at the end of each encoded message and begins
+    /// with the discriminant.
+    const ROOT_SIZE: usize = 88;
+    let fixtures = fixtures::read(include_str!("fixtures/messages.hex"));
+    let names = [
         "state",
         "move",
         "close",
@@ -379,9 +394,9 @@
         "unreached",
         "boots",
     ];
-    for (discriminant, name) in (0u8..).zip(pools) {
-        let mut bytes = files[name].clone();
-        let at = bytes.len() - LAST_PART;
+    for (discriminant, name) in (0u8..).zip(names) {
+        let mut bytes = fixtures[name].clone();
+        let at = bytes.len() - ROOT_SIZE;
         assert_eq!(bytes[at], discriminant, "{name}");
         for unknown in 9..=u8::MAX {
             bytes[at] = unknown;
--- a/src/worker_protocol.rs
+++ b/src/worker_protocol.rs
@@ -1,11 +1,11 @@
-//! The protocol between workers and the owner of their region.
+//! Protocol between workers and the controller that owns their region.
 //!
-//! Workers send heartbeats, which the controller parses with [`parse_heartbeat`]. Commands
-//! are carried by the answers, which it makes with [`encode_commands`] and
-//! [`encode_redirect`]. Heartbeats of one machine are ordered by [`HeartbeatId`]: only a later
-//! one counts, a late or repeated one changes nothing.
+//! Workers send heartbeats, which the controller parses with [`parse_heartbeat`]. The responses
+//! carry commands to the worker ([`encode_commands`]) or a redirect to the owner of its region
+//! ([`encode_redirect`]). [`HeartbeatId`] orders the heartbeats of a machine: a heartbeat that is
+//! not later than the last one is stale or repeated and has no effect.
 //!
-//! Pure functions and data; nothing here reads a clock or touches a socket.
+//! The module consists of pure functions and data; it uses neither clocks nor sockets.
 
 mod commands;
 mod heartbeat;
--- a/src/worker_protocol/commands.rs
+++ b/src/worker_protocol/commands.rs
@@ -1,42 +1,42 @@
-//! Commands to workers and the bodies that carry them.
+//! Commands to workers and the encoding of response bodies.
 
 use salttiller_records::model::JobId;
 use salttiller_records::units::Micros;
 
 use super::wire;
 
-/// The most commands of one response: its body must stay below 64 KiB.
+/// Maximum number of commands in a response, whose body must stay below 64 KiB.
 pub const MAX_COMMANDS: usize = 400;
 
-/// What a worker is to do with a task.
+/// Operation that a worker performs on a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandKind {
-    /// Start it.
+    /// Start the task.
     Start,
-    /// Stop it; it may save a checkpoint if the grace period is long enough.
+    /// Stop the task. The task may save a checkpoint if the grace period is long enough.
     Stop {
-        /// Time until it is killed.
+        /// Time after which the task is killed.
         grace: Micros,
     },
-    /// Forget an exited task: its exit is on record.
+    /// Discard the state of an exited task, whose exit is recorded.
     Reap,
 }
 
-/// A command to a worker, carried by the response to its heartbeat.
+/// Command to a worker, sent in the response to its heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Command {
     /// Job of the task.
     pub job: JobId,
-    /// Number of the task.
+    /// Number of the task within its job.
     pub task: u32,
-    /// Attempt that is meant; the worker ignores a command for another.
+    /// Attempt of the task. The worker ignores a command for another attempt.
     pub attempt: u64,
-    /// What to do.
+    /// Operation on the task.
     pub kind: CommandKind,
 }
 
 impl Command {
-    /// Starts a task under an attempt number.
+    /// Creates a command to start an attempt of a task.
     pub fn start(job: JobId, task: u32, attempt: u64) -> Self {
         Command {
             job,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Stops a task after a grace period.
+    /// Creates a command to stop a task within a grace period.
     pub fn stop(job: JobId, task: u32, attempt: u64, grace: Micros) -> Self {
         Command {
             job,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Has the worker forget an exited task.
+    /// Creates a command to discard the state of an exited task.
     pub fn reap(job: JobId, task: u32, attempt: u64) -> Self {
         Command {
             job,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The body of a 200: commands under the region's fencing token.
+/// Encodes the body of a response with status 200: commands and the region's fencing token.
 #[must_use]
 pub fn encode_commands(token: u64, commands: &[Command]) -> Vec<u8> {
     let task_names: Vec<String> = commands
@@ -84,13 +84,14 @@
     })
 }
 
-/// The body of a 421: the controller that owns the machine's region, if known.
+/// Encodes the body of a response with status 421: the controller that owns the machine's region,
+/// if known.
 #[must_use]
 pub fn encode_redirect(owner: Option<&str>) -> Vec<u8> {
     encode(&wire::RedirectMessage { owner })
 }
 
 fn encode(message: &impl serde::Serialize) -> Vec<u8> {
-    // Messages are plain maps of text and numbers: this can't fail.
+    // Encoding maps of strings and numbers cannot fail.
     rmp_serde::to_vec_named(message).unwrap_or_default()
 }
--- a/src/worker_protocol/heartbeat.rs
+++ b/src/worker_protocol/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: the state of a worker and of the tasks on its machine.
+//! Heartbeats, which report the state of a worker and of the tasks on its machine.
 
 use salttiller_records::model::JobId;
 use salttiller_records::units::Micros;
@@ -6,42 +6,42 @@
 
 use super::wire;
 
-/// Why a task exited.
+/// Reason for which a task exited, or was not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitReason {
-    /// Completed successfully.
+    /// The task completed successfully.
     Done,
-    /// Stopped by a command.
+    /// The task was stopped by a command.
     Stopped {
         /// Whether a checkpoint was saved.
         saved: bool,
     },
-    /// Another task of its gang was lost.
+    /// Another task of the gang was lost.
     GangMemberLost,
-    /// Its gang was not complete within the start timeout.
+    /// The gang was not complete within the gang start timeout.
     GangIncomplete,
-    /// Failed.
+    /// The task failed.
     Failed,
-    /// Rejected: too little free capacity on the machine.
+    /// The start was rejected: the machine has too little free capacity.
     NoCapacity,
-    /// Rejected: another attempt of the task is on the machine.
+    /// The start was rejected: another attempt of the task is on the machine.
     AttemptConflict,
-    /// Rejected: no such job or task.
+    /// The start was rejected: the job or the task does not exist.
     UnknownTask,
 }
 
-/// State of a task as its worker reports it.
+/// State of a task as reported by its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedState {
-    /// Its image is being fetched.
+    /// The image of the task is being fetched.
     Fetching,
-    /// Waits for the other tasks of its gang.
+    /// The task waits for the other tasks of its gang.
     WaitingForGang,
-    /// Running.
+    /// The task is running.
     Running,
-    /// Saving a checkpoint before it exits.
+    /// The task is saving a checkpoint before it exits.
     Checkpointing,
-    /// Exited; its resources on the machine are free.
+    /// The task has exited; its resources on the machine are free.
     Ended(ExitReason),
 }
 
@@ -52,30 +52,31 @@
     pub job: JobId,
     /// Number of the task within its job.
     pub task: u32,
-    /// Which attempt to run the task this is.
+    /// Attempt number of the task.
     pub attempt: u64,
-    /// Its state.
+    /// State of the task.
     pub state: ReportedState,
 }
 
-/// Position of a heartbeat among those of one machine: a later one is greater.
+/// Position of a heartbeat in the sequence of a machine's heartbeats. A later heartbeat has a
+/// greater ID.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct HeartbeatId {
-    /// Agent incarnation: rises each time the worker starts or its lease expires.
+    /// Incarnation of the worker, which increases each time the worker starts or its lease expires.
     pub incarnation: u64,
     /// Sequence number within the incarnation.
     pub sequence: u64,
 }
 
 impl HeartbeatId {
-    /// Before any heartbeat.
+    /// Initial ID of a machine from which no heartbeat has been received.
     pub const NONE: HeartbeatId = HeartbeatId {
         incarnation: 0,
         sequence: 0,
     };
 }
 
-/// A worker's heartbeat: its state and that of its tasks.
+/// Heartbeat of a worker: its state and the state of its tasks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
     /// Name of the machine.
@@ -84,38 +85,38 @@
     pub machine_type: String,
     /// Zone; empty if not given.
     pub zone: String,
-    /// Spot or on-demand.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Which of the worker's heartbeats this is.
+    /// Position of this heartbeat in the sequence of the machine's heartbeats.
     pub id: HeartbeatId,
     /// Highest fencing token that the worker has seen.
     pub token: u64,
-    /// Time until the cloud reclaims the spot machine, once it has given notice.
+    /// Time until the spot interruption; `None` if the cloud has not announced one.
     pub interruption_in: Option<Micros>,
     /// Tasks on the machine.
     pub tasks: Vec<ReportedTask>,
 }
 
-/// Why a body is not a heartbeat.
+/// Reason for which a body is not a valid heartbeat.
 #[derive(Debug, Error)]
 pub enum HeartbeatError {
-    /// Not MessagePack of the expected form: a field is missing or of another type.
+    /// The body is not valid MessagePack, or a field is missing or has another type.
     #[error("malformed heartbeat: {0}")]
     Encoding(#[from] rmp_serde::decode::Error),
-    /// The name of a task is not that of a job and a number.
-    #[error("{field}: \"{value}\" is not the name of a task")]
+    /// The name of a task does not consist of a job ID and a task number.
+    #[error("{field}: \"{value}\" is not a valid task name")]
     TaskName {
-        /// Path of the field, in the protocol's names.
+        /// Path of the field, in the names of the protocol.
         field: String,
-        /// The name as sent.
+        /// Name of the task as received.
         value: String,
     },
 }
 
-/// Reads a heartbeat.
+/// Parses a heartbeat.
 ///
 /// # Errors
-/// A body that is not a heartbeat; the worker is answered with status 400.
+/// Returns an error if the body is not a valid heartbeat; the response has status 400.
 pub fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, HeartbeatError> {
     rmp_serde::from_slice::<wire::HeartbeatMessage>(body)?.try_into()
 }
--- a/src/worker_protocol/tests.rs
+++ b/src/worker_protocol/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the workers' protocol.
+//! Tests of the worker protocol.
 
 use std::rc::Rc;
 
@@ -6,16 +6,18 @@
 use salttiller_records::model::JobId;
 use serde_json::json;
 
+/// Guards against malformed heartbeats that are accepted, and against heartbeats that are rejected
+/// because of unknown fields or unknown task states. A task in an unknown state counts as running.
 #[test]
 fn heartbeats_are_validated() {
-    let good = json!({"tiller":"m-1","address":"x","plot":"g8","field":"a","fallow":true,
+    let valid = json!({"tiller":"m-1","address":"x","plot":"g8","field":"a","fallow":true,
         "season":1,"tally":8,"brand":4,"reclaimS":2.5,"new":1,
         "sheaves":[{"sheaf":"req-1/3","sowing":2,"stage":"running"},
                    {"sheaf":"req-1/4","sowing":2,"stage":"brewing"},
                    {"sheaf":"req-2/0","sowing":1,"stage":"ended","blight":"stopped","stored":true}]});
-    let r = parse_heartbeat(&rmp_serde::to_vec(&good).unwrap()).unwrap();
+    let heartbeat = parse_heartbeat(&rmp_serde::to_vec(&valid).unwrap()).unwrap();
     assert_eq!(
-        (r.id, r.token, r.interruption_in),
+        (heartbeat.id, heartbeat.token, heartbeat.interruption_in),
         (
             HeartbeatId {
                 incarnation: 1,
@@ -25,9 +27,9 @@
             Some(2_500_000)
         )
     );
-    assert_eq!(r.tasks[1].state, ReportedState::Running);
+    assert_eq!(heartbeat.tasks[1].state, ReportedState::Running);
     assert_eq!(
-        r.tasks[2].state,
+        heartbeat.tasks[2].state,
         ReportedState::Ended(ExitReason::Stopped { saved: true })
     );
     for (field, value) in [
@@ -39,49 +41,54 @@
             json!([{"sheaf":"odd","sowing":1,"stage":"running"}]),
         ),
     ] {
-        let mut bad = good.clone();
-        bad[field] = value;
+        let mut invalid = valid.clone();
+        invalid[field] = value;
         assert!(
-            parse_heartbeat(&rmp_serde::to_vec(&bad).unwrap()).is_err(),
-            "{field}"
+            parse_heartbeat(&rmp_serde::to_vec(&invalid).unwrap()).is_err(),
+            "expected an invalid value of {field} to be rejected"
         );
     }
-    let mut bad = good.clone();
-    bad["sheaves"][1]["sheaf"] = json!("odd");
-    let error = parse_heartbeat(&rmp_serde::to_vec(&bad).unwrap()).unwrap_err();
+    let mut invalid = valid.clone();
+    invalid["sheaves"][1]["sheaf"] = json!("odd");
+    let error = parse_heartbeat(&rmp_serde::to_vec(&invalid).unwrap()).unwrap_err();
     assert!(error.to_string().contains("sheaves.1.sheaf"), "{error}");
     assert!(parse_heartbeat(b"\xc1nonsense").is_err());
 }
 
+/// Guards against a response that exceeds the maximum size of a body although it has no more than
+/// `MAX_COMMANDS` commands.
 #[test]
-fn a_response_with_the_most_commands_stays_small() {
+fn response_with_max_commands_stays_below_size_limit() {
     let job: JobId = Rc::from("req-12345678901234567890");
-    let cmds: Vec<_> = (0..MAX_COMMANDS as u32)
+    let commands: Vec<_> = (0..MAX_COMMANDS as u32)
         .map(|i| Command::stop(job.clone(), 99_999 - i, u64::MAX, 10_000_000))
         .collect();
-    // Limits are counted in JSON, which is longer than what is sent.
-    let v: serde_json::Value = rmp_serde::from_slice(&encode_commands(u64::MAX, &cmds)).unwrap();
-    assert!(v.to_string().len() < 64 * 1024);
+    // The limit applies to the response as JSON, which is longer than the MessagePack that is sent.
+    let response: serde_json::Value =
+        rmp_serde::from_slice(&encode_commands(u64::MAX, &commands)).unwrap();
+    assert!(response.to_string().len() < 64 * 1024);
 }
 
-/// Heartbeats as bytes: every state and exit reason, what may be left out, and what is refused.
+/// Guards against a change of the wire format of heartbeats. The fixtures contain a heartbeat with
+/// every task state and exit reason, heartbeats whose optional fields are missing or null, and
+/// heartbeats that must be rejected. A truncated heartbeat must be rejected, too.
 #[test]
 fn heartbeats_keep_their_bytes() {
-    let files = crate::fixtures::read(include_str!("fixtures/reports.hex"));
-    let task = |job: &str, task, attempt, stage| ReportedTask {
+    let fixtures = crate::fixtures::read(include_str!("fixtures/reports.hex"));
+    let task = |job: &str, task, attempt, state| ReportedTask {
         job: Rc::from(job),
         task,
         attempt,
-        state: stage,
+        state,
     };
-    let stages = [
+    let states = [
         ReportedState::Fetching,
         ReportedState::WaitingForGang,
         ReportedState::Running,
         ReportedState::Checkpointing,
         ReportedState::Running,
     ];
-    let ends = [
+    let exit_reasons = [
         ExitReason::Done,
         ExitReason::Stopped { saved: true },
         ExitReason::Stopped { saved: false },
@@ -95,15 +102,15 @@
         ExitReason::Failed,
     ];
     let mut tasks: Vec<ReportedTask> = (0..)
-        .zip(stages)
-        .map(|(n, stage)| task("req-7", n, u64::from(n) + 1, stage))
+        .zip(states)
+        .map(|(n, state)| task("req-7", n, u64::from(n) + 1, state))
         .collect();
-    tasks.extend((0..).zip(ends).map(|(n, end)| {
+    tasks.extend((0..).zip(exit_reasons).map(|(n, reason)| {
         task(
             "req-000412",
             n,
             300 + u64::from(n),
-            ReportedState::Ended(end),
+            ReportedState::Ended(reason),
         )
     }));
     let full = Heartbeat {
@@ -119,7 +126,7 @@
         interruption_in: Some(2_500_000),
         tasks,
     };
-    let least = Heartbeat {
+    let minimal = Heartbeat {
         machine: "m-2".into(),
         machine_type: String::new(),
         zone: String::new(),
@@ -132,37 +139,38 @@
         interruption_in: None,
         tasks: Vec::new(),
     };
-    let nulls = Heartbeat {
+    let with_nulls = Heartbeat {
         tasks: vec![task(
             "req-1",
             0,
             4,
             ReportedState::Ended(ExitReason::Failed),
         )],
-        ..least.clone()
+        ..minimal.clone()
     };
-    for (name, report) in [("full", full), ("least", least), ("nulls", nulls)] {
-        let bytes = &files[name];
-        assert_eq!(parse_heartbeat(bytes).ok(), Some(report), "{name}");
+    for (name, heartbeat) in [("full", full), ("least", minimal), ("nulls", with_nulls)] {
+        let bytes = &fixtures[name];
+        assert_eq!(parse_heartbeat(bytes).ok(), Some(heartbeat), "{name}");
         for length in 0..bytes.len() {
             assert_eq!(
                 parse_heartbeat(&bytes[..length]).ok(),
                 None,
-                "{name} cut to {length}"
+                "{name} truncated to {length} bytes"
             );
         }
     }
-    let refused = files.iter().filter(|(n, _)| n.starts_with("refused "));
-    assert_eq!(refused.clone().count(), 11);
-    for (name, bytes) in refused {
+    let rejected = fixtures.iter().filter(|(n, _)| n.starts_with("refused "));
+    assert_eq!(rejected.clone().count(), 11);
+    for (name, bytes) in rejected {
         assert_eq!(parse_heartbeat(bytes).ok(), None, "{name}");
     }
 }
 
-/// Responses to heartbeats as bytes: with each command, and redirects.
+/// Guards against a change of the wire format of responses to heartbeats. The fixtures contain
+/// responses without commands and with every command, and redirects.
 #[test]
 fn responses_keep_their_bytes() {
-    let files = crate::fixtures::read(include_str!("fixtures/answers.hex"));
+    let fixtures = crate::fixtures::read(include_str!("fixtures/answers.hex"));
     let job: JobId = Rc::from("req-1");
     let commands = [
         Command::start(job.clone(), 3, 2),
@@ -176,8 +184,8 @@
         ("elsewhere", encode_redirect(Some("t-1"))),
         ("elsewhere unknown", encode_redirect(None)),
     ];
-    assert_eq!(files.len(), cases.len());
-    for (name, written) in cases {
-        assert_eq!(written, files[name], "{name}");
+    assert_eq!(fixtures.len(), cases.len());
+    for (name, encoded) in cases {
+        assert_eq!(encoded, fixtures[name], "{name}");
     }
 }
--- a/src/worker_protocol/wire.rs
+++ b/src/worker_protocol/wire.rs
@@ -1,4 +1,5 @@
-//! The workers' protocol in MessagePack: the only place where its own words occur.
+//! Wire format (MessagePack) of the worker protocol. Names of the protocol that differ from those
+//! of the code occur only in this module.
 
 use std::rc::Rc;
 
@@ -12,7 +13,7 @@
     ExitReason, Heartbeat, HeartbeatError, HeartbeatId, ReportedState, ReportedTask,
 };
 
-/// A worker's heartbeat as it is sent.
+/// Heartbeat in its wire format.
 #[derive(Deserialize)]
 pub(super) struct HeartbeatMessage {
     #[serde(rename = "tiller")]
@@ -35,7 +36,7 @@
     tasks: Vec<TaskMessage>,
 }
 
-/// A task in a heartbeat.
+/// Task of a heartbeat in its wire format.
 #[derive(Deserialize)]
 struct TaskMessage {
     #[serde(rename = "sheaf")]
@@ -95,7 +96,8 @@
         "running" => ReportedState::Running,
         "flushing" => ReportedState::Checkpointing,
         "ended" => ReportedState::Ended(exit_reason(message)),
-        // An unknown state occupies the machine: the safe reading.
+        // A task in an unknown state is assumed to be running, so that its resources on the machine
+        // are not considered free.
         _ => ReportedState::Running,
     }
 }
@@ -111,12 +113,12 @@
         Some("full") => ExitReason::NoCapacity,
         Some("busy") => ExitReason::AttemptConflict,
         Some("unknown") => ExitReason::UnknownTask,
-        // An unknown reason, or none, counts as a failure.
+        // An unknown or missing reason counts as a failure.
         _ => ExitReason::Failed,
     }
 }
 
-/// The body of a 200: commands under the owner's token.
+/// Body of a response with status 200: commands and the region's fencing token.
 #[derive(Serialize)]
 pub(super) struct CommandsMessage<'a> {
     #[serde(rename = "brand")]
@@ -125,7 +127,7 @@
     pub(super) commands: Vec<CommandMessage<'a>>,
 }
 
-/// A command to a worker.
+/// Command to a worker in its wire format.
 #[derive(Serialize)]
 pub(super) struct CommandMessage<'a> {
     #[serde(rename = "call")]
@@ -139,7 +141,7 @@
 }
 
 impl<'a> CommandMessage<'a> {
-    /// A command as it is sent; `task` is the task's name.
+    /// Converts a command to its wire format. `task` is the name of the task.
     pub(super) fn new(command: &Command, task: &'a str) -> Self {
         let (kind, grace) = match command.kind {
             CommandKind::Start => ("start", None),
@@ -155,7 +157,7 @@
     }
 }
 
-/// The body of a 421: the controller that owns the machine's region, if known.
+/// Body of a response with status 421: the controller that owns the machine's region, if known.
 #[derive(Serialize)]
 pub(super) struct RedirectMessage<'a> {
     #[serde(rename = "steward", skip_serializing_if = "Option::is_none")]
