--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,23 +1,24 @@
-//! A controller: one process of the scheduler, put together from its parts.
+//! The controller: one process of the scheduler, composed of the parts listed below.
 //!
-//! [`Controller::serve`] is the event loop. Events of the network go to [`Controller::handle`];
-//! after each round [`Controller::step`] does everything that is due and says when the next is.
+//! [`Controller::serve`] is the event loop. It passes network events to [`Controller::handle`];
+//! after each round, [`Controller::step`] performs all due work and returns the time of the next
+//! step.
 //!
 //! | part | owns |
 //! | --- | --- |
 //! | `cluster_state` | settings, replica of the records, peers' health and reports, the time |
 //! | `region_ownership`, `regions` | the regions that this controller owns or acquires |
-//! | `leadership` | the leader, if this controller is it |
+//! | `leadership` | the [`Leader`](crate::leader::Leader), while this controller is the leader |
 //! | `commits`, `outstanding_calls` | transactions and calls without an outcome yet |
 //! | `client_requests`, `pending_requests` | users' requests |
-//! | `heartbeats` | answers to workers |
+//! | `heartbeats` | responses to workers |
 //! | `peer_messages`, `broadcasts` | messages from and to the other controllers |
 //! | `owner_reachability` | regions whose machines don't reach their owner |
-//! | `data_loss_hold` | what is left to do while records are lost |
-//! | `monitoring`, `status_page` | alerts and the page for operators |
+//! | `data_loss_hold` | restricted operation after the state service lost records |
+//! | `monitoring`, `status_page` | alerts and the status page for operators |
 //!
-//! Each part owns its state; what concerns several of them is a method of [`Controller`] in the
-//! module that it belongs to.
+//! Each part owns its state. Work that involves several parts is a method of [`Controller`] in
+//! the most closely related module.
 
 mod broadcasts;
 mod client_requests;
@@ -61,25 +62,26 @@
 use peer_messages::PeerMessages;
 use region_ownership::RegionOwnership;
 
-/// A step is due at least this often.
+/// Maximum time between steps.
 const MAX_STEP_INTERVAL: Micros = SECOND;
 
-/// Connections to the state service.
+/// Maximum number of connections to the state service.
 const STATE_STORE_CONNECTIONS: usize = 10;
-/// Connections to the cloud.
+/// Maximum number of connections to the cloud.
 const CLOUD_CONNECTIONS: usize = 2;
-/// Sockets to and from one peer.
+/// Sockets reserved for connections to and from one peer.
 const SOCKETS_PER_PEER: usize = 4;
-/// Listeners, the poller and what else a process keeps open.
+/// File descriptors reserved for listeners, the poller and other files that the process keeps open.
 const RESERVED_SOCKETS: usize = 16;
-/// Connections of users and workers that are served even if the settings leave fewer.
+/// Lower bound of the connection limit for users and workers, even if the settings leave fewer
+/// sockets.
 const MIN_SERVED_CONNECTIONS: usize = 16;
-/// Bytes that may wait for one peer.
+/// Maximum number of bytes queued for one peer.
 const PEER_BACKLOG_BYTES: usize = 512 * 1024;
-/// Submissions in progress may take up this part of all sockets.
+/// Sockets per submission in progress: submissions may use one in this many of all sockets.
 const SOCKETS_PER_SUBMISSION: usize = 4;
 
-/// The controller.
+/// One controller of the cluster. `N` is the network layer.
 pub struct Controller<N: Net> {
     net: N,
     cluster: ClusterState,
@@ -97,11 +99,11 @@
 }
 
 impl Controller<Reactor> {
-    /// Opens the listeners and gets ready.
+    /// Opens the listeners and creates a controller that uses them.
     ///
     /// # Errors
     ///
-    /// If an address of the settings can't be listened on.
+    /// Returns an error if the process can't listen on an address of the settings.
     pub fn open(settings: Settings) -> io::Result<Self> {
         let peers: Vec<_> = settings.peers.iter().map(|p| p.addr).collect();
         let limits = Limits {
@@ -122,11 +124,11 @@
         Ok(Controller::new(settings, reactor))
     }
 
-    /// Serves until the process is killed.
+    /// Runs the event loop until the process is killed.
     ///
     /// # Errors
     ///
-    /// If the poller fails.
+    /// Returns an error if the poller fails.
     pub fn serve(&mut self) -> io::Result<()> {
         self.begin();
         loop {
@@ -138,7 +140,8 @@
     }
 }
 
-/// How many connections of users and workers the settings leave sockets for.
+/// Returns the maximum number of connections of users and workers: the sockets that the settings
+/// allow, less those reserved for the controller's own connections.
 fn max_served_connections(settings: &Settings) -> usize {
     let calls = STATE_STORE_CONNECTIONS + CLOUD_CONNECTIONS;
     let reserved = RESERVED_SOCKETS + calls + SOCKETS_PER_PEER * settings.region_count();
@@ -147,7 +150,7 @@
 }
 
 impl<N: Net> Controller<N> {
-    /// A controller that communicates through `net`.
+    /// Creates a controller that communicates through `net`.
     pub fn new(settings: Settings, net: N) -> Self {
         let state_store = StateStore::new(&settings);
         let max_submissions = settings.max_sockets / SOCKETS_PER_SUBMISSION;
@@ -168,7 +171,8 @@
         }
     }
 
-    /// Logs the settings that matter and asks for the owner lease, which all authority needs.
+    /// Logs the most important settings, requests the owner lease (the basis of all authority) and
+    /// starts the detection of lost records if it is enabled.
     pub fn begin(&mut self) {
         let settings = &self.cluster.settings;
         log::info!(
@@ -187,7 +191,7 @@
         }
     }
 
-    /// Handles an event of the network.
+    /// Handles a network event.
     pub fn handle(&mut self, event: NetEvent) {
         self.cluster.now = self.net.clock();
         match event {
@@ -197,11 +201,11 @@
         }
     }
 
-    /// Does everything that is due; returns when the next step is.
+    /// Performs all due work. Returns the time of the next step.
     pub fn step(&mut self) -> Micros {
         self.cluster.now = self.net.clock();
         self.apply_hold_record();
-        let mut next = if self.is_held() {
+        let mut next = if self.is_hold_active() {
             self.manage_hold()
         } else {
             self.manage_regions();
@@ -225,23 +229,23 @@
         next.min(self.call_cloud())
     }
 
-    /// Whether a data-loss hold is in force here.
-    pub fn is_held(&self) -> bool {
-        self.data_loss.is_held()
+    /// Whether this controller is in a data-loss hold.
+    pub fn is_hold_active(&self) -> bool {
+        self.data_loss.is_hold_active()
     }
 
-    /// Answers a request.
+    /// Sends the response to a request.
     fn respond(&mut self, conn: ConnectionId, status: u16, body: Vec<u8>) {
         self.net.respond(conn, Response::new(status, body));
     }
 
-    /// Refuses a request; the requester may retry after so many seconds.
+    /// Refuses a request with a Retry-After header of `retry_after_s` seconds.
     fn refuse(&mut self, conn: ConnectionId, status: u16, retry_after_s: u32) {
         self.net
             .respond(conn, Response::refusal(status, retry_after_s));
     }
 
-    /// Refuses a request since it can't be served just now.
+    /// Refuses a request that can't be served at present; the client may retry.
     fn refuse_unavailable(&mut self, conn: ConnectionId) {
         self.refuse(conn, http_status::UNAVAILABLE, http_status::RETRY_AFTER_S);
     }
--- a/src/controller/broadcasts.rs
+++ b/src/controller/broadcasts.rs
@@ -1,5 +1,5 @@
-//! Messages to the other controllers that are sent at intervals: this controller's state, the
-//! reports of its regions, cancellations.
+//! Periodic messages to the other controllers: this controller's state, the reports of its
+//! regions, and the cancellations committed since the last step.
 
 use salttiller_records::units::{Micros, MILLISECOND};
 
@@ -7,30 +7,32 @@
 use crate::peer_protocol::{self, Message, RegionReport, UNDERSTANDS_EXTENSIONS};
 use crate::reactor::Net;
 
-/// Interval of state messages.
+/// Interval between state messages.
 const STATE_INTERVAL: Micros = 400 * MILLISECOND;
-/// Every so many state messages all controllers get the region reports, not just the leader.
-const FULL_STATE_EVERY: u32 = 4;
+/// Number of state rounds per full round. In a full round, all controllers receive the region
+/// reports; in the other rounds, only the leader does.
+const ROUNDS_PER_FULL_STATE: u32 = 4;
 
-/// What is to be sent, and when.
+/// Pending broadcasts and the time of the next state message.
 #[derive(Debug, Default)]
 pub(super) struct Broadcasts {
     next_state_at: Micros,
-    /// State messages sent so far.
+    /// Number of state messages sent so far.
     state_rounds: u32,
-    /// Jobs cancelled here whose cancellation is to be announced to the peers.
+    /// Jobs whose cancellation this controller committed and has not announced to the peers yet.
     cancelled_jobs: Vec<String>,
 }
 
 impl Broadcasts {
-    /// Has a cancellation that was committed here announced at the next step.
+    /// Queues the announcement of a cancellation that this controller committed. The next step
+    /// sends the announcement.
     pub(super) fn announce_cancellation(&mut self, job: String) {
         self.cancelled_jobs.push(job);
     }
 }
 
 impl<N: Net> Controller<N> {
-    /// Sends the state of this controller if that is due; returns when it is due next.
+    /// Sends this controller's state if that is due. Returns the time of the next state message.
     pub(super) fn broadcast_state(&mut self) -> Micros {
         let now = self.cluster.now;
         if now >= self.broadcasts.next_state_at {
@@ -43,7 +45,7 @@
         self.broadcasts.next_state_at
     }
 
-    /// Reports of the owned regions; none without authority.
+    /// Returns the reports of the owned regions, or none if this controller has no authority.
     fn report_owned_regions(&self) -> Vec<RegionReport> {
         if !self.cluster.has_authority() {
             return Vec::new();
@@ -64,14 +66,15 @@
         reports.update_quota_blocked_teams(|region| ownership.owns(region));
     }
 
-    /// Sends the leader all reports each time, since it plans by them, and the others every few
-    /// times; in between they learn only that this controller is up.
+    /// Sends the leader the reports of the owned regions in each round, because its plans are based
+    /// on them. The other peers receive the reports in every few rounds; the messages in between
+    /// only show that this controller is up.
     fn send_state(&mut self, reports: Vec<RegionReport>) {
         self.broadcasts.state_rounds += 1;
         let is_full_round = self
             .broadcasts
             .state_rounds
-            .is_multiple_of(FULL_STATE_EVERY);
+            .is_multiple_of(ROUNDS_PER_FULL_STATE);
         let brief = self.encode_state(Vec::new());
         let full = self.encode_state(reports);
         let leader = self.cluster.recorded_leader();
@@ -95,7 +98,7 @@
         })
     }
 
-    /// Sends the leader the provisioning health of the owned regions, if machines are overdue.
+    /// Sends the leader the provisioning health of the owned regions in which machines are overdue.
     fn send_provisioning_health(&mut self) {
         if !self.cluster.has_authority() {
             return;
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Announces to all peers the jobs that were cancelled here since the last step.
+    /// Announces to all peers the cancellations that this controller committed since the last step.
     pub(super) fn announce_cancellations(&mut self) {
         if self.broadcasts.cancelled_jobs.is_empty() {
             return;
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -1,9 +1,10 @@
-//! Users' requests: submissions, cancellations and questions about the state of jobs.
+//! Users' requests: submissions, cancellations and polls of the state of jobs.
 //!
-//! An answer is never older than what any controller has answered before. Final states are
-//! answered from the replica; all else waits for a read that begins after the request was
-//! received (see `pending_requests`), and is refused if that can't be had in time. Requests that
-//! change a job are in `submissions` and `cancellations`.
+//! No response shows an older state than an earlier response of any controller. Final job states
+//! are answered from the replica. Every other request waits for a read of the state service that
+//! begins after the request was received (see `pending_requests`), and is refused if that read is
+//! not complete in time. The modules `submissions` and `cancellations` handle the requests that
+//! change a job.
 
 mod cancellations;
 mod submissions;
@@ -21,21 +22,22 @@
 use crate::peer_protocol::RegionReport;
 use crate::reactor::{ConnectionId, Net};
 
-/// A question about a job is refused after this; users wait 2 s for its answer.
+/// Time after which a poll of a job's state is refused; clients time out after 2 s.
 const POLL_TIMEOUT: Micros = 1500 * MILLISECOND;
-/// A submission or a cancellation is refused after this; users wait 5 s for its answer.
+/// Time after which a submission or a cancellation is refused; clients time out after 5 s.
 const CHANGE_TIMEOUT: Micros = 3500 * MILLISECOND;
 
 /// Users' requests in progress.
 pub(super) struct ClientRequests {
     limiter: ConcurrencyLimiter,
     pending: PendingRequests,
-    /// Submissions and cancellations that are being committed.
+    /// Number of submissions and cancellations that are being committed.
     committing: usize,
 }
 
 impl ClientRequests {
-    /// No requests yet; at most `max_submissions` are to be in progress at once.
+    /// Creates the state without any requests. At most `max_submissions` may be in progress at
+    /// once.
     pub(super) fn new(max_submissions: usize) -> Self {
         ClientRequests {
             limiter: ConcurrencyLimiter::new(max_submissions),
@@ -44,14 +46,14 @@
         }
     }
 
-    /// Feeds the limiter the latency of a request to the state service.
+    /// Passes the latency of a request to the state service to the concurrency limiter.
     pub(super) fn record_latency(&mut self, latency: Micros, now: Micros) {
         self.limiter.record_latency(latency, now);
     }
 }
 
 impl<N: Net> Controller<N> {
-    /// A request of a user or a worker.
+    /// Handles a request of a user or a worker.
     pub(super) fn on_request(&mut self, conn: ConnectionId, request: &Request) {
         let path: Vec<&str> = request.path.split('/').skip(1).collect();
         match (request.method.as_str(), path.as_slice()) {
@@ -59,7 +61,7 @@
             ("POST", ["v1", "report"]) => self.on_heartbeat(conn, &request.body),
             ("POST", ["work"]) => self.on_submission(conn, &request.body),
             ("GET", ["work", job]) => {
-                self.monitoring.record_question();
+                self.monitoring.record_poll();
                 let job = (*job).to_owned();
                 let submitted = false;
                 self.on_job_request(conn, ClientRequest::JobState { job, submitted });
@@ -83,10 +85,10 @@
         }
     }
 
-    /// Whether a request can be answered just now; if not it is refused at once. Questions and
-    /// cancellations share one read of the state service, however many there are, so the limit
-    /// on requests in progress is not for them: a job whose polls it refused again and again
-    /// would be forgotten.
+    /// Returns whether requests can be answered at present; refuses the request if not. The
+    /// concurrency limit doesn't apply to polls and cancellations: any number of them share one
+    /// read of the state service, and a user whose polls were refused repeatedly would abandon
+    /// the job.
     fn is_answerable(&mut self, conn: ConnectionId) -> bool {
         let state_store = &self.cluster.state_store;
         let is_answerable = state_store.is_loaded() && !state_store.is_failing();
@@ -96,7 +98,7 @@
         is_answerable
     }
 
-    /// Has a request answered after a read that begins now or later.
+    /// Queues a request to be answered after a read of the state service that begins now or later.
     fn answer_after_read(&mut self, conn: ConnectionId, request: ClientRequest, deadline: Micros) {
         self.client_requests.pending.push(PendingRequest {
             conn,
@@ -107,7 +109,8 @@
         self.cluster.state_store.request_barrier();
     }
 
-    /// A request about a job that may be on record.
+    /// Handles a request about an existing job: answers from the replica if the job has ended,
+    /// otherwise after a read.
     fn on_job_request(&mut self, conn: ConnectionId, request: ClientRequest) {
         let job = request.job();
         if !is_job_id(job) {
@@ -127,13 +130,13 @@
         self.answer_after_read(conn, request, deadline);
     }
 
-    /// The final stage of a job on record, if it has come to an end.
+    /// Returns the final stage of a job if the replica shows that the job has ended.
     pub(super) fn recorded_final_stage(&self, job: &str) -> Option<JobStage> {
         let stage = self.cluster.state_store.replica.stage(job);
         stage.filter(|stage| *stage != JobStage::Open)
     }
 
-    /// The body of the answer about a job in this stage.
+    /// Returns the response body for a job in this stage.
     fn job_state_body(&self, job: &str, stage: JobStage) -> Vec<u8> {
         if stage != JobStage::Open {
             return admission::encode_job_state(job, stage, None);
@@ -148,7 +151,8 @@
         admission::encode_job_state(job, stage, Some(TaskCounts { done, running }))
     }
 
-    /// Refuses the requests that have expired; returns when the next may.
+    /// Refuses the requests that have expired. Returns the earliest time at which another may
+    /// expire.
     pub(super) fn expire_pending_requests(&mut self) -> Micros {
         let now = self.cluster.now;
         for conn in self.client_requests.pending.take_expired(now) {
@@ -158,7 +162,8 @@
         next.unwrap_or(now + MAX_STEP_INTERVAL)
     }
 
-    /// A read that was sent at `sent` failed: the requests that waited for it are refused.
+    /// Handles the failure of a read that was sent at `sent`: refuses the requests that waited for
+    /// the read.
     pub(super) fn refuse_pending_requests(&mut self, sent: Micros) {
         for pending in self.client_requests.pending.take_until(sent) {
             self.refuse_unavailable(pending.conn);
@@ -166,15 +171,15 @@
         self.expire_pending_requests();
     }
 
-    /// A read that was sent at `sent` is complete: the requests that were received before are
-    /// answered, with nothing older than what was answered before.
+    /// Handles the completion of a read that was sent at `sent`: answers the requests that were
+    /// received before, with a state at least as recent as in all earlier responses.
     pub(super) fn answer_pending_requests(&mut self, sent: Micros) {
         let ready = self.client_requests.pending.take_until(sent);
         if self.client_requests.pending.len() > 0 {
             self.cluster.state_store.request_barrier();
         }
         for pending in ready {
-            if self.is_held() {
+            if self.is_hold_active() {
                 self.answer_from_records_only(pending.conn, pending.request.job());
             } else {
                 self.answer_pending_request(pending);
@@ -197,8 +202,8 @@
             }
             ClientRequest::Cancel { job } => self.commit_cancellation(conn, job, pending.deadline),
             ClientRequest::Submit { job, spec } => {
-                // All that was accepted before the read was sent is in the replica: what is not
-                // there now was never accepted.
+                // The replica shows all jobs that were accepted before the read was sent. A
+                // dependency that is missing from the replica was never accepted.
                 let jobs = &self.cluster.state_store.replica.jobs;
                 let mut dependencies = spec.dependencies.iter();
                 if let Some(missing) = dependencies.find(|id| !jobs.contains_key(*id)) {
@@ -212,7 +217,7 @@
     }
 }
 
-/// After which time a request about a job is refused.
+/// Returns the time after which a request about a job is refused.
 fn request_timeout(request: &ClientRequest) -> Micros {
     match request {
         ClientRequest::JobState {
@@ -222,7 +227,8 @@
     }
 }
 
-/// How many tasks of a job run in another owner's region. Owners list their jobs by name.
+/// Returns the number of running tasks of a job according to another owner's report. Reports list
+/// jobs sorted by name.
 fn reported_running_tasks(report: &RegionReport, job: &str) -> u32 {
     let tasks = &report.running_tasks;
     let found = tasks.binary_search_by(|tasks| tasks.job.as_str().cmp(job));
--- a/src/controller/client_requests/cancellations.rs
+++ b/src/controller/client_requests/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations: the commit of the job's cancelled record, and the answer when it is committed.
+//! Cancellations: committing the job's record as cancelled and responding after the commit.
 
 use salttiller_records::key::Key;
 use salttiller_records::record::{value, JobStage};
@@ -13,7 +13,7 @@
 use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
 
 impl<N: Net> Controller<N> {
-    /// Commits the cancellation of a job, unless it has come to an end.
+    /// Commits the cancellation of a job, unless the job has ended.
     pub(super) fn commit_cancellation(
         &mut self,
         conn: ConnectionId,
@@ -44,7 +44,7 @@
         self.commit(transaction, CommitPriority::Urgent, Some(deadline), pending);
     }
 
-    /// The commit of a cancellation ended.
+    /// Handles the end of a cancellation's commit. Retries after a conflict until `deadline`.
     pub(in crate::controller) fn on_cancellation_committed(
         &mut self,
         conn: ConnectionId,
--- a/src/controller/client_requests/submissions.rs
+++ b/src/controller/client_requests/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions: admission, the commit of the job's record, and the answer when it is committed.
+//! Submissions: admission, committing the job's record and responding after the commit.
 
 use std::rc::Rc;
 
@@ -17,7 +17,7 @@
 use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
 
 impl<N: Net> Controller<N> {
-    /// A submission.
+    /// Handles a submission: validates, admits and commits the job.
     pub(super) fn on_submission(&mut self, conn: ConnectionId, body: &[u8]) {
         let (job, spec) = match admission::parse_submission(body, self.net.wall()) {
             Ok(submission) => submission,
@@ -29,7 +29,7 @@
         if self.answer_from_records_only(conn, &job) {
             return;
         }
-        // A repeated submission doesn't change the job that is on record.
+        // A repeated submission doesn't change the recorded job.
         if self.cluster.state_store.replica.jobs.contains_key(&job) {
             let submitted = true;
             return self.on_job_request(conn, ClientRequest::JobState { job, submitted });
@@ -46,8 +46,8 @@
         if spec.dependencies.iter().all(|id| jobs.contains_key(id)) {
             return self.commit_submission(conn, job, spec, now);
         }
-        // Records of jobs stay once they were seen; that one is missing is certain only after a
-        // read.
+        // A missing dependency is certain only after a read, because the replica may lag. A
+        // dependency that the replica shows needs no read: job records are never deleted.
         let spec = Box::new(spec);
         let request = ClientRequest::Submit { job, spec };
         self.answer_after_read(conn, request, now + CHANGE_TIMEOUT);
@@ -64,9 +64,9 @@
                 self.respond(conn, BAD_REQUEST, refusal.to_string().into_bytes());
             }
             AdmissionError::Unsatisfiable(_) => {
-                // Another controller may have accepted it a moment ago: only the records can
-                // tell.
-                log::info!("job={job}: submission refused unless it is on record: {refusal}");
+                // Another controller may just have accepted the job, so the response depends on
+                // whether the job's record exists.
+                log::info!("job={job}: submission refused unless the job is on record: {refusal}");
                 let submitted = true;
                 let request = ClientRequest::JobState { job, submitted };
                 self.answer_after_read(conn, request, self.cluster.now + CHANGE_TIMEOUT);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Commits the record of a new job; the answer is sent when it is committed.
+    /// Commits the record of a new job. The response is sent after the commit.
     pub(super) fn commit_submission(
         &mut self,
         conn: ConnectionId,
@@ -105,7 +105,7 @@
         self.commit(transaction, CommitPriority::Urgent, deadline, pending);
     }
 
-    /// The commit of a new job ended.
+    /// Handles the end of a new job's commit.
     pub(in crate::controller) fn on_submission_committed(
         &mut self,
         conn: ConnectionId,
@@ -117,14 +117,15 @@
         match outcome {
             CommitOutcome::Committed(_) => {
                 log::debug!("job={job}: accepted");
-                // Cancelled at once, if one of its dependencies is.
+                // The job is cancelled already if one of its dependencies is.
                 let stage = self.cluster.state_store.replica.stage(&job);
                 let stage = stage.unwrap_or(JobStage::Open);
                 let body = admission::encode_job_state(&job, stage, None);
                 self.respond(conn, CREATED, body);
             }
             CommitOutcome::Conflict(_) => {
-                // Known already, or an unanswered sending of this commit was carried out.
+                // The job was recorded before, or an earlier attempt of this commit succeeded
+                // without a response.
                 let submitted = false;
                 let request = ClientRequest::JobState { job, submitted };
                 self.answer_after_read(conn, request, received_at + CHANGE_TIMEOUT);
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Whether a submission is admitted; if not it is refused at once.
+    /// Returns whether a submission is admitted; refuses the submission if not.
     fn is_admitted(&mut self, conn: ConnectionId) -> bool {
         if !self.is_answerable(conn) {
             return false;
--- a/src/controller/cluster_state.rs
+++ b/src/controller/cluster_state.rs
@@ -1,9 +1,9 @@
-//! What a controller knows of the cluster: the settings, the replicated records, its peers and
-//! the time.
+//! A controller's view of the cluster: the settings, the replicated records, its peers and the
+//! time.
 //!
-//! Every part of the controller reads it. It is one struct so that the [`SchedulingContext`] that
-//! it lends to regions and to the leader borrows neither of them: those are parts of the
-//! controller beside it and stay mutable meanwhile.
+//! Every part of the controller reads this state. The state is a struct of its own so that a
+//! [`SchedulingContext`] borrows only from it: regions and the leader are separate fields of the
+//! controller and can be mutated while a context exists.
 
 use salttiller_records::units::Micros;
 
@@ -15,30 +15,30 @@
 use crate::settings::Settings;
 use crate::state_store::{Authority, StateStore, FRESH_FOR};
 
-/// Incarnation numbers are below this, so that JSON readers keep them exact.
-const INCARNATION_LIMIT: u64 = 1 << 53;
+/// Exclusive upper bound of random ids. JSON readers represent integers exactly below 2^53.
+const RANDOM_ID_LIMIT: u64 = 1 << 53;
 
-/// A random number that tells one incarnation of a controller, or one incident, from another.
-pub(super) fn random_incarnation() -> u64 {
-    fastrand::u64(1..INCARNATION_LIMIT)
+/// Returns a random id for an incarnation of a controller or for a data-loss incident.
+pub(super) fn random_id() -> u64 {
+    fastrand::u64(1..RANDOM_ID_LIMIT)
 }
 
-/// Whom an ownership record (a region's or the leader's) names.
+/// Holder named by an ownership record (a region's or the leader's), relative to this controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RecordedHolder {
     /// There is no record.
     Nobody,
     /// This incarnation of this controller.
     ThisIncarnation,
-    /// A former incarnation of this controller, which acts no more.
+    /// A former incarnation of this controller, which no longer acts.
     FormerIncarnation,
     /// Another controller.
     OtherController,
 }
 
-/// What the controller knows of the cluster.
+/// A controller's view of the cluster.
 pub(super) struct ClusterState {
-    /// Settings of this controller.
+    /// Settings of this controller and the cluster.
     pub settings: Settings,
     /// Client of the state service, with the replica of all records.
     pub state_store: StateStore,
@@ -46,22 +46,22 @@
     pub peers: Peers,
     /// Latest report of each region.
     pub region_reports: RegionReports,
-    /// Cancellations that the replica may not show yet.
+    /// Cancellations reported by peers that the replica may not show yet.
     pub cancellations: ReportedCancellations,
-    /// Steady clock as last read.
+    /// Last reading of the monotonic clock.
     pub now: Micros,
-    /// After a decision on lost records: no task is started before. `None` until it is known
-    /// whether there is such a decision.
+    /// Time before which no task is started because of an operator's decision on lost records.
+    /// `None` until it is known whether there is such a decision.
     pub starts_after: Option<Micros>,
-    /// Names this run of the process on record, and changes when its owner lease is lost.
+    /// Identifies this incarnation in records. The number changes when the owner lease is lost.
     incarnation: u64,
 }
 
 impl ClusterState {
-    /// The state at the start of the process, with nothing read yet.
+    /// Creates the state at the start of the process, with an empty replica.
     pub(super) fn new(settings: Settings, state_store: StateStore) -> Self {
         ClusterState {
-            incarnation: random_incarnation(),
+            incarnation: random_id(),
             state_store,
             peers: Peers::new(&settings.peers),
             region_reports: RegionReports::default(),
@@ -72,7 +72,8 @@
         }
     }
 
-    /// What a step of a region or of the leader may read; `wall` is the time of day.
+    /// Returns the read-only input of a step of a region or of the leader. `wall` is the wall-clock
+    /// time.
     pub(super) fn scheduling_context(&self, wall: Micros) -> SchedulingContext<'_> {
         SchedulingContext {
             replica: &self.state_store.replica,
@@ -85,18 +86,18 @@
         }
     }
 
-    /// The number of this incarnation.
+    /// Returns the number of this incarnation.
     pub(super) fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Draws a new incarnation number. Records under the former one can from then on only be
-    /// replaced by compare-and-swap, never resumed.
+    /// Draws a new incarnation number. Records with the former number can then only be replaced by
+    /// compare-and-swap, never resumed.
     pub(super) fn renew_incarnation(&mut self) {
-        self.incarnation = random_incarnation();
+        self.incarnation = random_id();
     }
 
-    /// Whom a record with this controller name and incarnation number names.
+    /// Returns the holder that a record with this controller name and incarnation number names.
     pub(super) fn holder(&self, name: &str, incarnation: u64) -> RecordedHolder {
         if name != self.settings.name {
             RecordedHolder::OtherController
@@ -107,36 +108,36 @@
         }
     }
 
-    /// The controller that the replica shows as leader, this one included.
+    /// Returns the controller that the replica shows as leader, which may be this one.
     pub(super) fn recorded_leader(&self) -> Option<&str> {
         let leader = self.state_store.replica.leader.as_ref();
         leader.map(|record| record.value.holder.as_str())
     }
 
-    /// The controller that the replica shows as owner of a region, this one included.
+    /// Returns the controller that the replica shows as owner of a region, which may be this one.
     pub(super) fn recorded_owner(&self, region: &str) -> Option<&str> {
         let owner = self.state_store.replica.regions.get(region);
         owner.map(|record| record.value.owner.as_str())
     }
 
-    /// The last fencing token that was drawn; 0 if none was.
+    /// Returns the last issued fencing token, or 0 if there is none.
     pub(super) fn recorded_token(&self) -> u64 {
         let token = self.state_store.replica.token.as_ref();
         token.map_or(0, |record| record.value)
     }
 
-    /// A peer's index in the settings, which is also its index in the network layer.
+    /// Returns a peer's index in the settings, which is also its index in the network layer.
     pub(super) fn peer_index(&self, name: &str) -> Option<usize> {
         self.settings.peers.iter().position(|p| p.name == name)
     }
 
-    /// The same for a peer that understands the messages that were added in 0.5.
+    /// Returns a peer's index if the peer understands the messages that were added in 0.5.
     pub(super) fn peer_with_extensions(&self, name: &str) -> Option<usize> {
         self.peer_index(name)
             .filter(|_| self.peers.supports_extensions(name))
     }
 
-    /// Whether this controller may act as an owner: answer heartbeats, send commands, write.
+    /// Whether this controller may act as an owner: answer heartbeats, send commands and write.
     pub(super) fn has_authority(&self) -> bool {
         if is_disabled(Safeguard::AuthorityDeadline) {
             return true;
@@ -144,10 +145,10 @@
         self.state_store.authority(self.now) != Authority::Ended
     }
 
-    /// Whether tasks may be started. Beyond the short deadline only while the state service is
-    /// out for everybody, so that nobody can confirm a cancellation: every peer is reachable
-    /// and lost the state service when this controller did. What peers report may be wrong, so
-    /// no deadline that safety depends on is extended by it; those are the longer deadline's.
+    /// Whether tasks may be started. After the shorter authority deadline, tasks are started only
+    /// during a cluster-wide outage of the state service: every peer is reachable and lost the
+    /// state service when this controller did, so no controller can confirm a cancellation. Peers'
+    /// reports may be wrong, so they never extend the longer deadline, which safety depends on.
     pub(super) fn may_start(&self) -> bool {
         if is_disabled(Safeguard::AuthorityDeadline) || is_disabled(Safeguard::StartDeadline) {
             return self.has_authority();
@@ -157,38 +158,38 @@
         }
         match self.state_store.authority(self.now) {
             Authority::Starting => true,
-            Authority::Answering => self.is_common_outage(),
+            Authority::Answering => self.is_cluster_wide_outage(),
             Authority::Ended => false,
         }
     }
 
-    /// Whether a decision on lost records keeps tasks from starting yet.
+    /// Whether task starts are still delayed by a decision on lost records.
     fn is_start_delayed(&self) -> bool {
         self.starts_after.is_some_and(|at| self.now < at)
     }
 
-    /// Whether all controllers lost the state service at the same time.
-    fn is_common_outage(&self) -> bool {
+    /// Whether all controllers lost the state service at about the same time.
+    fn is_cluster_wide_outage(&self) -> bool {
         let Some(since) = self.state_store.fresh_at().map(|at| at + FRESH_FOR) else {
             return false;
         };
         self.peers.all_lost_state_store_at(since, self.now)
     }
 
-    /// Whether the replica was up to date a moment ago.
+    /// Whether the replica was up to date within the last [`FRESH_FOR`].
     pub(super) fn is_fresh(&self) -> bool {
         let fresh_at = self.state_store.fresh_at();
         fresh_at.is_some_and(|at| self.now < at + FRESH_FOR)
     }
 
-    /// Whether users should send requests here. While the state service is out for everybody
-    /// another controller would serve them no better.
+    /// Whether users should send requests to this controller. A controller stays ready if no peer
+    /// reaches the state service either, because another controller couldn't serve the requests.
     pub(super) fn is_ready(&self) -> bool {
         self.state_store.is_loaded()
             && (self.is_fresh() || self.peers.none_reaches_state_store(self.now))
     }
 
-    /// How many machines of a region are on record.
+    /// Returns the number of a region's machines on record.
     pub(super) fn recorded_machines(&self, region: &str) -> u32 {
         let pools = self.state_store.replica.machine_counts.get(region);
         pools.map_or(0, |pools| pools.values().sum())
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -1,5 +1,5 @@
-//! The controller's own commits: each is registered with what it commits, and its outcome is
-//! handed to the part that sent it. Commits of regions are tracked by the regions.
+//! The controller's own commits. Each commit is registered with its purpose, and its outcome is
+//! passed to the part that sent it. Regions track their own commits.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::reactor::{ConnectionId, Net};
 use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
 
-/// What a commit of the controller's own is about.
+/// Purpose of one of the controller's own commits.
 #[derive(Debug)]
 pub(super) enum PendingCommit {
     /// The record of a new job.
@@ -27,15 +27,15 @@
     },
     /// The record of a region's owner.
     RegionAcquisition { region: String },
-    /// The deletion of that record.
+    /// The deletion of the record of a region's owner.
     RegionRelease { region: String },
     /// The leader's record.
     LeaderRecord,
-    /// Something that the leader decided; the keys name what it concerns.
+    /// A decision of the leader. `keys` are the keys of the records that the decision changes.
     LeaderDecision { keys: Vec<Key> },
     /// The record of a data-loss hold.
     DataLossHoldRecord,
-    /// The record of a region's owner, within a hold.
+    /// The record of a region's owner, during a hold.
     RegionAcquisitionInHold { region: String, token: u64 },
 }
 
@@ -43,7 +43,7 @@
 pub(super) type PendingCommits = BTreeMap<u64, PendingCommit>;
 
 impl<N: Net> Controller<N> {
-    /// Sends a transaction of the controller's own. After `deadline` it is abandoned.
+    /// Sends one of the controller's own transactions, which is abandoned after `deadline`.
     pub(super) fn commit(
         &mut self,
         transaction: Transaction,
@@ -56,14 +56,14 @@
         self.pending_commits.insert(ticket, pending);
     }
 
-    /// A commit ended: of a region, or of the controller's own.
+    /// Handles the end of a commit, either a region's or the controller's own.
     pub(super) fn on_committed(&mut self, ticket: u64, outcome: &CommitOutcome) {
         let context = self.cluster.scheduling_context(self.net.wall());
-        let is_of_region = self
+        let is_region_commit = self
             .ownership
             .regions_mut()
             .any(|region| region.on_committed(ticket, outcome, &context));
-        if is_of_region {
+        if is_region_commit {
             return;
         }
         if let Some(pending) = self.pending_commits.remove(&ticket) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A commit of the controller's own ended.
+    /// Handles the end of one of the controller's own commits.
     fn on_own_commit_ended(&mut self, pending: PendingCommit, outcome: &CommitOutcome) {
         match pending {
             PendingCommit::JobSubmission {
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -1,14 +1,16 @@
-//! Data-loss hold: the state service lost records, and operators have not decided yet.
+//! Data-loss hold: restricted operation from the time at which the state service lost records
+//! until operators decide how to continue.
 //!
-//! Regions are kept under the usual leases and fencing tokens, so that one controller is
-//! responsible for each, and workers' leases are renewed. Nothing is started, reaped, rented or
-//! returned; only tasks of jobs that are known to be cancelled are stopped. Users are answered
-//! with what is final on record, and refused all else. The hold is itself on record, so that
-//! every controller keeps it, after a restart too, until an operator's decision is put there.
-//! See docs/recovery.md.
+//! During a hold, regions are owned under the usual leases and fencing tokens, so that one
+//! controller is responsible for each region, and workers' leases are renewed. No task is started
+//! or reaped and no machine is rented or returned; only tasks of jobs that are known to be
+//! cancelled are stopped. Users receive the final job states on record; all other requests are
+//! refused. The hold has a record of its own, so that every controller takes part in it, also after
+//! a restart, until an operator's decision is added to the record. See docs/recovery.md.
 //!
-//! This module begins and ends the hold and keeps its record. `kept_regions` acquires regions
-//! within it, `requests` answers workers and users, `evidence` finds that records are lost.
+//! This module begins and ends the hold and maintains its record. `kept_regions` acquires regions
+//! during a hold, `requests` answers workers and users, and `evidence` detects lost records from
+//! heartbeats.
 
 mod evidence;
 mod kept_regions;
@@ -21,7 +23,7 @@
 use salttiller_records::units::{add_drift, Micros, SECOND};
 use salttiller_recovery::{Detection, Finding};
 
-use super::cluster_state::random_incarnation;
+use super::cluster_state::random_id;
 use super::commits::PendingCommit;
 use super::region_ownership::Acquisition;
 use super::{Controller, MAX_STEP_INTERVAL};
@@ -32,7 +34,7 @@
 use crate::state_store::{CommitOutcome, CommitPriority, Transaction};
 use kept_regions::KeptRegions;
 
-/// What clocks and answers in transit may add to a former owner's authority.
+/// Margin added to a former owner's authority for clock differences and responses in transit.
 const AUTHORITY_MARGIN: Micros = SECOND;
 
 /// A hold in force.
@@ -40,37 +42,39 @@
 struct DataLossHold {
     finding: Finding,
     since: Micros,
-    /// The records as they were known before.
-    remembered: Replica,
+    /// Replica of the records before the loss.
+    replica_before_loss: Replica,
     /// Regions that this controller owned when the hold began.
     owned_before: BTreeSet<String>,
     kept: KeptRegions,
-    /// The incident that this hold is part of; drawn here, or read from the record.
+    /// Id of the incident that this hold belongs to, drawn by this controller or read from the
+    /// hold's record.
     incident: u64,
-    /// The acquisition of the hold's record.
+    /// State of the transaction that writes the hold's record.
     record_acquisition: Option<Acquisition>,
 }
 
 /// Detection of lost records, and the hold that follows it.
 #[derive(Debug, Default)]
 pub(super) struct DataLossProtection {
-    /// `None` if it is disabled in the settings.
+    /// `None` if detection is disabled in the settings.
     detection: Option<Detection>,
     hold: Option<Box<DataLossHold>>,
 }
 
 impl DataLossProtection {
-    /// Starts the detection of lost records; `heartbeat_interval` is that of the workers.
+    /// Starts the detection of lost records. `heartbeat_interval` is the workers' interval between
+    /// heartbeats.
     pub(super) fn start_detection(&mut self, now: Micros, heartbeat_interval: Micros) {
         self.detection = Some(Detection::starting(now, heartbeat_interval));
     }
 
     /// Whether a hold is in force.
-    pub(super) fn is_held(&self) -> bool {
+    pub(super) fn is_hold_active(&self) -> bool {
         self.hold.is_some()
     }
 
-    /// The condition that operators are alerted to, if a hold is in force.
+    /// Returns the alert condition of a hold, if one is in force.
     pub(super) fn condition(&self) -> Option<Condition> {
         let hold = self.hold.as_ref()?;
         let seen = hold.finding.to_string();
@@ -79,41 +83,45 @@
 }
 
 impl<N: Net> Controller<N> {
-    /// Begins a hold, if detection is enabled.
+    /// Begins a hold if detection is enabled.
     pub(super) fn begin_hold(&mut self, finding: Finding) {
         if self.data_loss.detection.is_none() {
             return;
         }
         let now = self.cluster.now;
         let owned_before = self.ownership.take_owned_before_loss(now);
-        // Also a controller that learns of it from the record reads all anew: its replica may be
-        // a mixture of the lost history and changes of the one that took its place.
+        // A controller that learns of the loss from the hold's record also reads all records again:
+        // its replica may mix the lost history with changes of the history that replaced it.
         let mut events = Vec::new();
-        let remembered = self.cluster.state_store.forget_history(&mut events);
+        let replica_before_loss = self.cluster.state_store.forget_history(&mut events);
         self.on_state_store_events(events);
         if let Some(hold) = &mut self.data_loss.hold {
-            // Lost again within the hold: what was remembered first is the fuller.
+            // Records were lost again during the hold. The replica from before the first loss is
+            // the more complete one and is kept.
             log::warn!("records lost again within the hold: {finding}");
             hold.kept.clear();
             return;
         }
         log::warn!("data-loss hold begins, the state service lost records: {finding}");
-        self.step_down("records are lost");
+        self.step_down("the state service lost records");
         self.cluster.renew_incarnation();
         self.ownership.on_hold_began();
-        let token = remembered.token.as_ref().map_or(0, |token| token.value);
+        let token = replica_before_loss
+            .token
+            .as_ref()
+            .map_or(0, |token| token.value);
         self.data_loss.hold = Some(Box::new(DataLossHold {
             finding,
             since: now,
-            remembered,
+            replica_before_loss,
             owned_before,
             kept: KeptRegions::new(token),
-            incident: random_incarnation(),
+            incident: random_id(),
             record_acquisition: None,
         }));
     }
 
-    /// Begins or ends a hold as its record requires.
+    /// Begins or ends a hold according to the hold's record.
     pub(super) fn apply_hold_record(&mut self) {
         if self.data_loss.detection.is_none() || !self.cluster.state_store.is_loaded() {
             return;
@@ -135,10 +143,11 @@
             }
             Some(_) if !is_accepted => self.join_incident(incident),
             Some(current) if current == incident => self.end_hold(),
-            // A process that starts soon after the decision waits as those did that held.
+            // A process that starts soon after the decision delays task starts like the controllers
+            // that were in the hold.
             None if self.cluster.starts_after.is_none() => {
                 if self.is_decision_recent() {
-                    self.wait_for_unrecorded_machines();
+                    self.delay_task_starts();
                 } else {
                     self.cluster.starts_after = Some(0);
                 }
@@ -147,7 +156,7 @@
         }
     }
 
-    /// The hold in force is part of the incident on record.
+    /// Sets the incident of the hold in force to the recorded one.
     fn join_incident(&mut self, incident: u64) {
         if let Some(hold) = &mut self.data_loss.hold {
             hold.incident = incident;
@@ -157,14 +166,17 @@
     fn end_hold(&mut self) {
         log::warn!("data-loss hold ends, operators decided to go on with the records there are");
         self.data_loss.hold = None;
-        self.wait_for_unrecorded_machines();
+        self.delay_task_starts();
         self.ownership.on_hold_ended();
     }
 
-    /// Guards against starting a task that is on a machine whose record was lost: nobody would
-    /// wait for that machine. Whoever renewed its lease in the hold does so until it reads
-    /// the decision or loses its authority; a lease later the machine is surely empty.
-    fn wait_for_unrecorded_machines(&mut self) {
+    /// Delays task starts after the operators' decision.
+    ///
+    /// Guards against starting a second copy of a task that runs on a machine whose record was
+    /// lost: reconciliation doesn't wait for that machine. The controller that renewed the
+    /// machine's lease during the hold continues until it reads the decision or loses its
+    /// authority. One worker lease later, no task runs on the machine.
+    fn delay_task_starts(&mut self) {
         if is_disabled(Safeguard::UnrecordedMachines) {
             return;
         }
@@ -174,30 +186,30 @@
             Some(self.cluster.now + authority + worker_lease + AUTHORITY_MARGIN);
     }
 
-    /// Keeps the hold on record and its regions owned; returns when to do so again.
+    /// Maintains the hold's record and acquires regions. Returns the time of the next call.
     pub(super) fn manage_hold(&mut self) -> Micros {
         let next = self.cluster.now + MAX_STEP_INTERVAL;
         if !self.cluster.state_store.is_loaded() {
             return next;
         }
-        self.put_hold_on_record();
+        self.commit_hold_record();
         self.drop_lost_kept_regions();
-        if self.is_hold_on_record() {
+        if self.has_undecided_hold_record() {
             for region in self.cluster.settings.regions() {
-                self.keep_region(region);
+                self.acquire_region_in_hold(region);
             }
         }
         next
     }
 
-    /// Whether there is a record of a hold that operators have not decided on.
-    fn is_hold_on_record(&self) -> bool {
+    /// Whether there is a record of a hold without an operator's decision.
+    fn has_undecided_hold_record(&self) -> bool {
         let record = self.cluster.state_store.replica.data_loss_hold.as_ref();
         record.is_some_and(|record| record.value.accepted.is_none())
     }
 
-    fn put_hold_on_record(&mut self) {
-        let is_on_record = self.is_hold_on_record();
+    fn commit_hold_record(&mut self) {
+        let is_on_record = self.has_undecided_hold_record();
         let replica = &self.cluster.state_store.replica;
         let Some(hold) = &mut self.data_loss.hold else {
             return;
@@ -224,7 +236,7 @@
         self.commit(transaction, CommitPriority::Urgent, None, pending);
     }
 
-    /// The commit of the hold's record ended.
+    /// Handles the end of the commit of the hold's record.
     pub(super) fn on_hold_record_committed(&mut self, outcome: &CommitOutcome) {
         if let Some(hold) = &mut self.data_loss.hold {
             hold.record_acquisition = Some(Acquisition::after(outcome));
--- a/src/controller/data_loss_hold/evidence.rs
+++ b/src/controller/data_loss_hold/evidence.rs
@@ -1,5 +1,5 @@
-//! Evidence of lost records in workers' heartbeats: tokens above the recorded one, jobs without
-//! a record.
+//! Detection of lost records from workers' heartbeats: fencing tokens above the recorded one and
+//! jobs without a record.
 
 use salttiller_records::units::{Micros, SECOND};
 use salttiller_recovery::ReportEvidence;
@@ -9,13 +9,13 @@
 use crate::reactor::Net;
 use crate::worker_protocol::Heartbeat;
 
-/// For so long after an operator's decision workers may report jobs without a record: their
-/// tasks are being stopped.
+/// Time after an operator's decision during which workers may report jobs without a record,
+/// because the tasks of these jobs are still being stopped.
 const UNRECORDED_JOBS_GRACE_PERIOD: Micros = 600 * SECOND;
 
 impl<N: Net> Controller<N> {
-    /// Whether a heartbeat contradicts the records as they are known here. A read that begins
-    /// now shows whether they are lost; until then the heartbeat is not acted on.
+    /// Returns whether a heartbeat contradicts the replica. If so, requests a read that shows
+    /// whether records are lost; the caller must not act on the heartbeat.
     pub(in crate::controller) fn contradicts_records(&mut self, heartbeat: &Heartbeat) -> bool {
         if is_disabled(Safeguard::ReportEvidence) {
             return false;
@@ -41,7 +41,7 @@
         contradicts
     }
 
-    /// Whether operators decided a short while ago to go on without what was lost.
+    /// Whether operators decided within the grace period to continue without the lost records.
     pub(super) fn is_decision_recent(&self) -> bool {
         let hold = self.cluster.state_store.replica.data_loss_hold.as_ref();
         let accepted = hold.and_then(|hold| hold.value.accepted.as_ref());
@@ -49,8 +49,8 @@
         accepted.is_some_and(|accepted| wall < accepted.at + UNRECORDED_JOBS_GRACE_PERIOD)
     }
 
-    /// A read that was sent at `sent` is complete: what contradicts the records now is a finding,
-    /// and begins a hold.
+    /// Handles the completion of a read that was sent at `sent`: begins a hold if an earlier
+    /// heartbeat still contradicts the records.
     pub(in crate::controller) fn check_evidence_of_loss(&mut self, sent: Micros) {
         let recorded_token = self.cluster.recorded_token();
         let jobs = &self.cluster.state_store.replica.jobs;
@@ -58,7 +58,7 @@
             return;
         };
         let finding = detection.on_read(sent, recorded_token, |job| jobs.contains_key(job));
-        if let Some(finding) = finding.filter(|_| !self.data_loss.is_held()) {
+        if let Some(finding) = finding.filter(|_| !self.data_loss.is_hold_active()) {
             self.begin_hold(finding);
         }
     }
--- a/src/controller/data_loss_hold/kept_regions.rs
+++ b/src/controller/data_loss_hold/kept_regions.rs
@@ -1,5 +1,6 @@
-//! Regions that are kept in a hold: acquired as always, under a token above all that were seen,
-//! but run by nobody. Their owner only renews the leases of their workers.
+//! Kept regions: regions that this controller owns during a hold. A kept region is acquired by
+//! the usual transaction under a fencing token above all known ones, but not scheduled: its owner
+//! only renews the leases of the region's workers.
 
 use std::collections::BTreeMap;
 
@@ -13,29 +14,29 @@
 use crate::reactor::Net;
 use crate::state_store::{CommitOutcome, CommitPriority, LeaseRole};
 
-/// Back-off after an acquisition that failed: transactions cost write quota then, too.
+/// Backoff after a failed acquisition, because a failed transaction also uses write quota.
 const ACQUISITION_BACKOFF: Micros = 300 * MILLISECOND;
 
-/// A region that is kept.
+/// A region that this controller owns during the hold.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct KeptRegion {
     pub token: u64,
-    /// From when on workers are answered.
+    /// Time from which workers' heartbeats are answered.
     pub answers_from: Micros,
 }
 
-/// The regions that this controller keeps in the hold.
+/// The regions that this controller owns or acquires during the hold.
 #[derive(Debug)]
 pub(super) struct KeptRegions {
     regions: BTreeMap<String, KeptRegion>,
     acquisitions: BTreeMap<String, Acquisition>,
-    /// The highest token seen on record or in heartbeats.
+    /// Highest fencing token seen on record or in heartbeats.
     highest_token: u64,
     next_attempt_at: Micros,
 }
 
 impl KeptRegions {
-    /// No regions yet; the highest token known is `token`.
+    /// Creates the state without any regions. `token` is the highest known fencing token.
     pub(super) fn new(token: u64) -> Self {
         KeptRegions {
             regions: BTreeMap::new(),
@@ -45,34 +46,34 @@
         }
     }
 
-    /// Keeps no region any more.
+    /// Drops all kept regions.
     pub(super) fn clear(&mut self) {
         self.regions.clear();
     }
 
-    /// A kept region.
+    /// Returns a kept region.
     pub(super) fn get(&self, region: &str) -> Option<KeptRegion> {
         self.regions.get(region).copied()
     }
 
-    /// Keeps a region no more, so that it is acquired again.
+    /// Drops a kept region, so that the region is acquired again.
     pub(super) fn remove(&mut self, region: &str) {
         self.regions.remove(region);
     }
 
-    /// A worker has seen this token.
+    /// Records a fencing token that a worker has seen.
     pub(super) fn on_token_seen(&mut self, token: u64) {
         self.highest_token = self.highest_token.max(token);
     }
 
-    /// Whether a region may be acquired, at this time and replica revision.
+    /// Whether a region may be acquired at the time `now` and the replica revision `revision`.
     fn may_acquire(&self, region: &str, revision: u64, now: Micros) -> bool {
         let acquisition = self.acquisitions.get(region);
         let is_pending = acquisition.is_some_and(|a| a.is_pending(revision));
         !self.regions.contains_key(region) && !is_pending && now >= self.next_attempt_at
     }
 
-    /// The token to acquire a region under, above all that were seen.
+    /// Returns the fencing token for an acquisition, which is above all known tokens.
     fn next_token(&self, recorded: u64) -> u64 {
         if is_disabled(Safeguard::SufficientToken) {
             return recorded + 1;
@@ -82,7 +83,7 @@
 }
 
 impl<N: Net> Controller<N> {
-    /// Drops regions that are no longer this controller's on record.
+    /// Drops kept regions whose record no longer names this controller and the region's token.
     pub(super) fn drop_lost_kept_regions(&mut self) {
         let records = &self.cluster.state_store.replica.regions;
         let incarnation = self.cluster.incarnation();
@@ -95,8 +96,8 @@
         });
     }
 
-    /// Acquires a region if this controller may.
-    pub(super) fn keep_region(&mut self, region: String) {
+    /// Acquires a region if that is permitted at present.
+    pub(super) fn acquire_region_in_hold(&mut self, region: String) {
         let now = self.cluster.now;
         let revision = self.cluster.state_store.replica.revision;
         let owner = self.cluster.recorded_owner(&region);
@@ -124,7 +125,7 @@
         self.commit(transaction, CommitPriority::Urgent, None, pending);
     }
 
-    /// The commit of an acquisition within the hold ended.
+    /// Handles the end of an acquisition's commit during the hold.
     pub(in crate::controller) fn on_acquired_in_hold(
         &mut self,
         region: String,
@@ -140,15 +141,16 @@
         if !outcome.is_committed() {
             hold.kept.next_attempt_at = now + ACQUISITION_BACKOFF;
             if matches!(outcome, CommitOutcome::Refused) {
-                // The lease was lost in a further loss, before its renewal would show that.
+                // The lease was lost in another loss of records; its next renewal would only
+                // show that later.
                 self.cluster.state_store.release_lease(LeaseRole::Owner);
                 self.cluster.state_store.request_lease(LeaseRole::Owner);
             }
             return;
         }
         self.ownership.on_owner_recorded(&region);
-        // Guards against renewing leases while a former owner that has not noticed the loss
-        // counts the machine as empty and starts its tasks elsewhere.
+        // Guards against renewing a machine's lease while a former owner that has not noticed the
+        // loss considers the machine empty and starts its tasks elsewhere.
         let former_authority = add_drift(self.cluster.settings.owner_lease_life());
         let answers_from = if hold.owned_before.contains(&region) {
             now
--- a/src/controller/data_loss_hold/requests.rs
+++ b/src/controller/data_loss_hold/requests.rs
@@ -1,4 +1,5 @@
-//! Answers to workers and users in a hold, and to users until the records are proven.
+//! Responses to workers and users during a hold, and to users until the records are verified after
+//! a start.
 
 use salttiller_records::record::JobStage;
 
@@ -9,13 +10,14 @@
 use crate::reactor::{ConnectionId, Net};
 use crate::worker_protocol::{self, Command, Heartbeat, ReportedState};
 
-/// Users retry after so many seconds in a hold.
+/// Retry-After value for users during a hold.
 const HOLD_RETRY_AFTER_S: u32 = 5;
-/// The same while the records aren't proven after a start.
-const UNPROVEN_RETRY_AFTER_S: u32 = 1;
+/// Retry-After value for users while the records are not verified after a start.
+const UNVERIFIED_RETRY_AFTER_S: u32 = 1;
 
 impl<N: Net> Controller<N> {
-    /// Renews a worker's lease, if this controller keeps its region.
+    /// Answers a heartbeat during a hold: renews the worker's lease if this controller owns the
+    /// worker's region.
     pub(in crate::controller) fn on_heartbeat_in_hold(
         &mut self,
         conn: ConnectionId,
@@ -34,34 +36,35 @@
             return self.redirect_to_owner(conn, &region);
         };
         if heartbeat.token > kept.token && !is_disabled(Safeguard::SufficientToken) {
-            // Acquired anew under a token with which this worker accepts answers.
+            // The region is acquired again under a token that the worker accepts.
             hold.kept.remove(&region);
             return self.refuse_unavailable(conn);
         }
         let is_former_owner_gone =
-            self.cluster.now >= kept.answers_from || self.is_held_by_all(incident);
+            self.cluster.now >= kept.answers_from || self.have_all_joined_hold(incident);
         if !self.cluster.has_authority() || !is_former_owner_gone {
             return self.refuse_unavailable(conn);
         }
-        let commands = self.stops_of_cancelled_jobs(heartbeat);
+        let commands = self.stop_commands_for_cancelled_jobs(heartbeat);
         let body = worker_protocol::encode_commands(kept.token, &commands);
         self.respond(conn, OK, body);
     }
 
-    /// The region of a machine, as on record or as remembered. Of a machine that nobody knows
-    /// any controller may renew the lease, as none commands it: it counts as the home region's.
+    /// Returns the region of a machine according to its record or to the replica from before the
+    /// loss. A machine that is in neither counts as part of this controller's home region: no
+    /// controller sends it commands, so any controller may renew its lease.
     fn region_in_hold(&self, machine: &str) -> String {
         let recorded = self.cluster.state_store.replica.machines.get(machine);
-        let remembered = self.data_loss.hold.as_ref();
-        let remembered = remembered.and_then(|hold| hold.remembered.machines.get(machine));
-        let known = recorded.or(remembered);
+        let hold = self.data_loss.hold.as_ref();
+        let before_loss = hold.and_then(|hold| hold.replica_before_loss.machines.get(machine));
+        let known = recorded.or(before_loss);
         let region = known.map_or(&self.cluster.settings.name, |m| &m.value.region);
         region.clone()
     }
 
-    /// Whether every controller has put on record that it holds, too: no former owner is left
-    /// that could act. A process that starts anew reads the hold's record first.
-    fn is_held_by_all(&self, incident: u64) -> bool {
+    /// Whether every controller has acquired its home region as part of this incident, so that no
+    /// former owner can act any more. A restarted process reads the hold's record first.
+    fn have_all_joined_hold(&self, incident: u64) -> bool {
         let records = &self.cluster.state_store.replica.regions;
         self.cluster.settings.regions().iter().all(|name| {
             let record = records.get(name).map(|r| &r.value);
@@ -69,8 +72,8 @@
         })
     }
 
-    /// Stops that a rule demands: tasks of jobs that are known to be cancelled.
-    fn stops_of_cancelled_jobs(&self, heartbeat: &Heartbeat) -> Vec<Command> {
+    /// Returns commands to stop the reported tasks of jobs that are known to be cancelled.
+    fn stop_commands_for_cancelled_jobs(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         let tasks = heartbeat.tasks.iter();
         tasks
             .filter(|task| !matches!(task.state, ReportedState::Ended(_)))
@@ -82,18 +85,19 @@
 
     fn is_known_cancelled(&self, job: &str) -> bool {
         let hold = self.data_loss.hold.as_ref();
-        let remembered = hold.and_then(|hold| hold.remembered.stage(job));
+        let before_loss = hold.and_then(|hold| hold.replica_before_loss.stage(job));
         let recorded = self.cluster.state_store.replica.stage(job);
-        [remembered, recorded].contains(&Some(JobStage::Cancelled))
+        [before_loss, recorded].contains(&Some(JobStage::Cancelled))
             || self.cluster.cancellations.contains(job)
     }
 
-    /// Whether a user's request about a job is answered here and now, with its final stage on
-    /// record or a refusal: in a hold, and after a start until workers had the time to contradict
-    /// the records. Until then a job may be missing, or be recorded as in an older copy.
+    /// Answers a user's request about a job with the job's final stage on record, or refuses the
+    /// request. Returns `false` without a response if the request can be handled normally.
     ///
-    /// Users don't get answers from what is only remembered: should operators go on without it,
-    /// later answers would contradict them.
+    /// Requests are answered from the records only during a hold, and after a start until workers
+    /// have had time to contradict the records: until then, a job's record may be missing or as in
+    /// an older copy. Responses never use the replica from before the loss: if operators continue
+    /// without the lost records, later responses would contradict such a response.
     pub(in crate::controller) fn answer_from_records_only(
         &mut self,
         conn: ConnectionId,
@@ -102,14 +106,14 @@
         let Some(detection) = &self.data_loss.detection else {
             return false;
         };
-        let is_proven =
+        let is_verified =
             detection.is_proven(self.cluster.now) || is_disabled(Safeguard::ProvenStart);
-        let retry_after_s = if self.is_held() {
+        let retry_after_s = if self.is_hold_active() {
             HOLD_RETRY_AFTER_S
-        } else if is_proven {
+        } else if is_verified {
             return false;
         } else {
-            UNPROVEN_RETRY_AFTER_S
+            UNVERIFIED_RETRY_AFTER_S
         };
         if let Some(stage) = self.recorded_final_stage(job) {
             let body = admission::encode_job_state(job, stage, None);
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of workers, and the answers to them. Each accepted answer renews a worker's lease,
-//! so it is given with authority only.
+//! Workers' heartbeats and the responses to them. Each successful response renews a worker's
+//! lease, so a controller only sends it while it has authority.
 
 use salttiller_protocol::http::Response;
 
@@ -10,7 +10,7 @@
 use crate::worker_protocol::{self, Heartbeat};
 
 impl<N: Net> Controller<N> {
-    /// A worker's heartbeat.
+    /// Handles a worker's heartbeat.
     pub(super) fn on_heartbeat(&mut self, conn: ConnectionId, body: &[u8]) {
         let heartbeat = match worker_protocol::parse_heartbeat(body) {
             Ok(heartbeat) => heartbeat,
@@ -22,7 +22,7 @@
         if !self.cluster.state_store.is_loaded() {
             return self.refuse_unavailable(conn);
         }
-        if self.is_held() {
+        if self.is_hold_active() {
             return self.on_heartbeat_in_hold(conn, &heartbeat);
         }
         if self.contradicts_records(&heartbeat) {
@@ -42,7 +42,7 @@
         self.answer_heartbeat(conn, &region, &heartbeat);
     }
 
-    /// A machine without a record: the leader finds out what it is.
+    /// Redirects a machine without a record to the leader, which identifies the machine.
     fn redirect_unknown_machine(&mut self, conn: ConnectionId) {
         let context = self.cluster.scheduling_context(self.net.wall());
         if let Some(leader) = self.leadership.leader_mut() {
@@ -59,14 +59,15 @@
         self.redirect(conn, owner);
     }
 
-    /// Redirects a worker to another controller, or to none that is known.
+    /// Redirects a worker to another controller. The redirect names no controller if `to` is
+    /// `None` or this controller.
     fn redirect(&mut self, conn: ConnectionId, to: Option<String>) {
         let to = to.filter(|controller| *controller != self.cluster.settings.name);
         let body = worker_protocol::encode_redirect(to.as_deref());
         self.respond(conn, MISDIRECTED, body);
     }
 
-    /// Applies a heartbeat to its owned region and answers with the region's commands.
+    /// Applies a heartbeat to an owned region and responds with the region's commands.
     fn answer_heartbeat(&mut self, conn: ConnectionId, region: &str, heartbeat: &Heartbeat) {
         self.cluster.now = self.net.clock();
         if !self.cluster.has_authority() {
@@ -79,9 +80,9 @@
         let token = owned.token;
         let outcome = owned.on_heartbeat(heartbeat, &context);
         let answer = self.heartbeat_response(region, token, heartbeat, outcome);
-        // The clock is read again as the bytes go out. A pause between here and the wire does no
-        // harm: the worker counts its lease from when it sent the heartbeat, and drops answers
-        // after 4 s.
+        // The authority is checked again right before the response is sent. A later pause is
+        // harmless: the worker counts its lease from the time at which it sent the heartbeat, and
+        // drops responses after 4 s.
         self.cluster.now = self.net.clock();
         if answer.status == OK && !self.cluster.has_authority() {
             return self.refuse_unavailable(conn);
@@ -110,7 +111,7 @@
                 log::info!(
                     "region={region} machine={machine} token={token}: superseded, the machine has seen token {seen}"
                 );
-                self.ownership.reacquire(region);
+                self.ownership.request_reacquisition(region);
                 self.cluster.state_store.request_barrier();
                 Response::refusal(UNAVAILABLE, RETRY_AFTER_S)
             }
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -1,14 +1,14 @@
-//! Leadership: acquiring it, losing it, and carrying out what the leader decides.
+//! Leadership: acquiring and losing it, and executing the leader's decisions.
 //!
 //! | state | represented by | left when |
 //! | --- | --- | --- |
-//! | follower | another holder on record | its record goes with its lease |
-//! | waiting to be candidate | `candidacy_at` | that time has come, or another holder is on record |
-//! | candidate | [`Acquisition`] | the commit ended and the replica caught up |
-//! | leader | a [`Leader`] whose version is that of the record | the record changes, the lease or records are lost |
+//! | follower | another holder on record | the holder's record is removed together with its lease |
+//! | waiting to be candidate | `candidacy_at` | the time is reached, or another holder is on record |
+//! | candidate | [`Acquisition`] | the commit has ended and the replica has caught up |
+//! | leader | a [`Leader`] whose version is that of the record | the record changes, or the lease or records are lost |
 //!
-//! The leader is fenced by its record's version in each transaction. `Leader` decides; this
-//! module only sends what it decides.
+//! Each transaction of the leader is fenced by the version of the leader's record. [`Leader`]
+//! makes the decisions; this module executes them.
 
 use std::ops::Range;
 
@@ -25,11 +25,11 @@
 use crate::reactor::Net;
 use crate::state_store::{CommitOutcome, CommitPriority, LeaseRole, Transaction};
 
-/// How long a controller waits at random before it tries to become leader, so that not all try
-/// at once.
+/// Random delay before a controller tries to become leader, so that the controllers don't all try
+/// at the same time.
 const CANDIDACY_DELAY: Range<Micros> = 20 * MILLISECOND..300 * MILLISECOND;
 
-/// Whether this controller leads, or is about to.
+/// State of this controller's leadership or candidacy.
 #[derive(Default)]
 pub(super) struct Leadership {
     leader: Option<Leader>,
@@ -38,27 +38,28 @@
 }
 
 impl Leadership {
-    /// Whether this controller leads.
+    /// Whether this controller is the leader.
     pub(super) fn is_leading(&self) -> bool {
         self.leader.is_some()
     }
 
-    /// The leader, if this controller is it.
+    /// Returns the leader's state, if this controller is the leader.
     pub(super) fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
 
-    /// The leader, if this controller is it.
+    /// Returns the leader's state, if this controller is the leader.
     pub(super) fn leader_mut(&mut self) -> Option<&mut Leader> {
         self.leader.as_mut()
     }
 
-    /// The commit of the leader's record ended.
+    /// Handles the end of the commit of the leader's record.
     pub(super) fn on_acquisition_committed(&mut self, outcome: &CommitOutcome) {
         self.acquisition = Some(Acquisition::after(outcome));
     }
 
-    /// The commit of something that the leader decided ended; the keys name what it concerns.
+    /// Handles the end of the commit of a leader's decision. `keys` are the keys of the changed
+    /// records.
     pub(super) fn on_decision_committed(
         &mut self,
         keys: &[Key],
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Whether the candidacy is due; its time is drawn at the first call.
+    /// Whether the candidacy is due. The first call draws its time.
     fn is_candidacy_due(&mut self, now: Micros) -> bool {
         let at = self
             .candidacy_at
@@ -81,7 +82,7 @@
 }
 
 impl<N: Net> Controller<N> {
-    /// Stops leading, if this controller does.
+    /// Stops being the leader. Does nothing if this controller is not the leader.
     pub(super) fn step_down(&mut self, reason: &str) {
         if self.leadership.leader.take().is_some() {
             log::info!("stepping down as leader: {reason}");
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Acquires leadership where that is due, and steps down if it was lost.
+    /// Acquires leadership if that is due, and steps down if leadership was lost.
     pub(super) fn manage_leadership(&mut self) {
         if !self.cluster.state_store.is_loaded() {
             return;
@@ -108,19 +109,20 @@
         }
         self.leadership.acquisition = None;
         match recorded {
-            RecordedHolder::ThisIncarnation => self.enter_leading(version),
-            RecordedHolder::OtherController => self.follow(true),
+            RecordedHolder::ThisIncarnation => self.start_term(version),
+            RecordedHolder::OtherController => self.become_follower(true),
             RecordedHolder::Nobody | RecordedHolder::FormerIncarnation => {
                 if self.cluster.is_fresh() {
-                    self.stand_as_candidate(version);
+                    self.try_acquire_leadership(version);
                 } else {
-                    self.follow(recorded != RecordedHolder::Nobody);
+                    self.become_follower(recorded != RecordedHolder::Nobody);
                 }
             }
         }
     }
 
-    /// The version of the leader's record (0 if there is none) and whom it names.
+    /// Returns the version of the leader's record (0 if there is none) and the holder that it
+    /// names.
     fn leader_record(&self) -> (u64, RecordedHolder) {
         let Some(record) = &self.cluster.state_store.replica.leader else {
             return (0, RecordedHolder::Nobody);
@@ -132,8 +134,9 @@
         )
     }
 
-    /// This controller is leader on record.
-    fn enter_leading(&mut self, version: u64) {
+    /// Starts a term, because the leader's record names this controller. Does nothing during a
+    /// term or without a valid leader lease.
+    fn start_term(&mut self, version: u64) {
         let leader_until = self.cluster.state_store.leader_until();
         if self.leadership.is_leading() || self.cluster.now >= leader_until {
             return;
@@ -143,9 +146,9 @@
         self.leadership.leader = Some(Leader::new(version, &context));
     }
 
-    /// This controller can't be leader now; its own lease for that is of no use if a leader is
-    /// on record.
-    fn follow(&mut self, has_recorded_leader: bool) {
+    /// Cancels the candidacy. If a leader is on record, also releases this controller's own leader
+    /// lease, which is then useless.
+    fn become_follower(&mut self, has_recorded_leader: bool) {
         self.leadership.candidacy_at = None;
         let state_store = &mut self.cluster.state_store;
         if has_recorded_leader && state_store.lease_id(LeaseRole::Leader).is_some() {
@@ -153,8 +156,8 @@
         }
     }
 
-    /// Tries to become leader, once the random delay is over and the lease is held.
-    fn stand_as_candidate(&mut self, version: u64) {
+    /// Commits the leader's record, once the random delay is over and the lease is held.
+    fn try_acquire_leadership(&mut self, version: u64) {
         if !self.leadership.is_candidacy_due(self.cluster.now) {
             return;
         }
@@ -176,8 +179,8 @@
         self.commit(transaction, CommitPriority::Urgent, None, pending);
     }
 
-    /// Runs the leader, if this controller is it, and carries out its actions; returns when to
-    /// run it again.
+    /// Runs the leader, if this controller is the leader, and executes its actions. Returns the
+    /// time of the next call.
     pub(super) fn run_leader(&mut self) -> Micros {
         let next = self.cluster.now + MAX_STEP_INTERVAL;
         if self.cluster.now >= self.cluster.state_store.leader_until() {
@@ -205,8 +208,8 @@
         next
     }
 
-    /// Sends a decision of the leader to the owner of the region that it concerns, which may be
-    /// this controller.
+    /// Sends a decision of the leader to the owner of the affected region, which may be this
+    /// controller.
     fn send_to_owner(&mut self, message: Message) {
         let (Message::RebindTasks { from: region, .. }
         | Message::CordonMachines { region, .. }
--- a/src/controller/monitoring.rs
+++ b/src/controller/monitoring.rs
@@ -1,6 +1,8 @@
-//! What operators are alerted to: service-level objectives that are missed, conditions that
-//! need attention, jobs that wait for dependencies without a record. Evaluated by every
-//! controller, logged by the leader.
+//! Monitoring: missed service-level objectives, conditions that need operators' attention, and
+//! jobs that wait for dependencies without a record.
+//!
+//! Every controller evaluates objectives and conditions. The leader logs the alerts; during a
+//! data-loss hold every controller does.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -20,41 +22,42 @@
 use crate::slo::ObservedJob;
 use crate::state_store::replica::SubmissionKey;
 
-/// Interval of evaluations.
+/// Interval between evaluations.
 const EVALUATION_INTERVAL: Micros = 2 * SECOND;
 
-/// State of the evaluation.
+/// State of the monitoring.
 pub(super) struct Monitoring {
     objectives: AlertMonitor,
-    question_rate: PollRate,
+    poll_rate: PollRate,
     next_evaluation_at: Micros,
-    /// Jobs that waited for jobs without a record at the last evaluation.
+    /// Number of jobs that waited for jobs without a record at the last evaluation.
     jobs_with_unknown_dependencies: usize,
 }
 
 impl Monitoring {
-    /// The objectives and thresholds of the settings, with nothing evaluated yet.
+    /// Creates the state with the objectives and thresholds of the settings, before the first
+    /// evaluation.
     pub(super) fn new(settings: &Settings) -> Self {
         Monitoring {
             objectives: AlertMonitor::new(&settings.objectives, &settings.operator),
-            question_rate: PollRate::default(),
+            poll_rate: PollRate::default(),
             next_evaluation_at: 0,
             jobs_with_unknown_dependencies: 0,
         }
     }
 
-    /// Counts a question about a job.
-    pub(super) fn record_question(&mut self) {
-        self.question_rate.record();
+    /// Counts a poll of a job's state.
+    pub(super) fn record_poll(&mut self) {
+        self.poll_rate.record();
     }
 
-    /// Fills in the objectives' part of the status page; `wall` is the time of day.
+    /// Fills in the objectives of the status page. `wall` is the wall-clock time.
     pub(super) fn fill_status_page(&mut self, page: &mut Status, wall: Micros) {
         self.objectives.fill_status(page, wall);
     }
 }
 
-/// What most likely keeps objectives from being met, the gravest first.
+/// The most likely cause of missed objectives, in order of decreasing severity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LikelyCause {
     RecordsLost,
@@ -83,7 +86,7 @@
 }
 
 impl<N: Net> Controller<N> {
-    /// Evaluates objectives and conditions if that is due.
+    /// Evaluates objectives and conditions if an evaluation is due.
     pub(super) fn monitor(&mut self) {
         let now = self.cluster.now;
         if now < self.monitoring.next_evaluation_at || !self.cluster.state_store.is_loaded() {
@@ -94,7 +97,7 @@
         let conditions = self.conditions();
         let objectives = &mut self.monitoring.objectives;
         alerts.extend(objectives.observe_conditions(conditions, now));
-        if self.leadership.is_leading() || self.is_held() {
+        if self.leadership.is_leading() || self.is_hold_active() {
             alerts.iter().for_each(log_alert);
         }
         self.check_unknown_dependencies();
@@ -103,7 +106,7 @@
     fn likely_cause(&self) -> LikelyCause {
         let regions = self.cluster.settings.region_count();
         let leader = self.leadership.leader();
-        if self.is_held() {
+        if self.is_hold_active() {
             LikelyCause::RecordsLost
         } else if self.cluster.state_store.is_failing() {
             LikelyCause::StateServiceDown
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Evaluates the objectives against the open jobs; returns the alerts to log.
+    /// Evaluates the objectives for the open jobs. Returns the alerts to log.
     fn evaluate_objectives(&mut self) -> Vec<Alert> {
         let cause = self.likely_cause().to_string();
         let replica = &self.cluster.state_store.replica;
@@ -153,19 +156,19 @@
         objectives.observe_jobs(open_jobs, is_done, is_open, wall, &cause)
     }
 
-    /// Conditions that operators should know of, as far as this controller sees them.
+    /// Returns the conditions that need operators' attention and that this controller observes.
     fn conditions(&mut self) -> Vec<Condition> {
-        let question_rate = self.monitoring.question_rate.sample(self.cluster.now);
-        let mut found: Vec<Condition> = question_rate.into_iter().collect();
+        let poll_rate = self.monitoring.poll_rate.sample(self.cluster.now);
+        let mut found: Vec<Condition> = poll_rate.into_iter().collect();
         found.extend(self.data_loss.condition());
-        found.extend(self.slow_provisioning());
+        found.extend(self.degraded_pool_conditions());
         found.extend(self.unreachable_owners());
         found.extend(self.failing_jobs());
         found
     }
 
-    /// Machine pools that the leader finds to come up late or not at all.
-    fn slow_provisioning(&self) -> Vec<Condition> {
+    /// Returns the conditions of the degraded pools, if this controller is the leader.
+    fn degraded_pool_conditions(&self) -> Vec<Condition> {
         let Some(leader) = self.leadership.leader() else {
             return Vec::new();
         };
@@ -180,7 +183,7 @@
         conditions.collect()
     }
 
-    /// Jobs that failed on several machines without a result.
+    /// Returns the conditions of jobs that failed on several machines without a result.
     fn failing_jobs(&self) -> Vec<Condition> {
         let jobs = &self.cluster.state_store.replica.jobs;
         let pending = self.cluster.region_reports.pending_jobs();
@@ -201,15 +204,18 @@
         conditions.collect()
     }
 
-    /// Logs once when jobs wait for dependencies that have no record, as only a damaged state
-    /// service could bring about. They go on waiting, and nothing of them starts.
+    /// Logs a warning when the number of jobs that wait for dependencies without a record
+    /// increases. Only a damaged state service causes such dependencies. The jobs keep waiting
+    /// and none of their tasks starts.
     fn check_unknown_dependencies(&mut self) {
         let replica = &self.cluster.state_store.replica;
         let waiting = replica.waiting_for_unknown();
         let count = waiting.len();
         if count > self.monitoring.jobs_with_unknown_dependencies {
             let first = waiting.first().map_or("", |job| job.as_str());
-            log::warn!("job={first}: waits for jobs without a record, {count} jobs in all");
+            log::warn!(
+                "job={first}: waiting for jobs without a record, {count} such jobs in total"
+            );
         }
         self.monitoring.jobs_with_unknown_dependencies = count;
     }
--- a/src/controller/outstanding_calls.rs
+++ b/src/controller/outstanding_calls.rs
@@ -1,5 +1,5 @@
-//! Calls to the state service and to the cloud: sending those that their clients ask for, and
-//! handing the responses back.
+//! Calls to the state service and to the cloud: sends the calls that their clients request, and
+//! passes the responses back to the clients.
 
 use std::collections::BTreeMap;
 
@@ -16,19 +16,19 @@
 /// Index of the cloud among the network layer's destinations.
 const CLOUD: usize = 1;
 
-/// A call without a response yet, with its client's number of the operation.
+/// A call without a response yet, with the client's id of the operation.
 #[derive(Debug)]
 pub(super) enum OutstandingCall {
     StateStore(u64),
     Cloud(u64),
 }
 
-/// Calls without a response yet.
+/// Calls without a response yet, by id.
 pub(super) type OutstandingCalls = BTreeMap<CallId, OutstandingCall>;
 
 impl<N: Net> Controller<N> {
-    /// Sends the calls that the client of the state service asks for; returns its events and
-    /// when it is due next.
+    /// Sends the calls that the state service's client requests. Returns the client's events and
+    /// the time at which to call it again.
     pub(super) fn call_state_store(&mut self) -> (Vec<StateStoreEvent>, Micros) {
         let mut events = Vec::new();
         let now = self.cluster.now;
@@ -47,7 +47,8 @@
         (events, next)
     }
 
-    /// Sends the call that the cloud's client asks for, if any; returns when it is due next.
+    /// Sends the call that the cloud's client requests, if any. Returns the time at which to call
+    /// it again.
     pub(super) fn call_cloud(&mut self) -> Micros {
         self.cloud_client.set_leading(self.leadership.is_leading());
         let (call, next) = self.cloud_client.next_call(self.cluster.now);
@@ -65,7 +66,7 @@
         next
     }
 
-    /// A call ended.
+    /// Handles the end of a call.
     pub(super) fn on_response(&mut self, call: CallId, result: Result<Response, CallError>) {
         match self.outstanding_calls.remove(&call) {
             Some(OutstandingCall::StateStore(op)) => self.on_state_store_response(op, result),
@@ -81,7 +82,7 @@
 
     fn on_state_store_response(&mut self, op: u64, result: Result<Response, CallError>) {
         if matches!(result, Err(CallError::NoAnswer)) {
-            // After a partition the other connections would only time out, too.
+            // After a partition, calls on the other idle connections would time out, too.
             self.net.close_idle_connections(STATE_STORE);
         }
         let mut events = Vec::new();
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -1,11 +1,13 @@
-//! Regions whose machines don't reach their owner: a controller may lose its workers alone and
-//! keep the state service and its peers. Its lease is renewed, so nobody would acquire its
-//! regions, and each worker's own lease expires.
+//! Detection and release of regions whose machines don't reach their owner.
 //!
-//! The other controllers see it: workers that reach no owner contact them. They notify the owner
-//! how many do, and an owner that itself receives heartbeats from few releases the region. None of
-//! this carries authority: a release is the deletion of the region's record by its owner, as in
-//! a failback, and whoever acquires the region reconciles every machine.
+//! A controller may lose the connection to its workers but keep the one to the state service and
+//! its peers. Its lease is then renewed, so no other controller acquires its regions, while the
+//! workers' leases expire.
+//!
+//! The other controllers detect this, because workers that don't reach their owner contact them.
+//! Each notifies the owner of the number of such workers, and an owner that receives few heartbeats
+//! itself releases the region. Notifications carry no authority: a release is the deletion of the
+//! region's record by its owner, as in a failback, and the next owner reconciles every machine.
 
 use std::collections::BTreeMap;
 
@@ -17,42 +19,42 @@
 use crate::peer_protocol::{self, Message};
 use crate::reactor::Net;
 
-/// For how long a redirected worker counts.
+/// Time for which a redirected worker is counted.
 const REDIRECT_WINDOW: Micros = 12 * SECOND;
-/// A worker that contacts this controller for longer than this didn't reach its owner after it
-/// was first redirected there.
+/// Time that a redirected worker has to reach its owner. A worker that still contacts this
+/// controller later did not reach its owner.
 const REDIRECT_GRACE_PERIOD: Micros = 2 * SECOND;
-/// Interval at which owners are notified.
+/// Interval between notifications to owners.
 const NOTIFICATION_INTERVAL: Micros = SECOND;
-/// How long a peer's notification is valid.
+/// Time for which a peer's notification is valid.
 const NOTIFICATION_VALIDITY: Micros = 3 * SECOND;
-/// How long the controller that released a region leaves it to its peers.
-const RELEASE_PAUSE: Micros = 15 * SECOND;
-/// For how long failback to a home that its machines didn't reach is suspended; doubled each
-/// time.
+/// Time during which a controller that released a region doesn't acquire it again.
+const REACQUISITION_PAUSE: Micros = 15 * SECOND;
+/// Initial backoff of failback to a home controller that the region's machines didn't reach. The
+/// backoff doubles with each suspension.
 const FAILBACK_BACKOFF: Micros = 60 * SECOND;
-/// Most doublings of that.
+/// Maximum number of doublings of the failback backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// A region with fewer machines is not released: too few to judge by.
+/// Minimum number of machines for a decision about a region; fewer are not representative.
 const MIN_MACHINES: usize = 2;
 
-/// When a worker of another owner's region contacted this controller and was redirected.
+/// Times of the first and last redirect of a worker of another owner's region.
 #[derive(Debug, Clone, Copy)]
 struct Redirect {
     first: Micros,
     last: Micros,
 }
 
-/// Workers of other owners' regions that contacted this controller.
+/// Workers of other owners' regions that contacted this controller and were redirected.
 #[derive(Debug, Default)]
 struct Redirects {
-    /// By region and machine.
+    /// Redirects by region and machine.
     by_region: BTreeMap<String, BTreeMap<String, Redirect>>,
 }
 
 impl Redirects {
-    /// A machine of this region was redirected. Machines are those on record, so there are no
-    /// more entries than of these.
+    /// Records the redirect of a machine of this region. Only machines on record are redirected
+    /// to an owner, which bounds the number of entries.
     fn record(&mut self, region: &str, machine: &str, now: Micros) {
         let machines = self.by_region.entry(region.to_owned()).or_default();
         let first = Redirect {
@@ -62,7 +64,7 @@
         machines.entry(machine.to_owned()).or_insert(first).last = now;
     }
 
-    /// Forgets what is older than the window.
+    /// Drops redirects that are older than the window.
     fn expire(&mut self, now: Micros) {
         for machines in self.by_region.values_mut() {
             machines.retain(|_, redirect| now < redirect.last + REDIRECT_WINDOW);
@@ -70,19 +72,20 @@
         self.by_region.retain(|_, machines| !machines.is_empty());
     }
 
-    /// The regions with redirected machines, and how many these are.
+    /// Returns the regions with redirected machines and the number of these machines.
     fn regions(&self) -> impl Iterator<Item = (&String, usize)> {
         self.by_region
             .iter()
             .map(|(region, machines)| (region, machines.len()))
     }
 
-    /// How many machines of a region were redirected within the window.
+    /// Returns the number of a region's machines that were redirected within the window.
     fn count(&self, region: &str) -> usize {
         self.by_region.get(region).map_or(0, BTreeMap::len)
     }
 
-    /// How many of these came back after they were redirected to their owner.
+    /// Returns the number of a region's machines that contacted this controller again after the
+    /// redirect to their owner.
     fn count_returned(&self, region: &str) -> usize {
         let machines = self.by_region.get(region).into_iter().flatten();
         let has_returned = |r: &Redirect| r.last > r.first + REDIRECT_GRACE_PERIOD;
@@ -90,106 +93,112 @@
     }
 }
 
-/// A peer's notification that machines of an owned region contact it.
+/// A peer's notification that machines of an owned region contact the peer.
 #[derive(Debug, Clone, Copy)]
 struct Notification {
     machines: usize,
     received_at: Micros,
 }
 
-/// A region that was acquired although its home was healthy.
+/// Failback backoff of a region that this controller acquired although its home was healthy.
 #[derive(Debug, Clone, Copy, Default)]
 struct FailbackBackoff {
     until: Micros,
-    /// How often that has happened.
-    times: u32,
+    /// Number of suspensions so far.
+    suspensions: u32,
 }
 
-/// Regions whose owner changed because their machines didn't reach it.
+/// Regions whose owner changed because their machines didn't reach the owner.
 #[derive(Debug, Default)]
 struct Releases {
-    /// Regions that this controller released, and until when they are left to its peers.
+    /// Regions that this controller released, with the time until which it doesn't acquire them
+    /// again.
     released: BTreeMap<String, Micros>,
-    /// Regions that this controller acquired from a healthy home.
+    /// Failback backoffs of the regions that this controller acquired although their home was
+    /// healthy.
     failback_backoffs: BTreeMap<String, FailbackBackoff>,
 }
 
 impl Releases {
-    /// This controller released a region.
+    /// Records that this controller released a region.
     fn on_released(&mut self, region: &str, now: Micros) {
-        self.released.insert(region.to_owned(), now + RELEASE_PAUSE);
+        self.released
+            .insert(region.to_owned(), now + REACQUISITION_PAUSE);
     }
 
-    /// Whether a region may be released, that is not again soon after.
+    /// Whether a region may be released. A region is not released again shortly after a release.
     fn may_release(&self, region: &str, now: Micros) -> bool {
         let last = self.released.get(region);
         last.is_none_or(|until| now > *until + FAILBACK_BACKOFF)
     }
 
-    /// Whether a region is left to the peers for now.
-    fn is_left_to_peers(&self, region: &str, now: Micros) -> bool {
+    /// Whether this controller leaves the acquisition of a region to its peers at present.
+    fn is_reacquisition_paused(&self, region: &str, now: Micros) -> bool {
         self.released.get(region).is_some_and(|until| now < *until)
     }
 
-    /// Whether a region is not released to its home for now.
+    /// Whether failback of a region to its home is suspended at present.
     fn is_failback_suspended(&self, region: &str, now: Micros) -> bool {
         let backoff = self.failback_backoffs.get(region);
         backoff.is_some_and(|backoff| now < backoff.until)
     }
 
-    /// A region was acquired although its home was healthy.
+    /// Suspends failback of a region that was acquired although its home was healthy.
     fn suspend_failback(&mut self, region: &str, now: Micros) {
         let backoff = self.failback_backoffs.entry(region.to_owned());
         let backoff = backoff.or_default();
-        let doublings = backoff.times.min(MAX_BACKOFF_DOUBLINGS);
+        let doublings = backoff.suspensions.min(MAX_BACKOFF_DOUBLINGS);
         backoff.until = now + (FAILBACK_BACKOFF << doublings);
-        backoff.times += 1;
+        backoff.suspensions += 1;
     }
 }
 
-/// What is known of owners that their machines don't reach, this controller included.
+/// Evidence that machines don't reach the owner of their region, which may be this controller.
 #[derive(Debug, Default)]
 pub(super) struct OwnerReachability {
     redirects: Redirects,
     releases: Releases,
-    /// Latest notification about each owned region.
+    /// Latest notification about each owned region, by region.
     notifications: BTreeMap<String, Notification>,
     next_notification_at: Micros,
-    /// Since when this controller could answer its machines without a break.
+    /// Start of the uninterrupted time in which this controller could answer its machines.
     able_to_answer_since: Option<Micros>,
 }
 
 impl OwnerReachability {
-    /// A machine of another owner's region was redirected to it.
+    /// Records that a machine of another owner's region was redirected to that owner.
     pub(super) fn record_redirect(&mut self, region: &str, machine: &str, now: Micros) {
         self.redirects.record(region, machine, now);
     }
 
-    /// Whether a region that this controller released is left to its peers for now.
-    pub(super) fn is_left_to_peers(&self, region: &str, now: Micros) -> bool {
-        self.releases.is_left_to_peers(region, now)
+    /// Whether this controller released a region and leaves its acquisition to its peers at
+    /// present.
+    pub(super) fn is_reacquisition_paused(&self, region: &str, now: Micros) -> bool {
+        self.releases.is_reacquisition_paused(region, now)
     }
 
-    /// Whether a region is not released to its home for now, since its machines didn't reach that.
+    /// Whether failback of a region is suspended at present because its machines didn't reach
+    /// their home.
     pub(super) fn is_failback_suspended(&self, region: &str, now: Micros) -> bool {
         self.releases.is_failback_suspended(region, now)
     }
 
-    /// A region was acquired although its home was healthy: failback is suspended for a while.
+    /// Suspends failback of a region that was acquired although its home was healthy.
     pub(super) fn suspend_failback(&mut self, region: &str, now: Micros) {
         self.releases.suspend_failback(region, now);
     }
 }
 
 impl<N: Net> Controller<N> {
-    /// Whether at least half of a region's machines contact this controller.
+    /// Whether at least half of a region's machines contact this controller instead of their owner.
     pub(super) fn receives_most_redirects(&self, region: &str) -> bool {
         let machines = self.cluster.recorded_machines(region) as usize;
         let redirected = self.reachability.redirects.count(region);
         redirected >= MIN_MACHINES && redirected * 2 >= machines
     }
 
-    /// Conditions of other owners whose machines mostly contact this controller.
+    /// Returns a condition for each region of another owner if at least half of the region's
+    /// machines contact this controller.
     pub(super) fn unreachable_owners(&self) -> Vec<Condition> {
         let redirects = &self.reachability.redirects;
         let regions = redirects.regions().map(|(region, _)| region);
@@ -204,7 +213,8 @@
             .collect()
     }
 
-    /// Notifies owners how many of their machines contact this controller, if that is due.
+    /// Notifies owners of the number of their machines that contact this controller, if a
+    /// notification is due.
     pub(super) fn notify_unreachable_owners(&mut self) {
         let now = self.cluster.now;
         if now < self.reachability.next_notification_at {
@@ -213,7 +223,7 @@
         self.reachability.next_notification_at = now + NOTIFICATION_INTERVAL;
         self.reachability.redirects.expire(now);
         if !self.cluster.is_fresh() {
-            // This controller could not acquire the region either.
+            // This controller could not acquire a region if its owner released it.
             return;
         }
         let records = &self.cluster.state_store.replica.regions;
@@ -233,8 +243,8 @@
         }
     }
 
-    /// A peer's notification that machines of a region contact it.
-    pub(super) fn on_unreachable_report(&mut self, region: String, token: u64, machines: u32) {
+    /// Handles a peer's notification that machines of a region contact the peer.
+    pub(super) fn on_owner_unreachable(&mut self, region: String, token: u64, machines: u32) {
         let owned = self.ownership.get(&region);
         if owned.is_some_and(|owned| owned.token == token) {
             let notification = Notification {
@@ -245,16 +255,17 @@
         }
     }
 
-    /// Releases regions whose machines reach a peer but not this controller. Not while the state
-    /// service is out: nobody could acquire them then.
+    /// Releases regions whose machines reach a peer but not this controller. Nothing is released
+    /// during an outage of the state service, because no controller could acquire the region.
     pub(super) fn release_unreachable_regions(&mut self) {
         let now = self.cluster.now;
         if !self.cluster.has_authority() || !self.cluster.is_fresh() {
             self.reachability.able_to_answer_since = None;
             return;
         }
-        // Guards against machines that contacted others while this controller answered nobody,
-        // in an outage perhaps: they come back by themselves.
+        // Guards against releasing a region because its machines contacted peers while this
+        // controller couldn't answer, for example in an outage: these machines return by
+        // themselves.
         let able_since = *self.reachability.able_to_answer_since.get_or_insert(now);
         let notifications = &mut self.reachability.notifications;
         notifications.retain(|_, n| now < n.received_at + NOTIFICATION_VALIDITY);
@@ -269,9 +280,9 @@
         }
     }
 
-    /// Owned regions to release, with the versions of their records: at least half of their
-    /// machines contact a peer, and few of them reach this controller, which has been able to
-    /// answer them since `able_since`.
+    /// Returns the owned regions to release, with the versions of their records: at least half of
+    /// a region's machines contact a peer, and few of them reach this controller, which has been
+    /// able to answer them since `able_since`.
     fn unreachable_regions(&self, able_since: Micros) -> Vec<(String, u64)> {
         if self.reachability.notifications.is_empty() {
             return Vec::new();
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,5 +1,5 @@
-//! Messages from the other controllers. None carries authority: each is checked against the
-//! records and the owned regions before it is acted on.
+//! Messages from the other controllers. No message carries authority: each is checked against the
+//! records and the owned regions before the controller acts on it.
 
 use salttiller_records::model::is_job_id;
 use salttiller_records::record::JobStage;
@@ -11,29 +11,29 @@
 use crate::reactor::{ConnectionId, Net};
 use crate::region::MachinePool;
 
-/// At most one line in this time is logged about messages that can't be decoded.
+/// Minimum interval between log lines about messages that can't be decoded.
 const DECODE_FAILURE_LOG_INTERVAL: Micros = 60 * SECOND;
 
-/// State of the receiving side.
+/// State of the receiving side of peer messages.
 #[derive(Debug, Default)]
 pub(super) struct PeerMessages {
-    /// When a message that can't be decoded is logged again.
+    /// Time from which the next message that can't be decoded is logged.
     next_decode_failure_log_at: Micros,
 }
 
 impl PeerMessages {
-    /// Logs that a message couldn't be decoded: one line for a peer of another version, not one
-    /// for each of its messages.
+    /// Logs that a message couldn't be decoded. The rate limit avoids one line per message of a
+    /// peer with another version.
     fn on_decode_failure(&mut self, now: Micros) {
         if now >= self.next_decode_failure_log_at {
             self.next_decode_failure_log_at = now + DECODE_FAILURE_LOG_INTERVAL;
-            log::warn!("messages of an unknown form are ignored");
+            log::warn!("ignoring messages that can't be decoded");
         }
     }
 }
 
 impl<N: Net> Controller<N> {
-    /// A frame of a peer or of the operators' tools.
+    /// Handles a frame from a peer or from an operator's tool.
     pub(super) fn on_frame(&mut self, conn: ConnectionId, bytes: &[u8]) {
         match peer_protocol::decode(bytes) {
             Some(Message::StatusRequest) => {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A message of a peer, or one of this controller's own to itself.
+    /// Handles a message from a peer or from this controller itself.
     pub(super) fn on_message(&mut self, message: Message) {
         match message {
             Message::ControllerState {
@@ -64,7 +64,7 @@
                 region,
                 token,
                 machines,
-            } => self.on_unreachable_report(region, token, machines),
+            } => self.on_owner_unreachable(region, token, machines),
             Message::ProvisioningHealth { region, pools } => {
                 self.on_provisioning_health(region, pools);
             }
@@ -88,14 +88,14 @@
         }
     }
 
-    /// A peer's health and the reports of its regions.
+    /// Handles a peer's state message: its health and the reports of its regions.
     fn on_peer_state(&mut self, from: &str, run: u64, fresh: bool, reports: Vec<RegionReport>) {
         let now = self.cluster.now;
         if !self.cluster.peers.on_state(from, run, fresh, now) {
-            log::info!("state message of unknown controller {from}");
+            log::info!("ignoring a state message from unknown controller {from}");
             return;
         }
-        // A peer with other settings may name regions that these settings don't have.
+        // A peer with different settings may report regions that this controller doesn't know.
         let known = self.cluster.settings.regions();
         let reports = reports.into_iter();
         for report in reports.filter(|report| known.contains(&report.region)) {
@@ -105,8 +105,8 @@
         }
     }
 
-    /// The leader has an owned region rebind pending tasks of a job to another region, or, if
-    /// `to` is empty, unbind them.
+    /// Handles the leader's request to rebind pending tasks of a job from an owned region to
+    /// another region, or to unbind them if `to` is empty.
     fn on_rebind(&mut self, job: &str, from: &str, to: &str, count: u32) {
         let is_known = to.is_empty() || self.cluster.settings.regions().iter().any(|r| r == to);
         if !self.cluster.has_authority() || !is_known {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A peer committed the cancellation of jobs.
+    /// Handles a peer's announcement that it committed the cancellation of jobs.
     fn on_cancellations_announced(&mut self, jobs: &[String]) {
         if is_disabled(Safeguard::StartDeadline) || is_disabled(Safeguard::AuthorityDeadline) {
             return;
@@ -136,15 +136,15 @@
         }
     }
 
-    /// The provisioning health of a region's machine pools, from its owner.
+    /// Handles an owner's report on the provisioning health of its region's machine pools.
     fn on_provisioning_health(&mut self, region: String, pools: Vec<ProvisioningHealth>) {
         if let Some(leader) = self.leadership.leader_mut() {
             leader.on_provisioning_report(region, pools, self.cluster.now);
         }
     }
 
-    /// The leader has an owned region cordon machines of a pool that are not needed, at most
-    /// `count`.
+    /// Handles the leader's request to cordon at most `count` surplus machines of a pool in an
+    /// owned region.
     fn on_cordon_request(&mut self, region: &str, pool: &MachinePool, count: u32) {
         let context = self.cluster.scheduling_context(self.net.wall());
         if let Some(region) = self.ownership.get_mut(region) {
@@ -152,7 +152,8 @@
         }
     }
 
-    /// The leader finds that every part of a multi-region gang has its places reserved.
+    /// Handles the leader's message that every part of a multi-region gang has its places
+    /// reserved: starts the part of an owned region.
     fn on_gang_start(&mut self, job: &str, attempt: u64, region: &str) {
         let context = self.cluster.scheduling_context(self.net.wall());
         if let Some(region) = self.ownership.get_mut(region) {
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -1,6 +1,6 @@
-//! Health of the other controllers, as their state messages show it.
+//! Health of the other controllers according to their state messages.
 //!
-//! Nothing here carries authority: messages may be lost, late or wrong.
+//! The health carries no authority, because messages may be lost, late or wrong.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,26 @@
 use crate::peer_protocol::UNDERSTANDS_EXTENSIONS;
 use crate::settings::Peer as PeerSettings;
 
-/// A peer without a state message for so long is unreachable.
+/// Time without a state message after which a peer is considered unreachable.
 const PEER_TIMEOUT: Micros = 3 * SECOND;
-/// A healthy peer has sent a state message within this time.
+/// Time without a state message after which a peer is no longer considered healthy.
 const HEALTH_TIMEOUT: Micros = 2 * SECOND;
-/// How much later than this controller's the reads of the others may have begun to fail for it
-/// to be one outage: cancellations that they committed in between were announced here.
+/// Maximum time between the first failed reads of this controller and of its peers in one
+/// cluster-wide outage. Cancellations that a peer committed in between were announced to this
+/// controller.
 const OUTAGE_ONSET_TOLERANCE: Micros = 1500 * MILLISECOND;
 
 /// Another controller.
 #[derive(Debug, Default)]
 struct Peer {
     last_state_at: Option<Micros>,
-    /// Its replica was up to date at its last state message.
+    /// Whether the peer's replica was up to date at its last state message.
     is_fresh: bool,
-    /// Since when it has reported without a break that its reads fail.
+    /// Start of the uninterrupted time in which the peer reported that its replica is stale.
     stale_since: Option<Micros>,
-    /// Since when it has been reachable and fresh without a break.
+    /// Start of the uninterrupted time in which the peer was reachable and its replica fresh.
     healthy_since: Option<Micros>,
-    /// It reads the kinds of messages that were added in 0.5.
+    /// Whether the peer understands the messages that were added in 0.5.
     supports_extensions: bool,
 }
 
@@ -54,14 +55,14 @@
     }
 }
 
-/// The other controllers by name.
+/// Health of the other controllers by name.
 #[derive(Debug)]
 pub(super) struct Peers {
     peers: BTreeMap<String, Peer>,
 }
 
 impl Peers {
-    /// The peers of the settings, without a state message yet.
+    /// Creates the peers of the settings, before their first state messages.
     pub(super) fn new(settings: &[PeerSettings]) -> Self {
         let peers = settings.iter();
         Peers {
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Records a state message; `false` if its sender is not in the settings. `run` is the
-    /// sender's incarnation with its protocol flags.
+    /// Records a state message. Returns `false` if its sender is not in the settings. `run` is the
+    /// sender's incarnation combined with its protocol flags.
     #[must_use]
     pub(super) fn on_state(&mut self, from: &str, run: u64, is_fresh: bool, now: Micros) -> bool {
         let Some(peer) = self.peers.get_mut(from) else {
@@ -86,20 +87,20 @@
         self.peers.get(name).is_some_and(|p| p.supports_extensions)
     }
 
-    /// Whether a peer has just sent a state message and reaches the state service.
+    /// Whether a peer has recently sent a state message and reaches the state service.
     pub(super) fn is_healthy(&self, name: &str, now: Micros) -> bool {
         self.peers.get(name).is_some_and(|p| p.is_healthy(now))
     }
 
-    /// Whether a peer is healthy and has been for longer than `span` without a break.
+    /// Whether a peer has been healthy for longer than `span` without interruption.
     pub(super) fn is_healthy_for(&self, name: &str, span: Micros, now: Micros) -> bool {
         self.peers.get(name).is_some_and(|p| {
             p.is_healthy(now) && p.healthy_since.is_some_and(|since| now > since + span)
         })
     }
 
-    /// Whether every peer is reachable and lost the state service no later than shortly after
-    /// `since`, when this controller did.
+    /// Whether every peer is reachable and lost the state service no later than
+    /// [`OUTAGE_ONSET_TOLERANCE`] after `since`, the time at which this controller lost it.
     pub(super) fn all_lost_state_store_at(&self, since: Micros, now: Micros) -> bool {
         self.peers.values().all(|p| {
             p.has_sent_state_within(OUTAGE_ONSET_TOLERANCE, now)
@@ -108,7 +109,7 @@
         })
     }
 
-    /// Whether every peer is reachable and none of them reaches the state service. `false` if
+    /// Whether every peer is reachable and no peer reaches the state service. Returns `false` if
     /// there are no peers.
     pub(super) fn none_reaches_state_store(&self, now: Micros) -> bool {
         !self.peers.is_empty()
--- a/src/controller/pending_requests.rs
+++ b/src/controller/pending_requests.rs
@@ -1,5 +1,6 @@
 //! Users' requests that wait for a read of the state service that begins after they were
-//! received. However many wait, an event that concerns none of them costs the same.
+//! received. The cost of an event that concerns none of the requests doesn't depend on their
+//! number.
 
 use std::collections::VecDeque;
 
@@ -8,19 +9,20 @@
 
 use crate::reactor::ConnectionId;
 
-/// What a user requests.
+/// A user's request about a job.
 #[derive(Debug)]
 pub(super) enum ClientRequest {
-    /// The state of a job; `submitted` if it is the repeat of a submission.
+    /// Return the state of a job. `submitted` is set for a submission that may repeat an earlier
+    /// one: if the job has no record, it is then refused instead of reported as not found.
     JobState { job: String, submitted: bool },
     /// Cancel a job.
     Cancel { job: String },
-    /// Accept a job, if all its dependencies were accepted.
+    /// Accept a job if all its dependencies were accepted.
     Submit { job: String, spec: Box<JobSpec> },
 }
 
 impl ClientRequest {
-    /// The job that it is about.
+    /// Returns the job that the request is about.
     pub(super) fn job(&self) -> &str {
         match self {
             ClientRequest::JobState { job, .. }
@@ -36,15 +38,15 @@
     pub conn: ConnectionId,
     pub request: ClientRequest,
     pub received_at: Micros,
-    /// When it is refused.
+    /// Time at which the request is refused.
     pub deadline: Micros,
 }
 
-/// Requests in the order in which they were received.
+/// Pending requests in the order in which they were received.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
     requests: VecDeque<PendingRequest>,
-    /// No request expires before this.
+    /// Time before which no request expires.
     next_expiry: Option<Micros>,
 }
 
@@ -56,17 +58,18 @@
         self.requests.push_back(request);
     }
 
-    /// How many there are.
+    /// Returns the number of pending requests.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// When the first may expire.
+    /// Returns the earliest time at which a request may expire.
     pub(super) fn next_expiry(&self) -> Option<Micros> {
         self.next_expiry
     }
 
-    /// Takes those that were received no later than a read was sent.
+    /// Removes and returns the requests that were received no later than `sent`, the time at which
+    /// a read was sent.
     pub(super) fn take_until(&mut self, sent: Micros) -> VecDeque<PendingRequest> {
         let count = self.requests.partition_point(|r| r.received_at <= sent);
         let rest = self.requests.split_off(count);
@@ -77,7 +80,7 @@
         taken
     }
 
-    /// Takes the connections of those that have expired.
+    /// Removes the requests that have expired and returns their connections.
     pub(super) fn take_expired(&mut self, now: Micros) -> Vec<ConnectionId> {
         if self.next_expiry.is_none_or(|at| now < at) {
             return Vec::new();
--- a/src/controller/pending_requests/tests.rs
+++ b/src/controller/pending_requests/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of pending requests.
+//! Tests of the queue of pending requests.
 
 use super::*;
 
@@ -14,10 +14,10 @@
     }
 }
 
-/// Requests leave in the order in which they were received, each once: with the read that was
-/// sent after it was received, or when it expires.
+/// Each request is taken exactly once, in the order of receipt: with the first read that was sent
+/// after its receipt, or when it expires. A request taken twice would be answered twice.
 #[test]
-fn each_request_leaves_once() {
+fn each_request_is_taken_once() {
     let mut pending = PendingRequests::default();
     for (slot, received_at, deadline) in [(0, 10, 100), (1, 20, 40), (2, 30, 90), (3, 40, 60)] {
         pending.push(request(slot, received_at, deadline));
--- a/src/controller/region_ownership/tests.rs
+++ b/src/controller/region_ownership/tests.rs
@@ -1,11 +1,12 @@
-//! Tests of the state of ownership.
+//! Tests of the ownership state of regions.
 
 use super::*;
 
 const REGION: &str = "r-1";
 
-/// Whether a transaction on the region is in progress after its commit ended, by the replica's
-/// revision.
+/// After a conflict, the replica is behind: another acquisition would fail the same way until the
+/// replica reaches the revision of the conflict. After other outcomes the next attempt may start at
+/// once.
 #[test]
 fn an_acquisition_waits_for_the_replica_only_after_a_conflict() {
     let outcomes = [
@@ -24,12 +25,20 @@
             Acquisition::after(&outcome),
             Acquisition::CatchingUp(awaited)
         );
-        assert_eq!(ownership.is_pending(REGION, 6), awaited > 6, "{outcome:?}");
-        assert!(!ownership.is_pending(REGION, 7), "{outcome:?}");
+        assert_eq!(
+            ownership.is_pending(REGION, 6),
+            awaited > 6,
+            "pending at revision 6 after {outcome:?}"
+        );
+        assert!(
+            !ownership.is_pending(REGION, 7),
+            "not pending at revision 7 after {outcome:?}"
+        );
     }
 }
 
-/// A region whose release failed is acquired again under a new token.
+/// After a failed release, the region may still be owned on record although this controller no
+/// longer runs it. The region must then be acquired again under a new token.
 #[test]
 fn a_region_is_reacquired_after_a_failed_release() {
     let outcomes = [
@@ -42,21 +51,22 @@
         let mut ownership = RegionOwnership::default();
         ownership.on_release_sent(REGION);
         assert!(ownership.is_pending(REGION, u64::MAX));
-        assert!(!ownership.is_to_be_reacquired(REGION));
+        assert!(!ownership.needs_reacquisition(REGION));
         ownership.on_release_committed(REGION.to_owned(), &outcome);
         assert_eq!(
-            ownership.is_to_be_reacquired(REGION),
+            ownership.needs_reacquisition(REGION),
             reacquire,
-            "{outcome:?}"
+            "reacquisition after {outcome:?}"
         );
         ownership.on_acquisition_sent(REGION);
-        assert!(!ownership.is_to_be_reacquired(REGION));
+        assert!(!ownership.needs_reacquisition(REGION));
     }
 }
 
-/// The time without an owner counts from when it was first seen, anew after each owner.
+/// The grace period of an unowned region starts when the region is first seen without an owner. A
+/// period that continued across owners would end too early.
 #[test]
-fn the_time_without_an_owner_begins_anew_after_each_owner() {
+fn the_unowned_time_restarts_after_each_owner() {
     let mut ownership = RegionOwnership::default();
     assert_eq!(ownership.unowned_since(REGION, 5), 5);
     assert_eq!(ownership.unowned_since(REGION, 9), 5);
--- a/src/controller/region_reports/tests.rs
+++ b/src/controller/region_reports/tests.rs
@@ -20,7 +20,8 @@
     }
 }
 
-/// Reports of former owners don't replace those of later ones, and old reports are dropped.
+/// A delayed report of a former owner must not replace that of a later owner, and old reports are
+/// dropped.
 #[test]
 fn reports_are_replaced_by_later_owners_and_expire() {
     let mut reports = RegionReports::default();
@@ -40,7 +41,8 @@
     assert_eq!(token(&reports), None);
 }
 
-/// Of each blocked team the first job in scheduling order counts, over the regions of others.
+/// The first blocked job in scheduling order counts for each team, over all regions of other
+/// owners. Own regions are left out.
 #[test]
 fn quota_blocked_teams_are_those_of_other_owners() {
     let mut reports = RegionReports::default();
--- a/src/controller/regions.rs
+++ b/src/controller/regions.rs
@@ -1,8 +1,8 @@
-//! Ownership of regions: acquiring them, releasing them, running those that are owned.
+//! Ownership of regions: acquires, releases and runs them.
 //!
 //! The states are listed in [`super::region_ownership`]. A controller acquires its home region
-//! at once and others after a grace period; it releases a region to its home (failback) when that
-//! has been healthy for a while.
+//! immediately and other regions after a grace period. It releases a region to the region's home
+//! controller (failback) when that controller has been healthy for [`FAILBACK_DELAY`].
 
 use salttiller_records::key::Key;
 use salttiller_records::record::{value, RegionRecord};
@@ -15,11 +15,12 @@
 use crate::region::{self, Region};
 use crate::state_store::{CommitPriority, LeaseRole, Transaction};
 
-/// How long a region must have had no owner before another controller than its home acquires it.
+/// Time without an owner after which a controller other than the home may acquire a region.
 const HOME_GRACE_PERIOD: Micros = 3 * SECOND;
-/// At most this is added to the grace period at random, so that not all controllers try at once.
+/// Maximum random addition to the grace period, so that the controllers don't all try at the same
+/// time.
 const ACQUISITION_JITTER: Micros = 500 * MILLISECOND;
-/// How long a region's home must have been healthy before the region is released to it.
+/// Time for which a region's home must have been healthy before the region is released to it.
 const FAILBACK_DELAY: Micros = 10 * SECOND;
 
 /// The record of a region's owner as the replica shows it.
@@ -33,7 +34,7 @@
 }
 
 impl<N: Net> Controller<N> {
-    /// Acquires and releases regions where that is due, and drops those that were lost.
+    /// Performs the due transitions of all regions: acquires, releases and drops regions.
     pub(super) fn manage_regions(&mut self) {
         if !self.cluster.state_store.is_loaded() {
             return;
@@ -45,7 +46,7 @@
         self.fail_back_region();
     }
 
-    /// One region's transition, if one is due; see [`super::region_ownership`].
+    /// Performs a region's transition if one is due; see [`super::region_ownership`].
     fn manage_region(&mut self, region: &str) {
         let record = self.owner_record(region);
         self.drop_if_lost(region, record);
@@ -56,17 +57,17 @@
         if self.ownership.is_pending(region, revision) || !self.cluster.has_authority() {
             return;
         }
-        let reacquire = self.ownership.is_to_be_reacquired(region);
+        let reacquire = self.ownership.needs_reacquisition(region);
         match record.owner {
             RecordedHolder::ThisIncarnation if !reacquire => self.enter_owned(region, record),
             RecordedHolder::FormerIncarnation if !reacquire && !self.is_home(region) => {
-                // Guards against acquiring it only to fail it back, and reconciling all its
-                // machines twice. Its home acquires it at once if it is up, any other
-                // controller a moment later.
+                // Guards against acquiring the region only to fail it back, which would
+                // reconcile all its machines twice. The home acquires the region immediately if
+                // it is up; otherwise another controller does after the grace period.
                 log::info!("region={region}: owned by a former incarnation, releasing");
                 self.release_region(region, record.version);
             }
-            // The former process is dead, or a higher token is needed.
+            // The former process is gone, or a higher token is needed.
             RecordedHolder::ThisIncarnation | RecordedHolder::FormerIncarnation => {
                 self.acquire_region(region, record.owner);
             }
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Drops a region that is no longer owned on record under its token.
+    /// Drops an owned region whose record no longer names this incarnation and the region's token.
     fn drop_if_lost(&mut self, region: &str, record: OwnerRecord) {
         let Some(token) = self.ownership.get(region).map(|r| r.token) else {
             return;
@@ -108,7 +109,8 @@
         }
     }
 
-    /// The region is owned on record, and the replica holds all that was written before.
+    /// Starts to run a region that is owned on record, once the replica includes all writes that
+    /// precede the acquisition.
     fn enter_owned(&mut self, region: &str, record: OwnerRecord) {
         let replica = &self.cluster.state_store.replica;
         if self.ownership.owns(region) || replica.revision < record.version {
@@ -120,18 +122,20 @@
         self.ownership.on_acquired(region);
     }
 
-    /// Whether a region without an owner may be acquired now: by its home at once, by the
-    /// controller that most of its machines contact too, by others after the grace period.
+    /// Whether this controller may acquire a region without an owner now. The home and a controller
+    /// that at least half of the region's machines contact may do so immediately, others after the
+    /// grace period.
     fn may_acquire_unowned(&mut self, region: &str) -> bool {
         let now = self.cluster.now;
         let since = self.ownership.unowned_since(region, now);
         let is_due = self.is_home(region)
             || self.receives_most_redirects(region)
             || now >= since + HOME_GRACE_PERIOD + fastrand::u64(0..ACQUISITION_JITTER);
-        is_due && !self.reachability.is_left_to_peers(region, now)
+        is_due && !self.reachability.is_reacquisition_paused(region, now)
     }
 
-    /// Whether the grace period of a region without an owner is over, without jitter.
+    /// Whether the grace period of a region without an owner is over, not counting jitter. The home
+    /// has no grace period.
     pub(super) fn is_grace_period_over(&mut self, region: &str) -> bool {
         let now = self.cluster.now;
         let since = self.ownership.unowned_since(region, now);
@@ -157,8 +161,9 @@
         self.commit(transaction, CommitPriority::Urgent, None, pending);
     }
 
-    /// The transaction that acquires a region at its record's present version, under a token
-    /// drawn with it; `incident` names the hold if it is acquired in one.
+    /// Returns the transaction that acquires a region at the current version of its record, under
+    /// the fencing token `token`. `incident` is the id of the data-loss incident if the region is
+    /// acquired during a hold.
     pub(super) fn acquisition_transaction(
         &self,
         region: &str,
@@ -187,8 +192,8 @@
         }
     }
 
-    /// Releases a region to its home once that has been healthy for a while, so that the load
-    /// is shared again after a partition. One region a step.
+    /// Releases a region to its home once the home has been healthy for [`FAILBACK_DELAY`], so that
+    /// the load is balanced again after a partition. Releases at most one region per step.
     fn fail_back_region(&mut self) {
         if !self.cluster.has_authority() {
             return;
@@ -203,12 +208,12 @@
         });
         let Some(region) = candidate else { return };
         let (name, version) = (region.name.clone(), region.version);
-        log::info!("region={name}: released to its home");
+        log::info!("region={name}: released to its home controller");
         self.release_region(&name, version);
     }
 
-    /// Deletes a region's record at the given version, so that another controller may acquire
-    /// the region.
+    /// Releases a region: deletes its record at the given version, so that another controller may
+    /// acquire the region.
     pub(super) fn release_region(&mut self, region: &str, version: u64) {
         self.ownership.on_release_sent(region);
         let key = Key::Region(region.to_owned());
@@ -222,7 +227,7 @@
         self.commit(transaction, CommitPriority::Urgent, None, pending);
     }
 
-    /// Runs the owned regions and carries out their actions; returns when to run them again.
+    /// Runs the owned regions and executes their actions. Returns the time of the next call.
     pub(super) fn run_regions(&mut self) -> Micros {
         let mut next = self.cluster.now + MAX_STEP_INTERVAL;
         if !self.cluster.has_authority() {
--- a/src/controller/reported_cancellations.rs
+++ b/src/controller/reported_cancellations.rs
@@ -6,18 +6,18 @@
 
 use crate::state_store::replica::Replica;
 
-/// Most cancellations that are remembered until the replica shows them.
+/// Maximum number of reported cancellations that the replica doesn't show yet.
 const MAX_REPORTED_CANCELLATIONS: usize = 10_000;
 
-/// Jobs that peers report as cancelled and that the replica may still show as open. They carry
-/// no authority: they only keep tasks of these jobs from starting.
+/// Jobs that peers reported as cancelled and that the replica may still show as open. The reports
+/// carry no authority: they only prevent tasks of these jobs from starting.
 #[derive(Debug, Default)]
 pub(super) struct ReportedCancellations {
     jobs: BTreeSet<String>,
 }
 
 impl ReportedCancellations {
-    /// The jobs by name.
+    /// Returns the names of the jobs.
     pub(super) fn jobs(&self) -> &BTreeSet<String> {
         &self.jobs
     }
@@ -27,7 +27,7 @@
         self.jobs.contains(job)
     }
 
-    /// Remembers a job; `false` if there are too many already.
+    /// Adds a job. Returns `false` if the set is full.
     #[must_use]
     pub(super) fn record(&mut self, job: &str) -> bool {
         if self.jobs.len() >= MAX_REPORTED_CANCELLATIONS {
@@ -37,12 +37,12 @@
         true
     }
 
-    /// Forgets a job whose end the replica now shows.
+    /// Removes a job that the replica now shows as ended.
     pub(super) fn remove(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
-    /// Forgets all jobs whose end the replica shows, after it was read anew.
+    /// Removes all jobs that the replica shows as ended, after the replica was read again.
     pub(super) fn retain_unrecorded(&mut self, replica: &Replica) {
         self.jobs.retain(|job| {
             let record = replica.jobs.get(job);
--- a/src/controller/state_store_events.rs
+++ b/src/controller/state_store_events.rs
@@ -1,5 +1,5 @@
-//! Events of the state service's client: changed records, completed reads, commits, lost leases.
-//! Each is handed to the parts that it concerns.
+//! Dispatch of the events of the state service's client: changed records, completed reads, ended
+//! commits, lost leases and lost records.
 
 use salttiller_records::key::Key;
 use salttiller_records::record::JobStage;
@@ -10,7 +10,7 @@
 use crate::state_store::StateStoreEvent;
 
 impl<N: Net> Controller<N> {
-    /// Handles events in their order.
+    /// Handles events in order and records the latencies of commits.
     pub(super) fn on_state_store_events(&mut self, events: Vec<StateStoreEvent>) {
         for event in events {
             self.on_state_store_event(event);
@@ -34,18 +34,18 @@
             StateStoreEvent::BarrierFailed { sent_at: sent } => self.refuse_pending_requests(sent),
             StateStoreEvent::CommitEnded { ticket, outcome } => self.on_committed(ticket, &outcome),
             StateStoreEvent::OwnerLeaseLost => {
-                // Records of this controller that the replica still shows belong to the past:
-                // under another incarnation they can only be acquired anew, by
+                // The replica may still show records of this controller that are no longer
+                // valid. Under a new incarnation they can only be acquired again by
                 // compare-and-swap, never resumed.
                 self.cluster.renew_incarnation();
                 self.ownership.on_lease_lost(now);
             }
-            StateStoreEvent::LeaderLeaseLost => self.step_down("its lease is lost"),
+            StateStoreEvent::LeaderLeaseLost => self.step_down("the leader lease is lost"),
             StateStoreEvent::RecordsLost(finding) => self.begin_hold(finding),
         }
     }
 
-    /// The replica was read anew.
+    /// Handles a complete reload of the replica.
     fn on_loaded(&mut self) {
         let replica = &mut self.cluster.state_store.replica;
         replica.take_changed_machines();
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Continues a cancellation along dependencies that was too long for one step; returns
-    /// whether there was one.
+    /// Continues the propagation of cancellations along dependencies if it was too long for one
+    /// step. Returns whether there was a propagation to continue.
     pub(super) fn continue_propagation(&mut self) -> bool {
         let replica = &mut self.cluster.state_store.replica;
         if !replica.has_unpropagated() {
@@ -69,7 +69,7 @@
         true
     }
 
-    /// Records changed.
+    /// Handles changed records.
     fn on_changed(&mut self, keys: Vec<Key>) {
         let replica = &mut self.cluster.state_store.replica;
         let machines = replica.take_changed_machines();
@@ -111,8 +111,8 @@
     }
 }
 
-/// Applies a changed record to an owned region. Changed machines are applied one by one, see
-/// `on_machines_changed`; ownership records are read at each step.
+/// Applies a changed record to an owned region. Changed machines are applied separately by
+/// `on_machines_changed`; ownership records are read in each step.
 fn on_record_changed(region: &mut Region, key: &Key, context: &SchedulingContext<'_>) {
     match key {
         Key::Job(job) => region.on_job(job, context),
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -1,4 +1,4 @@
-//! The page that `salttiller status` shows, as this controller sees the cluster.
+//! The page that `salttiller status` shows: this controller's view of the cluster.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,13 @@
 use crate::peer_protocol::{RegionReport, RegionStatus, Status};
 use crate::reactor::Net;
 
-/// Line of the page for pipeline steps that wait for others.
+/// Label of the number of jobs that wait for their dependencies.
 const WAITING_FOR_DEPENDENCIES: &str = "(jobs that wait for others)";
-/// Line of the page for jobs with dependencies that have no record.
+/// Label of the number of jobs with dependencies that have no record.
 const WAITING_FOR_UNKNOWN: &str = "(jobs that wait for jobs without a record)";
 
 impl<N: Net> Controller<N> {
-    /// The status page.
+    /// Returns the status page.
     pub(super) fn status_page(&mut self) -> Status {
         let state_store = &self.cluster.state_store;
         let authority_until = state_store.authority_until();
@@ -31,7 +31,8 @@
         page
     }
 
-    /// Tasks that wait by class, and jobs that wait for others.
+    /// Returns the number of pending tasks by class, and the numbers of jobs that wait for their
+    /// dependencies by label.
     fn pending_work(&self) -> BTreeMap<String, u32> {
         let replica = &self.cluster.state_store.replica;
         let mut pending_work: BTreeMap<String, u32> = BTreeMap::new();
--- a/src/simulation/tests/lost_records.rs
+++ b/src/simulation/tests/lost_records.rs
@@ -58,7 +58,7 @@
     /// How many controllers hold.
     fn holding_controllers(&self) -> usize {
         let processes = self.controllers.iter().filter_map(|c| c.process());
-        processes.filter(|p| Controller::is_held(p)).count()
+        processes.filter(|p| Controller::is_hold_active(p)).count()
     }
 
     fn all_hold(&self) -> bool {
