--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,8 +1,10 @@
-//! The cloud provider's interface: machine types and offers, renting and releasing machines,
-//! the inventory, and backoff for offers without capacity.
+//! Client of the cloud provider's API: reads machine types and the inventory, rents and releases
+//! machines, and backs off from offers without capacity.
 //!
-//! The controller sends the calls that [`CloudClient`] makes and hands it the responses; the
-//! leader requests and evaluates. Nothing here reads a clock or touches a socket.
+//! The leader and the regions queue requests at [`CloudClient`]. The controller sends the calls
+//! that the client returns, passes the responses back to the client, and passes the resulting
+//! [`CloudEvent`]s to the leader and the regions. This module reads no clock and opens no
+//! sockets.
 
 mod capacity_backoff;
 mod client;
--- a/src/cloud/capacity_backoff.rs
+++ b/src/cloud/capacity_backoff.rs
@@ -1,24 +1,24 @@
-//! Offers that the cloud had no capacity for, and until when they are not requested again.
+//! Exponential backoff for offers that the cloud refused for lack of capacity.
 
 use std::collections::BTreeMap;
 
 use super::offer::Offer;
 use salttiller_records::units::{Micros, SECOND};
 
-/// Backoff after a refusal is this, doubled for each refusal in a row ...
-const BASE: Micros = 4 * SECOND;
-/// ... so many of which count ...
-const MAX_REFUSALS: u32 = 4;
-/// ... up to this.
+/// Base of the backoff, which doubles with each consecutive refusal, including the first.
+const BASE_BACKOFF: Micros = 4 * SECOND;
+/// Maximum number of consecutive refusals that double the backoff.
+const MAX_COUNTED_REFUSALS: u32 = 4;
+/// Maximum backoff after a refusal.
 const MAX_BACKOFF: Micros = 30 * SECOND;
 
-/// Exponential backoff by offer.
+/// Exponential backoff of each refused offer.
 #[derive(Debug, Default)]
 pub struct CapacityBackoff {
-    record_refusal: BTreeMap<Offer, Backoff>,
+    backoffs: BTreeMap<Offer, Backoff>,
 }
 
-/// Backoff of an offer.
+/// Backoff of a refused offer.
 #[derive(Debug, Default)]
 struct Backoff {
     until: Micros,
@@ -26,31 +26,30 @@
 }
 
 impl CapacityBackoff {
-    /// Records that an offer was refused, or filled only in part.
+    /// Records that a rental of an offer was refused, or filled only in part, and starts its
+    /// backoff.
     pub fn record_refusal(&mut self, offer: &Offer, now: Micros) {
-        let backoff = self.record_refusal.entry(offer.clone()).or_default();
-        backoff.refusals = (backoff.refusals + 1).min(MAX_REFUSALS);
-        backoff.until = now + (BASE << backoff.refusals).min(MAX_BACKOFF);
+        let backoff = self.backoffs.entry(offer.clone()).or_default();
+        backoff.refusals = (backoff.refusals + 1).min(MAX_COUNTED_REFUSALS);
+        backoff.until = now + (BASE_BACKOFF << backoff.refusals).min(MAX_BACKOFF);
     }
 
-    /// Records that an offer was filled.
+    /// Records that a rental of an offer was filled, and ends its backoff.
     pub fn record_success(&mut self, offer: &Offer) {
-        self.record_refusal.remove(offer);
+        self.backoffs.remove(offer);
     }
 
-    /// Whether an offer is not to be requested for now.
+    /// Whether an offer must not be requested at `now`.
     #[must_use]
     pub fn is_backing_off(&self, offer: &Offer, now: Micros) -> bool {
-        self.record_refusal
+        self.backoffs
             .get(offer)
             .is_some_and(|backoff| now < backoff.until)
     }
 
-    /// Whether any offer is not to be requested for now.
+    /// Whether there is any offer that must not be requested at `now`.
     #[must_use]
     pub fn any_backing_off(&self, now: Micros) -> bool {
-        self.record_refusal
-            .values()
-            .any(|backoff| now < backoff.until)
+        self.backoffs.values().any(|backoff| now < backoff.until)
     }
 }
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -1,10 +1,11 @@
-//! The client of the cloud: one call at a time, paced under the cloud's rate.
+//! Client of the cloud's API. Sends one call at a time and stays within this controller's share
+//! of the rate limit.
 
 use std::collections::BTreeSet;
 
 use thiserror::Error;
 
-use super::inventory::{InventoryRead, ListedMachine, NextPage};
+use super::inventory::{InventoryRead, ListedMachine, PageOutcome};
 use super::offer::Offer;
 use super::pacing::Pacing;
 use super::queue::RequestQueue;
@@ -16,67 +17,68 @@
 use salttiller_records::model::MachineType;
 use salttiller_records::units::{Micros, SECOND};
 
-/// Most machines that are rented by a request: the most that the cloud gives.
-const MAX_RENTED_AT_ONCE: u32 = 50;
-/// How soon to look again when no call is due.
-const IDLE_INTERVAL: Micros = SECOND;
+/// Maximum number of machines per rental, as limited by the cloud.
+const MAX_MACHINES_PER_RENTAL: u32 = 50;
+/// Time until the next check for a due call when none is scheduled.
+const IDLE_POLL_INTERVAL: Micros = SECOND;
 
-/// What the cloud answered.
+/// Outcome of a call to the cloud.
 #[derive(Debug, PartialEq)]
 pub enum CloudEvent {
-    /// The machine types that are offered.
+    /// The machine types that the cloud offers.
     MachineTypes(Vec<MachineType>),
     /// Machines were rented.
     Rented {
-        /// What they are.
+        /// The offer from which the machines were rented.
         offer: Offer,
-        /// Region that they are for.
+        /// The region for which the machines were rented.
         region: String,
-        /// Their names; fewer than requested if capacity ran out.
+        /// Names of the machines; fewer than requested if capacity ran out.
         machines: Vec<String>,
-        /// How many were requested.
+        /// Number of machines that were requested.
         requested: u32,
     },
-    /// There is no capacity for an offer.
+    /// The cloud has no capacity for an offer.
     NoCapacity(Offer),
-    /// These machines are surely gone.
+    /// The cloud confirmed the release of these machines.
     Released(Vec<String>),
-    /// The whole inventory.
+    /// The complete inventory.
     Inventory(Vec<ListedMachine>),
-    /// The cloud's interface fails or doesn't answer.
+    /// The cloud's API failed or didn't respond.
     Unavailable,
 }
 
-/// Why a call has no usable answer.
+/// Error of a call that returned no usable response.
 #[derive(Debug, Error)]
 pub enum CloudError {
-    /// No response.
+    /// The call returned no complete response.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// Refused, for its rate or an outage.
+    /// The cloud responded with an error status, because of its rate limit or an outage.
     #[error("status {0}")]
     Status(u16),
-    /// The body is not what was expected.
-    #[error("unreadable body: {0}")]
-    Encoding(#[from] rmp_serde::decode::Error),
+    /// The body doesn't match the cloud's API.
+    #[error("response can't be decoded: {0}")]
+    Decode(#[from] rmp_serde::decode::Error),
 }
 
-/// A client of the cloud.
+/// Client of the cloud's API.
 ///
-/// Renting and releasing are repeated unchanged until the answer is definite: a repeated
-/// idempotency key rents nothing more, and a machine once released never serves again.
+/// Rentals and releases are retried unchanged until the cloud's response is definite. Both can
+/// be retried safely: a repeated idempotency key rents no additional machines, and a released
+/// machine is never used again.
 pub struct CloudClient {
     queue: RequestQueue,
-    /// The call that is not answered yet, by its id.
+    /// The call without a response yet: its id and its request.
     in_flight: Option<(u64, Request)>,
     next_call_id: u64,
     pacing: Pacing,
-    /// Machines whose release was requested and is not confirmed.
+    /// Machines whose release has been requested but not confirmed.
     releasing: BTreeSet<String>,
 }
 
 impl CloudClient {
-    /// A client within this controller's share of the cloud's rate.
+    /// Creates a client that stays within this controller's share of the cloud's rate limit.
     pub fn new(settings: &Settings) -> Self {
         CloudClient {
             queue: RequestQueue::default(),
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Sets whether this controller leads, which gives it the larger share of the rate.
+    /// Sets whether this controller is the leader, whose share of the rate limit is larger.
     pub fn set_leading(&mut self, leading: bool) {
         self.pacing.set_leading(leading);
     }
@@ -98,7 +100,7 @@
         self.pacing.is_failing()
     }
 
-    /// Requests the machine types, unless they are already being requested.
+    /// Requests the machine types, unless such a request is already pending.
     pub fn request_machine_types(&mut self) {
         let is_same = |request: &Request| matches!(request, Request::MachineTypes);
         if !self.pending().any(is_same) {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Requests the inventory, unless it is already being requested.
+    /// Requests the inventory, unless such a request is already pending.
     pub fn request_inventory(&mut self) {
         let is_same = |request: &Request| matches!(request, Request::Inventory(_));
         if !self.pending().any(is_same) {
@@ -115,25 +117,25 @@
         }
     }
 
-    /// Requests that are not answered yet; the one that was sent comes last.
+    /// Requests without a response yet. The request in flight comes last.
     fn pending(&self) -> impl Iterator<Item = &Request> {
         let sent = self.in_flight.as_ref().map(|(_, request)| request);
         self.queue.iter().chain(sent)
     }
 
-    /// Rents machines. The idempotency key must never have been used by any controller.
+    /// Queues a rental of machines. No controller may have used the idempotency key before.
     pub fn rent(&mut self, offer: Offer, region: String, count: u32, idempotency_key: String) {
         self.queue.push_rental(Request::Rent {
             rental: PendingRental {
                 offer,
                 region,
-                count: count.clamp(1, MAX_RENTED_AT_ONCE),
+                count: count.clamp(1, MAX_MACHINES_PER_RENTAL),
             },
             idempotency_key,
         });
     }
 
-    /// Rentals that are not answered yet.
+    /// Rentals without a response yet.
     #[must_use]
     pub fn pending_rentals(&self) -> Vec<PendingRental> {
         self.pending()
@@ -142,12 +144,13 @@
             .collect()
     }
 
-    /// Drops rentals that have not been sent: this controller no longer leads.
+    /// Drops the rentals that have not been sent, because this controller is no longer the
+    /// leader.
     pub fn cancel_unsent_rentals(&mut self) {
         self.queue.drop_rentals();
     }
 
-    /// Releases machines; those already being released are left out.
+    /// Queues the release of machines, except those that are already being released.
     pub fn release(&mut self, machines: Vec<String>) {
         for machine in machines {
             if self.releasing.insert(machine.clone()) {
@@ -156,26 +159,26 @@
         }
     }
 
-    /// The next call, if one is due, and when to look again.
+    /// Returns the next call, if one is due, and the time at which to call this again.
     pub fn next_call(&mut self, now: Micros) -> (Option<CloudCall>, Micros) {
         if self.in_flight.is_some() || self.queue.is_empty() {
-            return (None, now + IDLE_INTERVAL);
+            return (None, now + IDLE_POLL_INTERVAL);
         }
-        if now < self.pacing.next_at() {
-            return (None, self.pacing.next_at());
+        if now < self.pacing.next_call_at() {
+            return (None, self.pacing.next_call_at());
         }
         let Some(request) = self.queue.pop() else {
-            return (None, now + IDLE_INTERVAL);
+            return (None, now + IDLE_POLL_INTERVAL);
         };
         let call_id = self.next_call_id;
         self.next_call_id += 1;
         self.pacing.on_call(now);
         let call = request.call(call_id);
         self.in_flight = Some((call_id, request));
-        (Some(call), now + IDLE_INTERVAL)
+        (Some(call), now + IDLE_POLL_INTERVAL)
     }
 
-    /// Takes the result of a call; one that is not awaited is ignored.
+    /// Handles the result of a call. Ignores results of calls other than the one in flight.
     pub fn on_response(
         &mut self,
         call_id: u64,
@@ -185,12 +188,12 @@
         let Some((_, request)) = self.in_flight.take_if(|(id, _)| *id == call_id) else {
             return Vec::new();
         };
-        match self.complete(&request, result) {
+        match self.handle_result(&request, result) {
             Ok(events) => events,
             Err(error) => {
                 log::info!("call to the cloud failed, backing off: {error}");
                 self.pacing.on_failure(now);
-                if request.is_repeated() {
+                if request.is_retried() {
                     self.queue.push_front(request);
                 }
                 vec![CloudEvent::Unavailable]
@@ -198,8 +201,8 @@
         }
     }
 
-    /// What follows from a result that is definite.
-    fn complete(
+    /// Returns the events of a definite result. Any other result is an error.
+    fn handle_result(
         &mut self,
         request: &Request,
         result: Result<Response, CallError>,
@@ -241,12 +244,12 @@
                 }
                 CloudEvent::Released(names.clone())
             }
-            Request::Inventory(read) => match read.add(wire::decode_inventory(body)?) {
-                NextPage::Follows(read) => {
+            Request::Inventory(read) => match read.add_page(wire::decode_inventory(body)?) {
+                PageOutcome::Incomplete(read) => {
                     self.queue.push_front(Request::Inventory(read));
                     return Ok(Vec::new());
                 }
-                NextPage::Complete(machines) => CloudEvent::Inventory(machines),
+                PageOutcome::Complete(machines) => CloudEvent::Inventory(machines),
             },
         };
         Ok(vec![event])
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -1,44 +1,44 @@
-//! The cloud's inventory: the list of rented machines, read page by page.
+//! The cloud's inventory: the list of rented machines, which is read page by page.
 
 use super::offer::Offer;
 use super::wire::InventoryPage;
 use salttiller_records::units::Micros;
 
-/// Machines of a page: the most that the cloud gives.
+/// Number of machines per page; the cloud's maximum.
 const PAGE_SIZE: usize = 500;
-/// Most machines that are read; those beyond it are not found if they are unknown. Some 100
-/// bytes each, for as long as the inventory is read.
+/// Maximum number of machines that are read; unknown machines beyond it are not detected. Each
+/// machine takes about 100 bytes while the inventory is being read.
 const MAX_MACHINES: usize = 50_000;
 
 /// A machine in the cloud's inventory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedMachine {
-    /// Name.
+    /// Name of the machine.
     pub name: String,
-    /// The offer it was rented from.
+    /// The offer from which the machine was rented.
     pub offer: Offer,
-    /// Whether it has stopped by itself.
+    /// Whether the machine has stopped by itself.
     pub failed: bool,
-    /// Time since it was rented, by the cloud's clock.
+    /// Time since the machine was rented, by the cloud's clock.
     pub age: Micros,
 }
 
-/// An inventory that is being read: the pages so far.
+/// Pages of the inventory that have been read so far.
 #[derive(Debug, Clone, Default)]
 pub(super) struct InventoryRead {
     machines: Vec<ListedMachine>,
 }
 
-/// What follows a page of the inventory.
-pub(super) enum NextPage {
-    /// Another page is to be read.
-    Follows(InventoryRead),
-    /// The inventory is complete, or as long as is read.
+/// Result of adding a page to the inventory.
+pub(super) enum PageOutcome {
+    /// The cloud has more pages, and another one must be read.
+    Incomplete(InventoryRead),
+    /// The inventory is complete, or has reached [`MAX_MACHINES`].
     Complete(Vec<ListedMachine>),
 }
 
 impl InventoryRead {
-    /// Path and query of the next page.
+    /// Returns the path and query of the next page.
     pub(super) fn target(&self) -> String {
         match self.machines.last() {
             Some(last) => format!("/machines?from={}&page={PAGE_SIZE}", last.name),
@@ -46,16 +46,16 @@
         }
     }
 
-    /// Adds a page.
-    pub(super) fn add(&self, page: InventoryPage) -> NextPage {
+    /// Adds a page that was read.
+    pub(super) fn add_page(&self, page: InventoryPage) -> PageOutcome {
         let mut machines = self.machines.clone();
         machines.extend(page.machines);
         if page.more && machines.len() < MAX_MACHINES {
-            return NextPage::Follows(InventoryRead { machines });
+            return PageOutcome::Incomplete(InventoryRead { machines });
         }
         if page.more {
-            log::error!("the cloud lists more than {MAX_MACHINES} machines");
+            log::error!("the cloud lists more than {MAX_MACHINES} machines, ignoring the rest");
         }
-        NextPage::Complete(machines)
+        PageOutcome::Complete(machines)
     }
 }
--- a/src/cloud/offer.rs
+++ b/src/cloud/offer.rs
@@ -1,22 +1,22 @@
-//! What the cloud offers for rent.
+//! Offers: the kinds of machines that can be rented from the cloud.
 
 use std::collections::BTreeMap;
 
 use crate::state_store::replica::Versioned;
 use salttiller_records::model::MachineType;
 
-/// What can be rented: machines of a type in a zone, spot or on-demand.
+/// Machines of a type in a zone, either spot or on-demand, that can be rented.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Offer {
-    /// Machine type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machines.
     pub zone: String,
-    /// Spot or on-demand.
+    /// Whether the machines are spot instances rather than on-demand.
     pub spot: bool,
 }
 
-/// All offers of the machine types: by type, then zone, spot first.
+/// Returns all offers of the machine types, ordered by type, then zone, with spot first.
 #[must_use]
 pub fn offers(machine_types: &BTreeMap<String, Versioned<MachineType>>) -> Vec<Offer> {
     machine_types
--- a/src/cloud/pacing.rs
+++ b/src/cloud/pacing.rs
@@ -1,21 +1,23 @@
-//! When the next call to the cloud may be made: the share of its rate, and backoff.
+//! Paces calls to the cloud: this controller's share of the rate limit, and backoff after
+//! failures.
 
 use crate::settings::Settings;
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
-/// The leader's share of the cloud's rate.
+/// The leader's share of the cloud's rate limit.
 const LEADER_SHARE: f64 = 0.6;
-/// What all other controllers share.
+/// Share of the rate limit that all other controllers divide among themselves.
 const FOLLOWERS_SHARE: f64 = 0.3;
-/// The leader is taken off the number of controllers, but for a margin: what all use together
-/// stays below the rate.
+/// Subtracted from the number of controllers to get the number of followers. The value is
+/// slightly less than the one leader, so that all controllers together stay below the rate
+/// limit.
 const LEADER_COUNT: f64 = 0.99;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Backoff after a failure is this, doubled for each failure in a row ...
-const BACKOFF_BASE: Micros = 300 * MILLISECOND;
-/// ... so many of which count ...
-const MAX_FAILURES: u32 = 6;
-/// ... up to this.
+/// Base of the backoff, which doubles with each consecutive failure, including the first.
+const BASE_BACKOFF: Micros = 300 * MILLISECOND;
+/// Maximum number of consecutive failures that double the backoff.
+const MAX_COUNTED_FAILURES: u32 = 6;
+/// Maximum backoff after a failure.
 const MAX_BACKOFF: Micros = 5 * SECOND;
 
 /// Paces calls to the cloud.
@@ -23,12 +25,12 @@
     follower_interval: Micros,
     leader_interval: Micros,
     leading: bool,
-    next_at: Micros,
+    next_call_at: Micros,
     failures: u32,
 }
 
 impl Pacing {
-    /// Pacing within this controller's share of the cloud's rate.
+    /// Creates a pacing within this controller's share of the cloud's rate limit.
     pub(super) fn new(settings: &Settings) -> Self {
         let followers = (settings.region_count() as f64 - LEADER_COUNT).max(1.0);
         let interval = |share: f64| {
@@ -39,19 +41,19 @@
             follower_interval: interval(FOLLOWERS_SHARE / followers),
             leader_interval: interval(LEADER_SHARE),
             leading: false,
-            next_at: 0,
+            next_call_at: 0,
             failures: 0,
         }
     }
 
-    /// Sets whether this controller leads, which gives it the larger share.
+    /// Sets whether this controller is the leader, whose share is larger.
     pub(super) fn set_leading(&mut self, leading: bool) {
         self.leading = leading;
     }
 
-    /// The earliest time of the next call.
-    pub(super) fn next_at(&self) -> Micros {
-        self.next_at
+    /// Returns the earliest time of the next call.
+    pub(super) fn next_call_at(&self) -> Micros {
+        self.next_call_at
     }
 
     /// Whether the last call failed.
@@ -59,9 +61,10 @@
         self.failures > 0
     }
 
-    /// A call is made.
+    /// Records that a call is made, and delays the next one by the interval of this
+    /// controller's share.
     pub(super) fn on_call(&mut self, now: Micros) {
-        self.next_at = now
+        self.next_call_at = now
             + if self.leading {
                 self.leader_interval
             } else {
@@ -69,14 +72,14 @@
             };
     }
 
-    /// A call succeeded.
+    /// Records that a call succeeded.
     pub(super) fn on_success(&mut self) {
         self.failures = 0;
     }
 
-    /// A call failed: the next one waits for exponential backoff.
+    /// Records that a call failed, and delays the next one by exponential backoff.
     pub(super) fn on_failure(&mut self, now: Micros) {
-        self.failures = (self.failures + 1).min(MAX_FAILURES);
-        self.next_at = now + (BACKOFF_BASE << self.failures).min(MAX_BACKOFF);
+        self.failures = (self.failures + 1).min(MAX_COUNTED_FAILURES);
+        self.next_call_at = now + (BASE_BACKOFF << self.failures).min(MAX_BACKOFF);
     }
 }
--- a/src/cloud/queue.rs
+++ b/src/cloud/queue.rs
@@ -1,15 +1,15 @@
-//! Requests to the cloud that are not sent yet: rentals first, in the order in which they
-//! were made, then the others.
+//! Queue of requests to the cloud that have not been sent. Rentals come first, in the order in
+//! which they were queued, then all other requests.
 
 use std::collections::VecDeque;
 
 use super::offer::Offer;
 use super::request::Request;
 
-/// Most machines that are released by a request.
-const MAX_RELEASED_AT_ONCE: usize = 100;
+/// Maximum number of machines per release request.
+const MAX_MACHINES_PER_RELEASE: usize = 100;
 
-/// The queue of requests.
+/// Queue of requests that have not been sent.
 #[derive(Default)]
 pub(super) struct RequestQueue {
     requests: VecDeque<Request>,
@@ -33,7 +33,7 @@
         self.requests.push_back(request);
     }
 
-    /// Adds a request before all others: one that is repeated or continued.
+    /// Adds a request before all others, for a retry or the next page of an inventory.
     pub(super) fn push_front(&mut self, request: Request) {
         self.requests.push_front(request);
     }
@@ -45,13 +45,13 @@
         self.requests.insert(position, request);
     }
 
-    /// Adds a machine to release.
+    /// Adds a machine to the release request at the back, or to a new request.
     ///
-    /// Guards against a call for every few machines: the rate of calls, not the machines,
-    /// would then say how fast they are released.
+    /// Guards against calls that release only a few machines each, because the rate limit on
+    /// calls would then limit how fast machines are released.
     pub(super) fn push_release(&mut self, machine: String) {
         match self.requests.back_mut() {
-            Some(Request::Release(names)) if names.len() < MAX_RELEASED_AT_ONCE => {
+            Some(Request::Release(names)) if names.len() < MAX_MACHINES_PER_RELEASE => {
                 names.push(machine);
             }
             _ => self.push(Request::Release(vec![machine])),
@@ -63,7 +63,7 @@
         self.requests.retain(|request| request.rental().is_none());
     }
 
-    /// Drops the rentals of an offer.
+    /// Drops all rentals of an offer.
     pub(super) fn drop_rentals_of(&mut self, offer: &Offer) {
         self.requests
             .retain(|request| request.rental().is_none_or(|rental| rental.offer != *offer));
--- a/src/cloud/request.rs
+++ b/src/cloud/request.rs
@@ -1,57 +1,57 @@
-//! Requests to the cloud, and the calls that carry them.
+//! Requests to the cloud, and the HTTP calls by which they are sent.
 
 use super::inventory::InventoryRead;
 use super::offer::Offer;
 use super::wire;
 use salttiller_records::units::{Micros, SECOND};
 
-/// How long a call may take.
+/// Timeout of a call.
 const CALL_TIMEOUT: Micros = 3 * SECOND;
 
-/// A call to the cloud.
+/// An HTTP call to the cloud.
 #[derive(Debug)]
 pub struct CloudCall {
-    /// Handed back with the response.
+    /// Id of the call, to be passed back with the response.
     pub call_id: u64,
     /// Request method.
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// Body, encoded.
+    /// Encoded body.
     pub body: Vec<u8>,
-    /// How long it may take.
+    /// Timeout of the call.
     pub timeout: Micros,
 }
 
-/// A rental that was requested and is not answered.
+/// A rental without a response yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingRental {
-    /// What is rented.
+    /// The offer from which machines are rented.
     pub offer: Offer,
-    /// Region that the machines are for.
+    /// The region for which the machines are rented.
     pub region: String,
-    /// How many machines.
+    /// Number of machines.
     pub count: u32,
 }
 
 /// A request to the cloud.
 #[derive(Debug, Clone)]
 pub(super) enum Request {
-    /// The machine types that are offered.
+    /// Reads the machine types that the cloud offers.
     MachineTypes,
-    /// Rent machines. Repeated under the same key, it rents nothing more.
+    /// Rents machines. A retry with the same idempotency key rents no additional machines.
     Rent {
         rental: PendingRental,
         idempotency_key: String,
     },
-    /// Release machines.
+    /// Releases machines.
     Release(Vec<String>),
-    /// The next page of the inventory.
+    /// Reads the next page of the inventory.
     Inventory(InventoryRead),
 }
 
 impl Request {
-    /// The rental, if it is one.
+    /// Returns the rental, if the request is one.
     pub(super) fn rental(&self) -> Option<&PendingRental> {
         match self {
             Request::Rent { rental, .. } => Some(rental),
@@ -59,13 +59,13 @@
         }
     }
 
-    /// Whether it is repeated unchanged after a failure until the answer is definite. What is
-    /// only read is requested anew by whoever needs it.
-    pub(super) fn is_repeated(&self) -> bool {
+    /// Whether the request is retried unchanged after a failure until the response is definite.
+    /// Reads are not retried; the caller requests them again if it needs the result.
+    pub(super) fn is_retried(&self) -> bool {
         matches!(self, Request::Rent { .. } | Request::Release(_))
     }
 
-    /// The call that carries it.
+    /// Returns the call by which the request is sent.
     pub(super) fn call(&self, call_id: u64) -> CloudCall {
         let (method, target, body) = match self {
             Request::MachineTypes => ("GET", "/flavors".to_owned(), Vec::new()),
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the cloud's client.
+//! Tests of the client of the cloud's API.
 
 use serde_json::json;
 
@@ -10,93 +10,97 @@
 use salttiller_records::units::SECOND;
 
 fn cloud_client() -> CloudClient {
-    let s = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
-    CloudClient::new(&s)
+    let settings = Settings::parse("f", &crate::settings::tests::sample()).unwrap();
+    CloudClient::new(&settings)
 }
 
-fn reply(status: u16, v: serde_json::Value) -> Result<Response, CallError> {
-    Ok(Response::new(status, rmp_serde::to_vec(&v).unwrap()))
+fn response(status: u16, body: serde_json::Value) -> Result<Response, CallError> {
+    Ok(Response::new(status, rmp_serde::to_vec(&body).unwrap()))
 }
 
-/// An unanswered rental goes out again under the same request name, so that
-/// it can't rent twice; a refusal ends it.
+/// A rental whose response is lost or not definite is retried with the same idempotency key.
+/// Guards against renting machines twice if the cloud executed the lost request. A refusal for
+/// lack of capacity is definite and ends the retries.
 #[test]
-fn rentals_repeat_until_definite() {
-    let mut f = cloud_client();
+fn rentals_are_retried_until_the_response_is_definite() {
+    let mut client = cloud_client();
     let offer = Offer {
         machine_type: "big".into(),
         zone: "a".into(),
         spot: false,
     };
-    f.rent(offer.clone(), "t-0".into(), 2, "x-1".into());
+    client.rent(offer.clone(), "t-0".into(), 2, "x-1".into());
     let mut now = 1;
     let mut bodies = Vec::new();
     for result in [
         Err(CallError::NoAnswer),
-        reply(503, json!({"error": "trouble"})),
-        reply(429, json!({})),
-        reply(200, json!({"tillers": ["m-1"]})),
+        response(503, json!({"error": "trouble"})),
+        response(429, json!({})),
+        response(200, json!({"tillers": ["m-1"]})),
     ] {
         now += 10 * SECOND;
-        let call = f.next_call(now).0.unwrap();
+        let call = client.next_call(now).0.unwrap();
         bodies.push(call.body);
-        let got = f.on_response(call.call_id, result.clone(), now);
-        if result.is_ok_and(|r| r.status == 200) {
-            let want = CloudEvent::Rented {
+        let events = client.on_response(call.call_id, result.clone(), now);
+        if result.is_ok_and(|response| response.status == 200) {
+            let expected = CloudEvent::Rented {
                 offer: offer.clone(),
                 region: "t-0".into(),
                 machines: vec!["m-1".into()],
                 requested: 2,
             };
-            assert_eq!(got, [want]);
+            assert_eq!(events, [expected]);
         } else {
-            assert_eq!(got, [CloudEvent::Unavailable]);
+            assert_eq!(events, [CloudEvent::Unavailable]);
         }
     }
-    assert!(bodies.windows(2).all(|w| w[0] == w[1]));
-    f.rent(offer.clone(), "t-0".into(), 1, "x-2".into());
+    assert!(bodies.windows(2).all(|pair| pair[0] == pair[1]));
+    client.rent(offer.clone(), "t-0".into(), 1, "x-2".into());
     now += 10 * SECOND;
-    let call = f.next_call(now).0.unwrap();
-    let got = f.on_response(
+    let call = client.next_call(now).0.unwrap();
+    let events = client.on_response(
         call.call_id,
-        reply(503, json!({"error": "no capacity"})),
+        response(503, json!({"error": "no capacity"})),
         now,
     );
-    assert_eq!(got, [CloudEvent::NoCapacity(offer)]);
-    assert!(f.next_call(now + 10 * SECOND).0.is_none());
+    assert_eq!(events, [CloudEvent::NoCapacity(offer)]);
+    assert!(client.next_call(now + 10 * SECOND).0.is_none());
 }
 
+/// A machine that is released again before its release is confirmed is not sent to the cloud
+/// twice, but a failed release is retried.
 #[test]
 fn a_machine_is_released_once() {
-    let mut f = cloud_client();
-    f.release(vec!["m-1".into()]);
-    f.release(vec!["m-1".into()]);
-    let call = f.next_call(SECOND).0.unwrap();
+    let mut client = cloud_client();
+    client.release(vec!["m-1".into()]);
+    client.release(vec!["m-1".into()]);
+    let call = client.next_call(SECOND).0.unwrap();
     assert_eq!(
-        f.on_response(call.call_id, Err(CallError::NotSent), SECOND),
+        client.on_response(call.call_id, Err(CallError::NotSent), SECOND),
         [CloudEvent::Unavailable]
     );
-    let call = f.next_call(9 * SECOND).0.unwrap();
-    let got = f.on_response(call.call_id, reply(200, json!({})), 9 * SECOND);
-    assert_eq!(got, [CloudEvent::Released(vec!["m-1".into()])]);
-    assert!(f.next_call(20 * SECOND).0.is_none());
+    let call = client.next_call(9 * SECOND).0.unwrap();
+    let events = client.on_response(call.call_id, response(200, json!({})), 9 * SECOND);
+    assert_eq!(events, [CloudEvent::Released(vec!["m-1".into()])]);
+    assert!(client.next_call(20 * SECOND).0.is_none());
 }
 
-/// Calls to the cloud as they are sent, and its answers, as bytes.
+/// Compares the bytes of all requests with a fixture, and decodes the fixture's responses.
+/// Guards against unintended changes of the wire format.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
-fn calls_to_the_cloud_keep_their_bytes() {
-    let files = crate::fixtures::read(include_str!("fixtures/cloud.hex"));
+fn requests_and_responses_match_the_fixture() {
+    let fixtures = crate::fixtures::read(include_str!("fixtures/cloud.hex"));
     let offer = |machine_type: &str, zone: &str, spot| Offer {
         machine_type: machine_type.into(),
         zone: zone.into(),
         spot,
     };
-    let machine_type = |name: &str, cpus, mem, price| MachineType {
+    let machine_type = |name: &str, cpus, memory, price| MachineType {
         name: name.into(),
         cpus,
         gpus: 0,
-        memory: mem,
+        memory,
         fetch_rate: 0,
         price,
         spot_price: 0,
@@ -120,13 +124,18 @@
         failed,
         age,
     };
-    let list = vec![
+    let inventory = vec![
         listed("m-1", offer("g8", "a", true), true, 12_500_000),
         listed("m-2", offer("c4", "b", false), false, 0),
     ];
     let g8 = || offer("g8", "a", true);
-    let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect::<Vec<_>>();
-    let rent = |f: &mut CloudClient| f.rent(g8(), "t-0".into(), 50, "x-1".into());
+    let names = |names: &[&str]| {
+        names
+            .iter()
+            .map(|name| (*name).to_owned())
+            .collect::<Vec<_>>()
+    };
+    let rent = |client: &mut CloudClient| client.rent(g8(), "t-0".into(), 50, "x-1".into());
     let rented = CloudEvent::Rented {
         offer: g8(),
         region: "t-0".into(),
@@ -140,8 +149,9 @@
     const FLAVORS: Call = ("GET", "/flavors", None);
     const RELEASE: Call = ("POST", "/machines/release", Some("release"));
     const NEXT: Call = ("GET", "/machines?from=m-1&page=500", None);
-    // What is asked for; the calls with the name of the body, each with the status and the
-    // name of the answer's body; what comes of the last.
+    // A case is a request, the expected calls, and the expected event of the last response. A
+    // call has the name of its body's fixture; its response has a status and the name of its
+    // body's fixture.
     type Case<'a> = (Request<'a>, &'a [(Call, u16, &'a str)], CloudEvent);
     let cases: [Case<'_>; 8] = [
         (
@@ -166,7 +176,7 @@
             CloudEvent::Unavailable,
         ),
         (
-            &|f| f.release(names(&["m-1", "m-22"])),
+            &|client| client.release(names(&["m-1", "m-22"])),
             &[(RELEASE, 200, "rented")],
             CloudEvent::Released(names(&["m-1", "m-22"])),
         ),
@@ -176,7 +186,7 @@
                 (LIST, 200, "list, first page"),
                 (NEXT, 200, "list, last page"),
             ],
-            CloudEvent::Inventory(list),
+            CloudEvent::Inventory(inventory),
         ),
         (
             &CloudClient::request_inventory,
@@ -184,20 +194,20 @@
             CloudEvent::Unavailable,
         ),
     ];
-    for (ask, calls, want) in cases {
-        let mut f = cloud_client();
-        ask(&mut f);
+    for (request, calls, expected) in cases {
+        let mut client = cloud_client();
+        request(&mut client);
         let mut now = 0;
-        let mut got = Vec::new();
-        for ((method, target, body), status, answer) in calls {
+        let mut events = Vec::new();
+        for ((method, target, body), status, response) in calls {
             now += 10 * SECOND;
-            let call = f.next_call(now).0.unwrap();
+            let call = client.next_call(now).0.unwrap();
             assert_eq!((call.method, &*call.target), (*method, *target));
-            let body = body.map_or(&[][..], |name| &files[name]);
+            let body = body.map_or(&[][..], |name| &fixtures[name]);
             assert_eq!(call.body, body, "{target}");
-            let answer = Response::new(*status, files[answer].clone());
-            got = f.on_response(call.call_id, Ok(answer), now);
+            let response = Response::new(*status, fixtures[response].clone());
+            events = client.on_response(call.call_id, Ok(response), now);
         }
-        assert_eq!(got, [want]);
+        assert_eq!(events, [expected]);
     }
 }
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -1,4 +1,4 @@
-//! The cloud's interface in MessagePack: the only place where its own words occur.
+//! MessagePack encoding of the cloud's API. The API's field names appear only in this module.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,12 +8,12 @@
 use salttiller_records::model::MachineType;
 use salttiller_records::units;
 
-/// What a machine that has stopped by itself is listed as.
-const FAILED: &str = "failed";
-/// The reason of a refusal for lack of capacity.
-const NO_CAPACITY: &str = "no capacity";
+/// State in which the cloud lists a machine that has stopped by itself.
+const FAILED_STATE: &str = "failed";
+/// Error with which the cloud refuses a rental for lack of capacity.
+const NO_CAPACITY_ERROR: &str = "no capacity";
 
-/// The machine types that are offered.
+/// Response with the machine types that the cloud offers.
 #[derive(Deserialize)]
 struct MachineTypesMessage {
     #[serde(rename = "plots")]
@@ -57,7 +57,7 @@
     }
 }
 
-/// A request to rent; fields in the order of their names, as they are sent.
+/// Body of a rental request. The fields are sent in this order, sorted by their wire names.
 #[derive(Serialize)]
 struct RentMessage<'a> {
     count: u32,
@@ -71,14 +71,14 @@
     idempotency_key: &'a str,
 }
 
-/// Names of machines: those to release, or those that were rented.
+/// Names of machines: the machines to release, or the machines that were rented.
 #[derive(Serialize, Deserialize)]
 struct MachineNamesMessage {
     #[serde(rename = "tillers")]
     names: Vec<String>,
 }
 
-/// A page of the inventory.
+/// Response with a page of the inventory.
 #[derive(Deserialize)]
 struct InventoryMessage {
     #[serde(rename = "tillers")]
@@ -112,27 +112,27 @@
                 zone: message.zone,
                 spot: message.spot,
             },
-            failed: message.state == FAILED,
+            failed: message.state == FAILED_STATE,
             age: units::from_seconds(message.age_seconds),
         }
     }
 }
 
-/// Why a request was refused.
+/// Body of the response to a refused request.
 #[derive(Deserialize)]
 struct RefusalMessage {
     error: String,
 }
 
-/// A page of the inventory, read.
+/// A decoded page of the inventory.
 pub(super) struct InventoryPage {
-    /// Machines of the page, in the order of their names.
+    /// Machines of the page, ordered by name.
     pub(super) machines: Vec<ListedMachine>,
     /// Whether more pages follow.
     pub(super) more: bool,
 }
 
-/// The body of a request to rent.
+/// Encodes the body of a rental request.
 pub(super) fn encode_rent(offer: &Offer, count: u32, idempotency_key: &str) -> Vec<u8> {
     encode(&RentMessage {
         count,
@@ -143,26 +143,26 @@
     })
 }
 
-/// The body of a request to release machines.
+/// Encodes the body of a release request.
 pub(super) fn encode_release(names: &[String]) -> Vec<u8> {
     encode(&MachineNamesMessage {
         names: names.to_vec(),
     })
 }
 
-/// Reads the machine types that are offered.
+/// Decodes the machine types that the cloud offers.
 pub(super) fn decode_machine_types(body: &[u8]) -> Result<Vec<MachineType>, CloudError> {
     let message: MachineTypesMessage = rmp_serde::from_slice(body)?;
     Ok(message.machine_types.into_iter().map(Into::into).collect())
 }
 
-/// Reads the names of machines that were rented.
+/// Decodes the names of the machines that were rented.
 pub(super) fn decode_rented(body: &[u8]) -> Result<Vec<String>, CloudError> {
     let message: MachineNamesMessage = rmp_serde::from_slice(body)?;
     Ok(message.names)
 }
 
-/// Reads a page of the inventory.
+/// Decodes a page of the inventory.
 pub(super) fn decode_inventory(body: &[u8]) -> Result<InventoryPage, CloudError> {
     let message: InventoryMessage = rmp_serde::from_slice(body)?;
     Ok(InventoryPage {
@@ -171,12 +171,13 @@
     })
 }
 
-/// Whether the body of a refusal says that there is no capacity.
+/// Whether the body of a refusal reports a lack of capacity.
 pub(super) fn is_no_capacity(body: &[u8]) -> bool {
-    rmp_serde::from_slice::<RefusalMessage>(body).is_ok_and(|refusal| refusal.error == NO_CAPACITY)
+    rmp_serde::from_slice::<RefusalMessage>(body)
+        .is_ok_and(|refusal| refusal.error == NO_CAPACITY_ERROR)
 }
 
 fn encode(message: &impl Serialize) -> Vec<u8> {
-    // Messages are plain maps of text and numbers: this can't fail.
+    // Encoding can't fail: messages consist only of maps, lists, strings, booleans and numbers.
     rmp_serde::to_vec_named(message).unwrap_or_default()
 }
