--- a/src/reactor.rs
+++ b/src/reactor.rs
@@ -1,15 +1,16 @@
-//! The event loop: sockets in, events out. The only place that reads the steady clock or
-//! touches a socket.
+//! The event loop: reads and writes the sockets and turns their input into [`NetEvent`]s. Only
+//! this module reads the monotonic clock and accesses sockets.
 //!
-//! Everything is bounded: connections, queues, buffers; every call and every half-sent request
-//! has a deadline. The parts and what each owns:
-//! - `socket`: opening sockets and watching them.
-//! - `buffer`, `connection`: a socket with its buffers and what it is used for.
+//! The number of connections and the sizes of queues and buffers are limited. Every call and
+//! every partially received request has a deadline. The submodules are:
+//!
+//! - `socket`: opens sockets and registers them with the poller.
+//! - `buffer`, `connection`: a socket with its buffers and its role.
 //! - `connection_table`: all connections and their deadlines.
-//! - `lifecycle`: accepting and closing connections, and what follows from it.
-//! - `io`: reading and writing what is ready.
+//! - `lifecycle`: accepts and closes connections.
+//! - `io`: reads and writes connections that are ready.
 //! - `server`: requests of users and workers, and their responses.
-//! - `calls`: calls to the state store and the cloud.
+//! - `calls`: calls to the state service and the cloud.
 //! - `peers`: frames to and from the other controllers.
 
 mod buffer;
@@ -39,40 +40,41 @@
 use salttiller_protocol::http::Response;
 use salttiller_records::units::Micros;
 
-/// The poller's key of the listener for users and workers.
+/// Poller key of the listener for users and workers.
 const HTTP_KEY: usize = 0;
-/// The poller's key of the listener for other controllers.
+/// Poller key of the listener for other controllers.
 const PEER_KEY: usize = 1;
-/// The poller's key of the first slot of the connection table.
+/// Poller key of the first slot of the connection table.
 const FIRST_CONNECTION_KEY: usize = 2;
 
 /// The event loop's state.
 pub struct Reactor {
     poller: Poller,
     events: Events,
-    /// What the steady clock counts from.
+    /// Start of the monotonic clock.
     epoch: Instant,
-    /// The steady clock as it was last read.
+    /// Last reading of the monotonic clock.
     now: Micros,
     http_listener: TcpListener,
     peer_listener: TcpListener,
     connections: ConnectionTable,
-    /// Connections of users and workers that are open.
-    served: usize,
+    /// Number of open connections of users and workers.
+    served_connections: usize,
     limits: Limits,
     destinations: Destinations,
     peers: Vec<Peer>,
     next_call: CallId,
-    /// Events that are not handed out yet.
+    /// Events that [`Reactor::wait`] has not returned yet.
     pending_events: VecDeque<NetEvent>,
 }
 
 impl Reactor {
-    /// Opens the listeners. `destinations` are outside services with the most connections to
-    /// hold to each; `peers` are the other controllers.
+    /// Opens the listeners. `destinations` are the external services, each with its maximum
+    /// number of connections; `peers` are the other controllers.
     ///
     /// # Errors
-    /// The system refuses a poller or a listener.
+    ///
+    /// Returns an error if the system can't create the poller or open a listener.
     pub fn new(
         http_addr: SocketAddr,
         peer_addr: SocketAddr,
@@ -83,8 +85,8 @@
         let poller = Poller::new()?;
         let http_listener = socket::listen(http_addr)?;
         let peer_listener = socket::listen(peer_addr)?;
-        socket::watch(&poller, &http_listener, HTTP_KEY, false)?;
-        socket::watch(&poller, &peer_listener, PEER_KEY, false)?;
+        socket::register(&poller, &http_listener, HTTP_KEY, false)?;
+        socket::register(&poller, &peer_listener, PEER_KEY, false)?;
         Ok(Reactor {
             poller,
             events: Events::new(),
@@ -93,7 +95,7 @@
             http_listener,
             peer_listener,
             connections: ConnectionTable::default(),
-            served: 0,
+            served_connections: 0,
             limits,
             destinations: Destinations::new(destinations),
             peers: peers.iter().copied().map(Peer::new).collect(),
@@ -102,13 +104,14 @@
         })
     }
 
-    /// Waits for the network until `until` at the latest and returns what happened.
+    /// Waits for network events until `until` at the latest, and returns them.
     ///
     /// # Errors
-    /// The system refuses to wait.
+    ///
+    /// Returns an error if the poller fails.
     pub fn wait(&mut self, until: Micros) -> std::io::Result<Vec<NetEvent>> {
         let now = self.clock();
-        let until = self.wakeup(now, until);
+        let until = self.wake_time(now, until);
         let timeout = Duration::from_micros(until.saturating_sub(now));
         let mut events = std::mem::take(&mut self.events);
         events.clear();
@@ -129,12 +132,13 @@
             }
         }
         self.events = events;
-        self.expire();
+        self.expire_deadlines();
         Ok(self.pending_events.drain(..).collect())
     }
 
-    /// When to wake up: at once if events are pending, else at the first deadline.
-    fn wakeup(&self, now: Micros, until: Micros) -> Micros {
+    /// Returns the time to wake up: `now` if events are pending, otherwise the first deadline
+    /// or `until`, whichever is earlier.
+    fn wake_time(&self, now: Micros, until: Micros) -> Micros {
         if !self.pending_events.is_empty() {
             return now;
         }
@@ -150,7 +154,7 @@
 
 impl Net for Reactor {
     fn clock(&mut self) -> Micros {
-        // 64 bits of microseconds last for half a million years.
+        // The cast can't overflow: 64 bits of microseconds last for half a million years.
         self.now = self.epoch.elapsed().as_micros() as Micros + 1;
         self.now
     }
--- a/src/reactor/buffer.rs
+++ b/src/reactor/buffer.rs
@@ -1,28 +1,28 @@
-//! The bytes that are still to be written to a connection.
+//! Buffer of the bytes to be written to a connection.
 
-/// An empty buffer that has grown beyond this is given back.
+/// Maximum capacity in bytes that a cleared buffer keeps; the memory of a larger one is freed.
 const MAX_KEPT_CAPACITY: usize = 64 * 1024;
 
 /// A buffer of outgoing bytes.
 #[derive(Debug, Default)]
 pub(super) struct WriteBuffer {
     bytes: Vec<u8>,
-    /// How many of them are written.
+    /// Number of bytes that have been written.
     written: usize,
 }
 
 impl WriteBuffer {
-    /// Whether there is nothing in it.
+    /// Whether the buffer is empty.
     pub(super) fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Bytes that are not written yet.
+    /// Returns the bytes that have not been written yet.
     pub(super) fn unwritten(&self) -> &[u8] {
         self.bytes.get(self.written..).unwrap_or_default()
     }
 
-    /// Notes that so many more bytes are written.
+    /// Records that `count` more bytes have been written.
     pub(super) fn advance(&mut self, count: usize) {
         self.written += count;
     }
@@ -36,14 +36,14 @@
         }
     }
 
-    /// Replaces what is in it.
+    /// Replaces the contents of the buffer.
     pub(super) fn replace(&mut self, bytes: Vec<u8>) {
         self.bytes = bytes;
         self.written = 0;
     }
 
-    /// Where bytes are added.
-    pub(super) fn sink(&mut self) -> &mut Vec<u8> {
+    /// Returns the vector to which new bytes are appended.
+    pub(super) fn append_target(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 }
--- a/src/reactor/calls.rs
+++ b/src/reactor/calls.rs
@@ -1,5 +1,5 @@
-//! Calls to outside services: queued by destination, on a bounded number of connections that
-//! are kept for the next call.
+//! Calls to external services. Each destination has a queue of calls and a limited number of
+//! connections, which are reused for later calls.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 use salttiller_protocol::http::{self, HttpError, Response};
 use salttiller_records::units::{Micros, SECOND};
 
-/// Idle connections are closed after this time.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Micros = 30 * SECOND;
-/// Most calls that wait for a connection to a destination.
-const MAX_QUEUED: usize = 256;
-/// Bytes of a request besides its body, about.
+/// Maximum number of calls that wait for a connection to a destination.
+const MAX_QUEUED_CALLS: usize = 256;
+/// Approximate size of a request without its body, in bytes.
 const REQUEST_HEAD_BYTES: usize = 256;
 
 /// A call that waits for a connection.
@@ -25,27 +25,27 @@
     deadline: Micros,
 }
 
-/// An outside service.
+/// An external service.
 struct Destination {
     addr: SocketAddr,
-    /// Its address as the requests' `Host`.
+    /// Value of the `Host` header: the address as text.
     host: String,
-    /// Slots of connections that are free for the next call.
+    /// Slots of the connections that are free for the next call.
     idle: Vec<usize>,
-    /// Connections that are open, idle ones among them.
+    /// Number of open connections, including idle ones.
     open: usize,
     max_open: usize,
     queue: VecDeque<PendingCall>,
 }
 
 impl Destination {
-    /// Whether a call could be made now: on an idle connection or a new one.
+    /// Whether a call can be sent now, on an idle connection or a new one.
     fn has_capacity(&self) -> bool {
         !self.idle.is_empty() || self.open < self.max_open
     }
 }
 
-/// The deadline of a call that waits for a connection; ordered by time.
+/// Deadline of a call that waits for a connection; ordered by time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CallDeadline {
     at: Micros,
@@ -53,16 +53,16 @@
     id: CallId,
 }
 
-/// All destinations, by the index that calls name.
+/// All destinations, by the index in [`Call::destination`].
 ///
-/// Invariant: `deadlines` holds the deadline of each queued call and no other.
+/// Invariant: `deadlines` contains the deadlines of exactly the queued calls.
 pub(super) struct Destinations {
     destinations: Vec<Destination>,
     deadlines: BTreeSet<CallDeadline>,
 }
 
 impl Destinations {
-    /// Destinations by address, with the most connections to hold to each.
+    /// Creates destinations from their addresses and maximum numbers of connections.
     pub(super) fn new(destinations: &[(SocketAddr, usize)]) -> Self {
         Destinations {
             destinations: destinations
@@ -80,18 +80,18 @@
         }
     }
 
-    /// The first deadline of a queued call.
+    /// Returns the earliest deadline of a queued call.
     pub(super) fn first_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// Queues a call; false if the queue is full, or there is no such destination.
+    /// Queues a call. Returns false if the queue is full or the destination doesn't exist.
     fn push(&mut self, pending: PendingCall) -> bool {
         let destination = pending.call.destination;
-        let Some(known) = self.destinations.get_mut(destination) else {
+        let Some(entry) = self.destinations.get_mut(destination) else {
             return false;
         };
-        if known.queue.len() >= MAX_QUEUED {
+        if entry.queue.len() >= MAX_QUEUED_CALLS {
             return false;
         }
         self.deadlines.insert(CallDeadline {
@@ -99,17 +99,17 @@
             destination,
             id: pending.id,
         });
-        known.queue.push_back(pending);
+        entry.queue.push_back(pending);
         true
     }
 
-    /// The next call of a destination that could be made now.
+    /// Removes and returns the next call of a destination if it can be sent now.
     fn pop_ready(&mut self, destination: usize) -> Option<PendingCall> {
-        let known = self.destinations.get_mut(destination)?;
-        if !known.has_capacity() {
+        let entry = self.destinations.get_mut(destination)?;
+        if !entry.has_capacity() {
             return None;
         }
-        let pending = known.queue.pop_front()?;
+        let pending = entry.queue.pop_front()?;
         self.deadlines.remove(&CallDeadline {
             at: pending.deadline,
             destination,
@@ -118,7 +118,7 @@
         Some(pending)
     }
 
-    /// Drops a queued call whose deadline has come.
+    /// Removes a queued call whose deadline has passed, and returns its id.
     pub(super) fn pop_expired(&mut self, now: Micros) -> Option<CallId> {
         let first = *self.deadlines.first().filter(|first| first.at <= now)?;
         self.deadlines.remove(&first);
@@ -128,25 +128,26 @@
         Some(first.id)
     }
 
-    /// Takes all idle connections of a destination.
+    /// Removes all idle connections of a destination from the list of idle ones, and returns
+    /// their slots.
     pub(super) fn take_idle(&mut self, destination: usize) -> Vec<usize> {
         self.destinations
             .get_mut(destination)
-            .map(|known| std::mem::take(&mut known.idle))
+            .map(|entry| std::mem::take(&mut entry.idle))
             .unwrap_or_default()
     }
 
-    /// Takes note that a connection to a destination was closed.
+    /// Records that a connection to a destination was closed.
     pub(super) fn on_closed(&mut self, destination: usize, slot: usize) {
-        if let Some(known) = self.destinations.get_mut(destination) {
-            known.open -= 1;
-            known.idle.retain(|idle| *idle != slot);
+        if let Some(entry) = self.destinations.get_mut(destination) {
+            entry.open -= 1;
+            entry.idle.retain(|idle| *idle != slot);
         }
     }
 }
 
 impl Reactor {
-    /// Queues a call and makes it if it can be made now.
+    /// Queues a call, and sends it if a connection is available.
     pub(super) fn queue_call(&mut self, call: Call) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
@@ -157,31 +158,32 @@
             call,
         };
         if self.destinations.push(pending) {
-            self.make_calls(destination);
+            self.send_queued_calls(destination);
         } else {
             self.emit(NetEvent::Response(id, Err(CallError::NotSent)));
         }
         id
     }
 
-    /// Makes the queued calls of a destination, as far as connections allow.
-    fn make_calls(&mut self, destination: usize) {
+    /// Sends the queued calls of a destination for which connections are available.
+    fn send_queued_calls(&mut self, destination: usize) {
         while let Some(pending) = self.destinations.pop_ready(destination) {
             let id = pending.id;
-            if !self.make_call(destination, &pending) {
+            if !self.send_call(destination, &pending) {
                 self.emit(NetEvent::Response(id, Err(CallError::NotSent)));
             }
         }
     }
 
-    /// Makes a call on an idle connection or a new one; false if neither can be had.
-    fn make_call(&mut self, destination: usize, pending: &PendingCall) -> bool {
-        let Some(known) = self.destinations.destinations.get_mut(destination) else {
+    /// Sends a call on an idle connection or a new one. Returns false if no connection is
+    /// available.
+    fn send_call(&mut self, destination: usize, pending: &PendingCall) -> bool {
+        let Some(entry) = self.destinations.destinations.get_mut(destination) else {
             return false;
         };
-        let request = encode_request(&known.host, &pending.call);
-        let idle = known.idle.pop();
-        let addr = known.addr;
+        let request = encode_request(&entry.host, &pending.call);
+        let idle = entry.idle.pop();
+        let addr = entry.addr;
         let role = Role::Calling {
             destination,
             id: pending.id,
@@ -202,8 +204,8 @@
         let Some(slot) = self.insert(stream, role, true, pending.deadline) else {
             return false;
         };
-        if let Some(known) = self.destinations.destinations.get_mut(destination) {
-            known.open += 1;
+        if let Some(entry) = self.destinations.destinations.get_mut(destination) {
+            entry.open += 1;
         }
         if let Some(connection) = self.connections.get_mut(slot) {
             connection.output.replace(request);
@@ -211,8 +213,8 @@
         true
     }
 
-    /// Takes the response to a call once it is complete.
-    pub(super) fn take_response(&mut self, slot: usize, destination: usize, id: CallId) {
+    /// Processes the response to a call if it is complete.
+    pub(super) fn process_response(&mut self, slot: usize, destination: usize, id: CallId) {
         let Some(connection) = self.connections.get_mut(slot) else {
             return;
         };
@@ -222,15 +224,15 @@
                 let reusable = !response.close && length == connection.input.len();
                 connection.input = Vec::new();
                 connection.role = Role::Idle { destination };
-                self.on_call_answered(slot, destination, id, response, reusable);
+                self.on_call_completed(slot, destination, id, response, reusable);
             }
             Err(error) => self.on_malformed_response(slot, destination, id, error),
         }
     }
 
-    /// Hands out a response and makes the connection, if it is reusable, free for the next
-    /// call.
-    fn on_call_answered(
+    /// Reports a response, and frees the connection for the next call or closes it if it isn't
+    /// reusable.
+    fn on_call_completed(
         &mut self,
         slot: usize,
         destination: usize,
@@ -240,15 +242,15 @@
     ) {
         self.emit(NetEvent::Response(id, Ok(response)));
         if reusable {
-            if let Some(known) = self.destinations.destinations.get_mut(destination) {
-                known.idle.push(slot);
+            if let Some(entry) = self.destinations.destinations.get_mut(destination) {
+                entry.idle.push(slot);
             }
             let deadline = self.now + IDLE_TIMEOUT;
             self.connections.set_deadline(slot, deadline);
         } else {
             self.close(slot);
         }
-        self.make_calls(destination);
+        self.send_queued_calls(destination);
     }
 
     fn on_malformed_response(
@@ -258,12 +260,12 @@
         id: CallId,
         error: HttpError,
     ) {
-        if let Some(known) = self.destinations.destinations.get(destination) {
-            log::info!("response from {} rejected: {error}", known.host);
+        if let Some(entry) = self.destinations.destinations.get(destination) {
+            log::info!("response from {} rejected: {error}", entry.host);
         }
         if error == HttpError::BodyTooLong {
             self.emit(NetEvent::Response(id, Err(CallError::TooLarge)));
-            // The call has its result: closing the connection gives it no other.
+            // Closing the connection must not report a second result of the call.
             if let Some(connection) = self.connections.get_mut(slot) {
                 connection.role = Role::Idle { destination };
             }
--- a/src/reactor/connection.rs
+++ b/src/reactor/connection.rs
@@ -1,4 +1,4 @@
-//! A connection: its socket, its buffers, and what it is used for.
+//! A connection: its socket, its buffers and its role.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -7,42 +7,44 @@
 use super::net::CallId;
 use salttiller_records::units::Micros;
 
-const READ_CHUNK: usize = 16 * 1024;
-/// Reads at a time, so that one connection can't starve the rest. The poller reports by
-/// level: what is left is read next time.
+/// Maximum number of bytes per read from a socket.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of reads per readiness event, so that one connection can't starve the others.
+/// The poller is level-triggered, so it reports a connection with unread bytes again.
 const MAX_READS: usize = 16;
 
-/// What a connection is used for.
+/// Role of a connection.
 pub(super) enum Role {
-    /// Accepted from a user or worker: waits for (the rest of) a request.
+    /// Accepted from a user or worker. The connection waits for a request or the rest of one.
     AwaitingRequest,
-    /// Accepted from a user or worker: its request is with the controller. `close`: the
-    /// connection is closed after the response.
+    /// Accepted from a user or worker. The controller is handling a request; `close` is whether
+    /// the connection is closed after the response.
     AwaitingResponse { close: bool },
-    /// Accepted from a user or worker: the last response is being written.
+    /// Accepted from a user or worker. The last response is being written.
     Closing,
     /// Accepted from another controller.
-    PeerIn,
+    InboundPeer,
     /// Opened to another controller.
-    PeerOut { peer: usize },
-    /// Opened to a destination, carrying a call. `sent`: some of it may have arrived.
+    OutboundPeer { peer: usize },
+    /// Opened to a destination and used by a call. `sent` is whether any byte of the request
+    /// was written, so that the destination may have received it.
     Calling {
         destination: usize,
         id: CallId,
         sent: bool,
     },
-    /// Opened to a destination, free for the next call.
+    /// Opened to a destination and free for the next call.
     Idle { destination: usize },
 }
 
-/// How reading ended.
+/// Outcome of reading from a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
-    /// There is no more for now, or enough for one time.
+    /// The connection is open. All available bytes were read, or the limit of reads was reached.
     Open,
-    /// The other side has closed its sending side.
+    /// The other side has closed its sending half.
     EndOfStream,
-    /// The connection is broken.
+    /// The connection has failed.
     Broken,
 }
 
@@ -51,21 +53,21 @@
     pub(super) generation: u32,
     pub(super) stream: TcpStream,
     pub(super) role: Role,
-    /// Bytes that were read and are not processed.
+    /// Bytes that were read but not processed yet.
     pub(super) input: Vec<u8>,
     pub(super) output: WriteBuffer,
-    /// Whether it is still being made.
+    /// Whether the connection is still being established.
     pub(super) connecting: bool,
-    /// Whether the poller reports when it is writable.
-    pub(super) watches_writable: bool,
-    /// When it is closed, whatever it is used for.
+    /// Whether the poller reports when the socket is writable.
+    pub(super) writable_interest: bool,
+    /// Time at which the connection is closed, in any role.
     pub(super) deadline: Micros,
 }
 
 impl Connection {
-    /// Reads what is there, within bounds.
+    /// Reads the available bytes, up to [`MAX_READS`] chunks.
     pub(super) fn read(&mut self) -> ReadOutcome {
-        let mut chunk = [0u8; READ_CHUNK];
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
         for _ in 0..MAX_READS {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return ReadOutcome::EndOfStream,
@@ -84,7 +86,7 @@
         ReadOutcome::Open
     }
 
-    /// Writes as much as the socket takes; false if the connection is broken.
+    /// Writes as many bytes as the socket accepts. Returns false if the connection has failed.
     #[must_use]
     pub(super) fn write(&mut self) -> bool {
         while !self.output.unwritten().is_empty() {
--- a/src/reactor/connection_table.rs
+++ b/src/reactor/connection_table.rs
@@ -1,4 +1,4 @@
-//! All connections by slot, and their deadlines.
+//! Table of all connections by slot, and their deadlines.
 
 use std::collections::BTreeSet;
 use std::net::TcpStream;
@@ -11,7 +11,7 @@
 use super::{socket, FIRST_CONNECTION_KEY};
 use salttiller_records::units::Micros;
 
-/// When a connection is closed; ordered by time.
+/// Time at which a connection is closed; ordered by time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at: Micros,
@@ -19,20 +19,21 @@
     generation: u32,
 }
 
-/// The connections.
+/// Table of all connections.
 ///
-/// Invariant: `deadlines` holds the deadline of each connection and no other.
+/// Invariant: `deadlines` contains the deadlines of exactly the connections in `slots`.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     slots: Vec<Option<Connection>>,
     free: Vec<usize>,
-    /// Generation of the last connection that was inserted.
+    /// Generation of the connection that was inserted last.
     generation: u32,
     deadlines: BTreeSet<Deadline>,
 }
 
 impl ConnectionTable {
-    /// Adds a connection and has it watched. Returns its slot; `None` if it can't be watched.
+    /// Adds a connection and registers it with the poller. Returns its slot, or `None` if the
+    /// registration fails.
     pub(super) fn insert(
         &mut self,
         poller: &Poller,
@@ -47,12 +48,12 @@
         });
         self.generation = self.generation.wrapping_add(1);
         let key = slot + FIRST_CONNECTION_KEY;
-        if let Err(error) = socket::watch(poller, &stream, key, connecting) {
-            log::error!("connection can't be watched: {error}");
+        if let Err(error) = socket::register(poller, &stream, key, connecting) {
+            log::error!("connection can't be registered with the poller: {error}");
             self.free.push(slot);
             return None;
         }
-        // The slot is within bounds: it was free or has just been added.
+        // The slot is within bounds, because it was free or has just been added.
         *self.slots.get_mut(slot)? = Some(Connection {
             generation: self.generation,
             stream,
@@ -60,7 +61,7 @@
             input: Vec::new(),
             output: WriteBuffer::default(),
             connecting,
-            watches_writable: connecting,
+            writable_interest: connecting,
             deadline,
         });
         self.deadlines.insert(Deadline {
@@ -71,7 +72,7 @@
         Some(slot)
     }
 
-    /// Removes a connection. It is no longer watched and may be dropped.
+    /// Removes a connection from the table and from the poller. The caller may drop it.
     pub(super) fn remove(&mut self, poller: &Poller, slot: usize) -> Option<Connection> {
         let connection = self.slots.get_mut(slot)?.take()?;
         self.deadlines.remove(&Deadline {
@@ -79,23 +80,23 @@
             slot,
             generation: connection.generation,
         });
-        // It fails only for a socket that isn't watched.
+        // Deletion fails only for a socket that isn't registered.
         let _ = poller.delete(&connection.stream);
         self.free.push(slot);
         Some(connection)
     }
 
-    /// The connection in a slot.
+    /// Returns the connection in a slot.
     pub(super) fn get(&self, slot: usize) -> Option<&Connection> {
         self.slots.get(slot)?.as_ref()
     }
 
-    /// The connection in a slot.
+    /// Returns the connection in a slot.
     pub(super) fn get_mut(&mut self, slot: usize) -> Option<&mut Connection> {
         self.slots.get_mut(slot)?.as_mut()
     }
 
-    /// The connection of this id, unless it has gone.
+    /// Returns the connection with this id, or `None` if it has been closed.
     pub(super) fn by_id(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.get_mut(id.slot)
             .filter(|connection| connection.generation == id.generation)
@@ -120,12 +121,13 @@
         });
     }
 
-    /// The first deadline of any connection.
+    /// Returns the earliest deadline of a connection.
     pub(super) fn first_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// A connection whose deadline has come; it is to be closed.
+    /// Removes a deadline that has passed, and returns the slot of its connection. The caller
+    /// must close the connection.
     pub(super) fn pop_expired(&mut self, now: Micros) -> Option<usize> {
         loop {
             let first = *self.deadlines.first().filter(|first| first.at <= now)?;
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Slots and connections in the order of their deadlines.
+    /// Returns the slots and connections in the order of their deadlines.
     pub(super) fn by_deadline(&self) -> impl Iterator<Item = (usize, &Connection)> {
         self.deadlines
             .iter()
--- a/src/reactor/io.rs
+++ b/src/reactor/io.rs
@@ -1,4 +1,4 @@
-//! Reading and writing what is ready, and handing what was read to whom it concerns.
+//! Reads and writes connections that are ready, and dispatches their input by role.
 
 use polling::{Event, PollMode};
 
@@ -6,7 +6,7 @@
 use super::{peers, Reactor, FIRST_CONNECTION_KEY};
 
 impl Reactor {
-    /// Reads and writes a connection that the poller reports.
+    /// Handles a readiness event of the poller: reads and writes the connection.
     pub(super) fn on_ready(&mut self, slot: usize, readable: bool, writable: bool) {
         let Some(connection) = self.connections.get(slot) else {
             return;
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes the end of connecting; false if it failed, and the connection is closed.
+    /// Handles the end of connecting. If it failed, closes the connection and returns false.
     fn on_connected(&mut self, slot: usize) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else {
             return false;
@@ -32,14 +32,14 @@
             return false;
         }
         connection.connecting = false;
-        if let Role::PeerOut { .. } = connection.role {
+        if let Role::OutboundPeer { .. } = connection.role {
             let deadline = self.now + peers::SILENCE_TIMEOUT;
             self.connections.set_deadline(slot, deadline);
         }
         true
     }
 
-    /// Writes what waits to be written; false if the connection is gone.
+    /// Writes the buffered output. Returns false if the connection no longer exists.
     pub(super) fn flush(&mut self, slot: usize) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else {
             return false;
@@ -58,20 +58,20 @@
                 return false;
             }
         }
-        self.watch_writable(slot)
+        self.update_writable_interest(slot)
     }
 
-    /// Has the poller report when a connection is writable if something waits to be written;
-    /// false if the connection is gone.
-    fn watch_writable(&mut self, slot: usize) -> bool {
+    /// Makes the poller report when a connection is writable exactly if it has buffered output.
+    /// Returns false if the connection no longer exists.
+    fn update_writable_interest(&mut self, slot: usize) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else {
             return false;
         };
         let wanted = !connection.output.is_empty();
-        if wanted == connection.watches_writable {
+        if wanted == connection.writable_interest {
             return true;
         }
-        connection.watches_writable = wanted;
+        connection.writable_interest = wanted;
         let interest = Event::new(slot + FIRST_CONNECTION_KEY, true, wanted);
         let changed = self
             .poller
@@ -90,22 +90,22 @@
             ReadOutcome::Open => self.process_input(slot),
             ReadOutcome::EndOfStream => {
                 self.process_input(slot);
-                // Responses that were on their way are processed; whoever closes its sending
-                // side needs no more of us.
+                // Responses that arrived before the end of the stream have been processed. A
+                // peer that closes its sending half expects no more output.
                 self.close(slot);
             }
             ReadOutcome::Broken => self.close(slot),
         }
     }
 
-    /// Processes the bytes that were read, as far as they are complete messages.
+    /// Processes the complete messages in the bytes that were read.
     pub(super) fn process_input(&mut self, slot: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(slot) else {
                 return;
             };
             match connection.role {
-                Role::AwaitingRequest => return self.take_request(slot),
+                Role::AwaitingRequest => return self.process_request(slot),
                 Role::AwaitingResponse { ref mut close } => {
                     // Pipelined requests are not served.
                     if !connection.input.is_empty() {
@@ -114,14 +114,14 @@
                     }
                     return;
                 }
-                Role::Closing | Role::PeerOut { .. } => return connection.input.clear(),
-                Role::PeerIn => {
-                    if !self.take_frame(slot) {
+                Role::Closing | Role::OutboundPeer { .. } => return connection.input.clear(),
+                Role::InboundPeer => {
+                    if !self.process_frame(slot) {
                         return;
                     }
                 }
                 Role::Idle { .. } => {
-                    // Nothing was asked for.
+                    // No call is in flight, so any input violates the protocol.
                     if !connection.input.is_empty() {
                         self.close(slot);
                     }
@@ -129,7 +129,7 @@
                 }
                 Role::Calling {
                     destination, id, ..
-                } => return self.take_response(slot, destination, id),
+                } => return self.process_response(slot, destination, id),
             }
         }
     }
--- a/src/reactor/lifecycle.rs
+++ b/src/reactor/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Accepting and closing connections, and what follows when one is closed.
+//! Accepts and closes connections, and reports the calls that end with a connection.
 
 use std::io::ErrorKind;
 use std::net::TcpStream;
@@ -8,24 +8,26 @@
 use super::{peers, server, Reactor};
 use salttiller_records::units::Micros;
 
-/// Connections that are accepted at a time, so that a flood can't starve the rest.
+/// Maximum number of connections that are accepted per readiness event, so that a flood of new
+/// connections can't starve the others.
 const MAX_ACCEPTS: usize = 32;
-/// Most connections that are looked at for an idle one.
+/// Maximum number of connections that are checked to find an idle one.
 const MAX_IDLE_CANDIDATES: usize = 64;
-/// Connections are scarce when more than this share is in use: 7 of 8.
-const CROWDED: (usize, usize) = (7, 8);
+/// Fraction of the maximum number of served connections above which each connection is closed
+/// after its response: 7 of 8, as numerator and denominator.
+const NEAR_LIMIT_FRACTION: (usize, usize) = (7, 8);
 
-/// Which listener a connection comes from.
+/// Listener that accepts a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Listener {
-    /// That of users and workers.
+    /// The listener for users and workers.
     Http,
-    /// That of other controllers.
+    /// The listener for other controllers.
     Peer,
 }
 
 impl Reactor {
-    /// Accepts connections that wait at a listener.
+    /// Accepts the connections that are pending at a listener.
     pub(super) fn accept(&mut self, listener: Listener) {
         for _ in 0..MAX_ACCEPTS {
             let accepted = match listener {
@@ -36,7 +38,7 @@
                 Ok((stream, _)) => self.on_accepted(listener, stream),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => {
-                    log::debug!("connection can't be accepted: {error}");
+                    log::debug!("accepting a connection failed: {error}");
                     return;
                 }
             }
@@ -45,32 +47,37 @@
 
     fn on_accepted(&mut self, listener: Listener, stream: TcpStream) {
         let is_http = listener == Listener::Http;
-        let full = self.served >= self.limits.max_served_connections;
-        if is_http && full && !self.close_idle_served() {
-            log::debug!("connection refused, {} are open", self.served);
+        let full = self.served_connections >= self.limits.max_served_connections;
+        if is_http && full && !self.close_idle_served_connection() {
+            log::debug!(
+                "connection closed at once, {} connections of users and workers are open",
+                self.served_connections
+            );
             return;
         }
         if stream.set_nonblocking(true).is_err() {
             return;
         }
-        // It only costs latency if this fails.
+        // A failure only increases latency.
         let _ = stream.set_nodelay(true);
         let (role, timeout) = match listener {
             Listener::Http => (Role::AwaitingRequest, server::IDLE_TIMEOUT),
-            Listener::Peer => (Role::PeerIn, peers::SILENCE_TIMEOUT),
+            Listener::Peer => (Role::InboundPeer, peers::SILENCE_TIMEOUT),
         };
         let inserted = self.insert(stream, role, false, self.now + timeout);
         if is_http && inserted.is_some() {
-            self.served += 1;
+            self.served_connections += 1;
         }
     }
 
     /// Closes the connection of a user or worker that has been idle the longest, to make room
-    /// for another. Guards against workers whose heartbeats never arrive, for as long as there
-    /// are more of them than connections. Whether there was one.
-    fn close_idle_served(&mut self) -> bool {
-        // The order of deadlines is that of the last use; connections of other roles are
-        // among them.
+    /// for another one. Returns false if none of the checked connections is idle.
+    ///
+    /// Guards against workers whose heartbeats never arrive while there are more workers than
+    /// available connections.
+    fn close_idle_served_connection(&mut self) -> bool {
+        // Idle connections have the same timeout, so their deadlines are in the order of last
+        // use. The iterator also contains connections in other roles.
         let idle = self
             .connections
             .by_deadline()
@@ -85,13 +92,13 @@
         true
     }
 
-    /// Whether connections are so scarce that each is to carry one request only.
-    pub(super) fn is_crowded(&self) -> bool {
-        let (share, of) = CROWDED;
-        self.served * of > self.limits.max_served_connections * share
+    /// Whether so many connections are open that each one is closed after its response.
+    pub(super) fn is_near_connection_limit(&self) -> bool {
+        let (numerator, denominator) = NEAR_LIMIT_FRACTION;
+        self.served_connections * denominator > self.limits.max_served_connections * numerator
     }
 
-    /// Adds a connection; returns its slot.
+    /// Adds a connection to the table and returns its slot.
     pub(super) fn insert(
         &mut self,
         stream: TcpStream,
@@ -103,17 +110,17 @@
             .insert(&self.poller, stream, role, connecting, deadline)
     }
 
-    /// Closes a connection and reports what was in progress on it.
+    /// Closes a connection. If a call was in progress on it, reports the call's error.
     pub(super) fn close(&mut self, slot: usize) {
         let Some(connection) = self.connections.remove(&self.poller, slot) else {
             return;
         };
         match connection.role {
             Role::AwaitingRequest | Role::AwaitingResponse { .. } | Role::Closing => {
-                self.served -= 1;
+                self.served_connections -= 1;
             }
-            Role::PeerIn => {}
-            Role::PeerOut { peer } => self.on_peer_closed(peer),
+            Role::InboundPeer => {}
+            Role::OutboundPeer { peer } => self.on_peer_closed(peer),
             Role::Calling {
                 destination,
                 id,
@@ -131,8 +138,8 @@
         }
     }
 
-    /// Closes connections and ends queued calls whose deadline has come.
-    pub(super) fn expire(&mut self) {
+    /// Closes the connections and ends the queued calls whose deadlines have passed.
+    pub(super) fn expire_deadlines(&mut self) {
         while let Some(slot) = self.connections.pop_expired(self.now) {
             self.close(slot);
         }
@@ -141,7 +148,7 @@
         }
     }
 
-    /// Adds an event to those that are handed out next.
+    /// Queues an event for [`Reactor::wait`].
     pub(super) fn emit(&mut self, event: NetEvent) {
         self.pending_events.push_back(event);
     }
--- a/src/reactor/net.rs
+++ b/src/reactor/net.rs
@@ -1,11 +1,11 @@
-//! What the event loop offers and the events that it hands out: the interface that the
-//! simulation implements in its place.
+//! Interface of the network layer: the [`Net`] trait and the events that the network layer
+//! reports. The event loop and the simulation implement it.
 
 use salttiller_protocol::http::{Request, Response};
 use salttiller_records::units::Micros;
 
-/// Identifies a connection for as long as it lives: a later one in the same slot has another
-/// generation, so a response can't reach another client.
+/// Identifies an accepted connection until it is closed. A later connection in the same slot has
+/// another generation, so that a response can't reach the wrong client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId {
     pub(crate) slot: usize,
@@ -15,21 +15,22 @@
 /// Identifies an outgoing call.
 pub type CallId = u64;
 
-/// Why a call has no response.
+/// Error of a call without a usable response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// It never left this process: surely not executed.
-    #[error("not sent")]
+    /// No part of the request was sent, so the call was not executed.
+    #[error("request not sent")]
     NotSent,
-    /// Sent in part or whole: it may have been executed, or may be later.
-    #[error("no answer")]
+    /// The request was sent in part or completely, but no response arrived. The call may have
+    /// been executed, or may still be executed later.
+    #[error("no response")]
     NoAnswer,
-    /// The response is larger than is read at once: surely executed, if it was a read.
-    #[error("answer too large")]
+    /// The response exceeds the size limit. If the call was a read, it was executed.
+    #[error("response too large")]
     TooLarge,
 }
 
-/// What happened on the network.
+/// An event of the network.
 #[derive(Debug)]
 pub enum NetEvent {
     /// A request of a user or worker.
@@ -40,7 +41,7 @@
     Frame(ConnectionId, Vec<u8>),
 }
 
-/// One outgoing call.
+/// An outgoing call.
 #[derive(Debug)]
 pub struct Call {
     /// Index of the destination, as given to [`Reactor::new`](super::Reactor::new).
@@ -49,37 +50,38 @@
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// Body, encoded.
+    /// Encoded body.
     pub body: Vec<u8>,
-    /// How long it may take, waiting for a connection included.
+    /// Timeout of the call, including the wait for a connection.
     pub timeout: Micros,
 }
 
-/// What a controller needs of clocks and network: the reactor, or the simulation.
+/// Clocks and network of a controller, implemented by the reactor and by the simulation.
 pub trait Net {
-    /// Reads the steady clock.
+    /// Reads the monotonic clock.
     fn clock(&mut self) -> Micros;
-    /// Reads the time of day.
+    /// Reads the wall clock.
     fn wall(&self) -> Micros;
-    /// Responds to a request. A connection that has gone is no error.
+    /// Responds to a request. Does nothing if the connection has been closed.
     fn respond(&mut self, id: ConnectionId, response: Response);
-    /// Starts a call; its result always comes, as [`NetEvent::Response`].
+    /// Starts a call. Every call ends with a [`NetEvent::Response`].
     fn call(&mut self, call: Call) -> CallId;
-    /// Sends a frame to another controller, if it can be reached just now. Frames carry state,
-    /// not orders that must arrive: a lost one is made good by the next.
+    /// Sends a frame to another controller, or drops the frame if that controller can't be
+    /// reached now. Frames carry state rather than commands, so the next frame makes up for a
+    /// lost one.
     fn send(&mut self, peer: usize, payload: &[u8]);
-    /// Replies to a frame on the connection on which it came.
+    /// Replies to a frame on the connection on which the frame arrived.
     fn reply(&mut self, id: ConnectionId, payload: &[u8]);
-    /// Closes every idle connection to a destination: after a network partition they would
-    /// only hang.
-    fn close_idle_connections(&mut self, dest: usize);
+    /// Closes all idle connections to a destination. After a network partition, calls on them
+    /// would time out.
+    fn close_idle_connections(&mut self, destination: usize);
 }
 
 /// Limits that follow from the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Open connections of users and workers.
+    /// Maximum number of open connections of users and workers.
     pub max_served_connections: usize,
-    /// Bytes that may wait to be written to a peer before its connection is closed.
+    /// Maximum number of unwritten bytes to a peer; beyond it, the connection is closed.
     pub max_peer_backlog_bytes: usize,
 }
--- a/src/reactor/peers.rs
+++ b/src/reactor/peers.rs
@@ -1,6 +1,7 @@
-//! Frames to and from the other controllers: a length in four bytes, little-endian, and the
-//! payload. Frames to a peer go out on a connection that this controller opens; frames that
-//! come in on an accepted one may be replied to on it.
+//! Frames to and from the other controllers. A frame is the payload's length in four bytes,
+//! little-endian, followed by the payload. This controller sends frames to a peer on a
+//! connection that it opens itself. Frames that arrive on an accepted connection may be replied
+//! to on that connection.
 
 use std::net::SocketAddr;
 
@@ -9,30 +10,30 @@
 use super::{socket, Reactor};
 use salttiller_records::units::{Micros, SECOND};
 
-/// A connection on which nothing moves for this time is closed.
+/// Time after which a connection without progress is closed.
 pub(super) const SILENCE_TIMEOUT: Micros = 15 * SECOND;
-/// How long connecting may take.
+/// Timeout of connecting.
 const CONNECT_TIMEOUT: Micros = 2 * SECOND;
-/// The shortest time between attempts to connect.
+/// Minimum time between attempts to connect.
 const CONNECT_INTERVAL: Micros = SECOND;
-/// How long after a connection was closed another is opened.
+/// Time from the closing of a connection to the next attempt to connect.
 const RECONNECT_DELAY: Micros = SECOND / 2;
-/// The largest payload that is accepted.
-const MAX_FRAME: usize = 1024 * 1024;
-/// Bytes of the length before the payload.
+/// Maximum size of an accepted payload.
+const MAX_PAYLOAD_BYTES: usize = 1024 * 1024;
+/// Size of the length that precedes the payload.
 const LENGTH_BYTES: usize = 4;
 
 /// Another controller.
 pub(super) struct Peer {
     addr: SocketAddr,
-    /// Slot of the connection to it.
+    /// Slot of the connection to the peer, if there is one.
     slot: Option<usize>,
-    /// The earliest time of the next attempt to connect.
+    /// Earliest time of the next attempt to connect.
     retry_at: Micros,
 }
 
 impl Peer {
-    /// A peer that isn't connected yet.
+    /// Creates a peer that isn't connected yet.
     pub(super) fn new(addr: SocketAddr) -> Self {
         Peer {
             addr,
@@ -43,7 +44,8 @@
 }
 
 impl Reactor {
-    /// Sends a frame to a peer, unless there is no connection and none can be opened yet.
+    /// Sends a frame to a peer. Drops the frame if there is no connection and none can be opened
+    /// yet.
     pub(super) fn send_frame(&mut self, peer: usize, payload: &[u8]) {
         let Some(slot) = self.peer_connection(peer) else {
             return;
@@ -53,10 +55,10 @@
         };
         let backlog = connection.output.unwritten().len() + payload.len();
         if backlog > self.limits.max_peer_backlog_bytes {
-            // Nothing has gone out for long: the connection is dead.
+            // The peer has not accepted any bytes for a long time: the connection is dead.
             return self.close(slot);
         }
-        write_frame(connection.output.sink(), payload);
+        write_frame(connection.output.append_target(), payload);
         if connection.connecting {
             return;
         }
@@ -66,19 +68,20 @@
         }
     }
 
-    /// The connection to a peer; it is opened if that is due.
+    /// Returns the slot of the connection to a peer. Opens one if there is none and the next
+    /// attempt is due.
     fn peer_connection(&mut self, peer: usize) -> Option<usize> {
-        let known = self.peers.get_mut(peer)?;
-        if known.slot.is_some() {
-            return known.slot;
+        let entry = self.peers.get_mut(peer)?;
+        if entry.slot.is_some() {
+            return entry.slot;
         }
-        if self.now < known.retry_at {
+        if self.now < entry.retry_at {
             return None;
         }
-        known.retry_at = self.now + CONNECT_INTERVAL;
-        let stream = socket::connect(known.addr).ok()?;
+        entry.retry_at = self.now + CONNECT_INTERVAL;
+        let stream = socket::connect(entry.addr).ok()?;
         let deadline = self.now + CONNECT_TIMEOUT;
-        let slot = self.insert(stream, Role::PeerOut { peer }, true, deadline);
+        let slot = self.insert(stream, Role::OutboundPeer { peer }, true, deadline);
         self.peers.get_mut(peer)?.slot = slot;
         slot
     }
@@ -89,7 +92,7 @@
             .is_some_and(|connection| connection.output.is_empty())
     }
 
-    /// Takes note that the connection to a peer was closed.
+    /// Records that the connection to a peer was closed.
     pub(super) fn on_peer_closed(&mut self, peer: usize) {
         if let Some(peer) = self.peers.get_mut(peer) {
             peer.slot = None;
@@ -97,27 +100,28 @@
         }
     }
 
-    /// Replies to a frame on the connection on which it came, unless that has gone.
+    /// Replies to a frame on the connection on which the frame arrived. Does nothing if that
+    /// connection has been closed.
     pub(super) fn reply_frame(&mut self, id: ConnectionId, payload: &[u8]) {
         let connection = self.connections.by_id(id);
-        if let Some(connection) = connection.filter(|c| matches!(c.role, Role::PeerIn)) {
-            write_frame(connection.output.sink(), payload);
+        if let Some(connection) = connection.filter(|c| matches!(c.role, Role::InboundPeer)) {
+            write_frame(connection.output.append_target(), payload);
             self.flush(id.slot);
         }
     }
 
-    /// Takes a frame, if it is complete. Whether there may be more.
-    pub(super) fn take_frame(&mut self, slot: usize) -> bool {
+    /// Processes a frame if it is complete. Returns whether the input may contain another one.
+    pub(super) fn process_frame(&mut self, slot: usize) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else {
             return false;
         };
         let Some((head, rest)) = connection.input.split_first_chunk::<LENGTH_BYTES>() else {
             return false;
         };
-        // Lossless: this runs on 64 bits.
+        // The cast is lossless on 64-bit targets.
         let length = u32::from_le_bytes(*head) as usize;
-        if length > MAX_FRAME {
-            log::info!("frame of {length} bytes rejected, connection closed");
+        if length > MAX_PAYLOAD_BYTES {
+            log::info!("frame of {length} bytes rejected as too long, connection closed");
             self.close(slot);
             return false;
         }
@@ -138,7 +142,7 @@
 }
 
 fn write_frame(output: &mut Vec<u8>, payload: &[u8]) {
-    // Payloads are far shorter than 4 GiB: receivers accept MAX_FRAME.
+    // The cast is lossless: receivers accept at most MAX_PAYLOAD_BYTES, far less than 4 GiB.
     output.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     output.extend_from_slice(payload);
 }
--- a/src/reactor/server.rs
+++ b/src/reactor/server.rs
@@ -6,22 +6,23 @@
 use salttiller_protocol::http::{self, HttpError, Request, Response};
 use salttiller_records::units::{Micros, SECOND};
 
-/// A request must arrive whole within this time of its first byte.
+/// Time from the first byte of a request within which the complete request must arrive.
 const REQUEST_TIMEOUT: Micros = 10 * SECOND;
-/// How long a request may take to be answered before its connection is closed.
+/// Time after which the connection of a request without a response is closed.
 const RESPONSE_TIMEOUT: Micros = 30 * SECOND;
-/// Idle connections are closed after this time.
+/// Time after which an idle connection is closed.
 pub(super) const IDLE_TIMEOUT: Micros = 90 * SECOND;
-/// How long the refusal of a malformed request may take to be written.
+/// Timeout of writing the response to a malformed request.
 const REFUSAL_TIMEOUT: Micros = SECOND;
-/// An input buffer that has grown beyond this ...
-const MAX_KEPT_INPUT: usize = 32 * 1024;
-/// ... shrinks to this.
-const SHRUNK_INPUT: usize = 4096;
+/// Maximum capacity of an input buffer; after a request, a larger buffer is shrunk to
+/// [`SHRUNK_INPUT_BYTES`].
+const MAX_KEPT_INPUT_BYTES: usize = 32 * 1024;
+/// Capacity to which an input buffer is shrunk.
+const SHRUNK_INPUT_BYTES: usize = 4096;
 
 impl Reactor {
-    /// Takes a request once it is complete.
-    pub(super) fn take_request(&mut self, slot: usize) {
+    /// Processes a request if it is complete.
+    pub(super) fn process_request(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot) else {
             return;
         };
@@ -30,8 +31,8 @@
         }
         match http::parse_request(&connection.input) {
             Ok(None) => {
-                // The deadline counts from the first byte, so a slow sender can't stretch
-                // it byte by byte.
+                // The deadline counts from the first byte, so that a slow sender can't extend it
+                // with each byte.
                 let deadline = self.now + REQUEST_TIMEOUT;
                 if connection.deadline > deadline {
                     self.connections.set_deadline(slot, deadline);
@@ -42,14 +43,14 @@
         }
     }
 
-    /// Hands a request of so many bytes to the controller.
+    /// Reports a request, which occupies `length` bytes of the input.
     fn on_request(&mut self, slot: usize, request: Request, length: usize) {
         let Some(connection) = self.connections.get_mut(slot) else {
             return;
         };
         connection.input.drain(..length);
-        if connection.input.capacity() > MAX_KEPT_INPUT {
-            connection.input.shrink_to(SHRUNK_INPUT);
+        if connection.input.capacity() > MAX_KEPT_INPUT_BYTES {
+            connection.input.shrink_to(SHRUNK_INPUT_BYTES);
         }
         // Pipelined requests are not served.
         let close = request.close || !connection.input.is_empty();
@@ -63,7 +64,7 @@
         self.emit(NetEvent::Request(id, request));
     }
 
-    /// Answers a malformed request, and closes its connection.
+    /// Responds to a malformed request with an error, and closes the connection.
     fn refuse_request(&mut self, slot: usize, error: HttpError) {
         log::debug!("request rejected: {error}");
         let Some(connection) = self.connections.get_mut(slot) else {
@@ -72,23 +73,23 @@
         let mut response = Response::new(error.status(), Vec::new());
         response.close = true;
         connection.role = Role::Closing;
-        http::write_response(connection.output.sink(), &response);
+        http::write_response(connection.output.append_target(), &response);
         let deadline = self.now + REFUSAL_TIMEOUT;
         self.connections.set_deadline(slot, deadline);
         self.flush(slot);
     }
 
-    /// Answers a request, unless its connection has gone.
+    /// Responds to a request. Does nothing if the connection has been closed.
     pub(super) fn send_response(&mut self, id: ConnectionId, mut response: Response) {
-        let crowded = self.is_crowded();
+        let near_limit = self.is_near_connection_limit();
         let Some(connection) = self.connections.by_id(id) else {
             return;
         };
         let Role::AwaitingResponse { close } = connection.role else {
             return;
         };
-        response.close |= close || crowded;
-        http::write_response(connection.output.sink(), &response);
+        response.close |= close || near_limit;
+        http::write_response(connection.output.append_target(), &response);
         connection.role = if response.close {
             Role::Closing
         } else {
--- a/src/reactor/socket.rs
+++ b/src/reactor/socket.rs
@@ -1,4 +1,4 @@
-//! Opening sockets without blocking, and watching them.
+//! Opens non-blocking sockets and registers them with the poller.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,13 +7,13 @@
 use polling::{Event, PollMode, Poller};
 use socket2::{Domain, Protocol, Socket, Type};
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 256;
-/// The system's code for a connection that is being made; `ErrorKind` has no stable name for
-/// it.
+/// Linux error code of a non-blocking connect in progress, for which `ErrorKind` has no stable
+/// variant.
 const EINPROGRESS: i32 = 115;
 
-/// Opens a listener.
+/// Opens a non-blocking listener.
 pub(super) fn listen(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -23,7 +23,7 @@
     Ok(socket.into())
 }
 
-/// Begins to connect. Whether it succeeds shows once the socket is ready.
+/// Starts to connect. The result is known when the socket becomes ready.
 pub(super) fn connect(addr: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
@@ -33,23 +33,23 @@
         Err(error) if error.raw_os_error() == Some(EINPROGRESS) => {}
         Err(error) => return Err(error),
     }
-    // It only costs latency if this fails.
+    // A failure only increases latency.
     let _ = socket.set_tcp_nodelay(true);
     Ok(socket.into())
 }
 
-/// Adds a socket to the poller, which reports by level when it is readable and, if `write`,
-/// writable.
+/// Registers a socket with the poller, level-triggered. The poller reports when the socket is
+/// readable and, if `writable` is set, when it is writable.
 #[allow(unsafe_code)]
-pub(super) fn watch(
+pub(super) fn register(
     poller: &Poller,
     socket: &impl AsRawFd,
     key: usize,
-    write: bool,
+    writable: bool,
 ) -> std::io::Result<()> {
-    let interest = Event::new(key, true, write);
-    // SAFETY: a socket must be deleted from the poller before it is dropped. Connections are
-    // deleted in `ConnectionTable::remove`, the only place from which one is dropped once it
-    // is watched, and the listeners live as long as the poller does.
+    let interest = Event::new(key, true, writable);
+    // SAFETY: a socket must be deleted from the poller before it is dropped. Registered
+    // connections are dropped only through `ConnectionTable::remove`, which deletes them first.
+    // The listeners live as long as the poller.
     unsafe { poller.add_with_mode(socket, interest, PollMode::Level) }
 }
