--- a/src/simulation.rs
+++ b/src/simulation.rs
@@ -1,68 +1,71 @@
-//! A simulated world in which whole controllers are tested.
+//! Simulated environment in which complete controllers are tested.
 //!
-//! Three controllers, as they are in production, run against stand-ins written from the
-//! protocol: a state service, a cloud, workers and users. Time is simulated, so a day of
-//! several minutes takes as long as its computing. Everything left to chance is drawn from the
-//! day's seed, so the same seed gives the same day, event by event.
+//! Three controllers run their production code against simulated services that implement the
+//! protocol: a state service, a cloud, workers and users. Time is simulated, so a scenario of
+//! several minutes takes only its computing time. Every random choice is drawn from the scenario's
+//! seed, so the same seed reproduces the same events in the same order. The code calls one run of a
+//! scenario a *day*.
 //!
-//! # How a day is made and played
+//! # How a day is defined and run
 //!
-//! A [`days::Plan`] says what is set before a day begins: its seed, its faults and when they
-//! happen, how many jobs users submit, and of which [`workload::Workload`]. A table of days
-//! ([`days::Day`]) draws plans from seeds: `days::compound_failures`, `days::partial_failures`;
-//! `days::seeded` has days without a table, `days::record_losses` those of lost records.
+//! A [`days::Plan`] holds what is fixed before a day begins: the seed, the faults and their times,
+//! the number of jobs that users submit, and the [`workload::Workload`]. A [`days::Day`] draws a
+//! plan from a seed. The tables of days are in `days::compound_failures` and
+//! `days::partial_failures`; `days::seeded` has days without a table, and `days::record_losses` has
+//! days on which the state service loses records.
 //!
-//! [`runner::play`] makes a [`world::World`] of a plan and plays it to its end: the world takes
-//! one [`events::Event`] after the other from its queue and hands it to the part that it is for.
-//! Every five simulated seconds the invariants are checked. A day stops at the first violation.
+//! [`runner::play`] creates a [`world::World`] from a plan and runs it to its end: the world takes
+//! the [`events::Event`]s from its queue in order and dispatches each to the component that handles
+//! it. The invariants are checked every five simulated seconds. A day stops at the first violation.
 //!
-//! | part | where |
+//! | component | module |
 //! | --- | --- |
 //! | processes, clocks, restarts and pauses of the controllers | `controllers` |
 //! | latency, partitions, lost and delayed messages | `network` |
 //! | records, leases, transactions, watches | `state_service` |
 //! | machine types, rentals, releases | `cloud` |
 //! | heartbeats, leases, commands, tasks | `workers` |
-//! | jobs, requests, accepted responses | `users`, `workload` |
-//! | what may go wrong, and how it is brought about | `faults`, `faults::injection` |
-//! | the protocol's rules | `invariants` |
-//! | counts of what was seen | `observations` |
+//! | jobs, requests, checks of responses | `users`, `workload` |
+//! | faults and their injection | `faults`, `faults::injection` |
+//! | invariants of the protocol | `invariants` |
+//! | counters of observed events | `observations` |
 //!
-//! To look at one day: `SALTTILLER_SEED=16 SALTTILLER_LOG=debug cargo test --lib one_day --
-//! --nocapture`, with `SALTTILLER_HARDER=1` for the day with more faults; for a day of a table
-//! `SALTTILLER_SCENARIO="the gap" SALTTILLER_SEED=3 cargo test --lib days_of_failures`.
-//! `SALTTILLER_SEEDS=1000` plays more seeds of each day.
+//! To debug one day, run `SALTTILLER_SEED=16 SALTTILLER_LOG=debug cargo test --lib one_day --
+//! --nocapture`; `SALTTILLER_HARDER=1` selects the day with more faults. For a day from a table,
+//! run `SALTTILLER_SCENARIO="the gap" SALTTILLER_SEED=3 cargo test --lib days_of_failures`.
+//! `SALTTILLER_SEEDS=1000` runs more seeds of each day.
 //!
 //! # How to add a fault
 //!
-//! 1. Add a variant to [`faults::Fault`], with the time that it lasts, and its
+//! 1. Add a variant with its duration to [`faults::Fault`], and a case to
 //!    [`faults::Fault::duration`].
-//! 2. Add its line to `World::inject` in `faults/injection.rs`: most faults only set until when
-//!    a part of the world behaves otherwise.
-//! 3. Let that part behave so. Draw from `World::rng` only while the fault lasts: a draw more on
-//!    other days changes all of them.
-//! 4. Count what it does in [`observations::Observations`], so that a day can tell that it
-//!    happened.
+//! 2. Add a case to `World::inject` in `faults/injection.rs`. Most faults only set the time until
+//!    which a component behaves differently.
+//! 3. Implement the different behaviour in that component. Draw from `World::rng` only while the
+//!    fault lasts: an additional draw on other days changes all of those days.
+//! 4. Count the effects in [`observations::Observations`], so that a day can verify that the fault
+//!    took effect.
 //!
 //! # How to add a day
 //!
-//! Add a [`days::Day`] to a table: a name, a function that draws its faults, and a condition on
-//! the observations that shows that the day brought about what it is for. The tests in
-//! `tests::failures` play every day of the tables on several seeds, and fail if a rule is
-//! violated, a job does not end, or the condition holds on no seed.
+//! Add a [`days::Day`] to a table: a name, a function that draws the faults, and a condition on the
+//! observations that shows that the intended situation occurred. The tests in `tests::failures` run
+//! every day of the tables on several seeds. They fail if an invariant is violated, a job does not
+//! end, or the condition holds on no seed.
 //!
 //! # Safeguards and their tests
 //!
 //! Every part of the safety argument in docs/safety.md is a [`Safeguard`] in
-//! `src/fault_injection.rs`. A test disables one ([`runner::play_without`]) and asserts that some
-//! day then violates a rule: without such a test nobody would notice if the code for it were
-//! lost. A new safeguard needs the variant, the `is_disabled` check in its code, a day on which
-//! it matters, and a line in a table of such tests (`tests::failures::SAFEGUARDS_OF_DAYS`).
+//! `src/fault_injection.rs`. For each safeguard a test disables it ([`runner::play_without`]) and
+//! asserts that some day then violates an invariant; without such a test, nobody would notice if
+//! the safeguard's code were lost. A new safeguard needs a variant, an `is_disabled` check in its
+//! code, a day that violates an invariant without the safeguard, and an entry in a table of such
+//! tests (`tests::failures::SAFEGUARDS_OF_DAYS`).
 //!
-//! # Unchanged behaviour
+//! # Verifying unchanged behaviour
 //!
-//! [`trace_digest`] prints a digest of everything that the controllers send on each day: equal
-//! digests before and after a change show that behaviour stayed as it was.
+//! [`trace_digest`] prints a digest of everything that the controllers send on each day. Equal
+//! digests before and after a change show that the change did not affect behaviour.
 //!
 //! [`Safeguard`]: crate::fault_injection::Safeguard
 
@@ -85,9 +88,9 @@
 
 use salttiller_records::units::{Micros, SECOND};
 
-/// How many controllers there are.
+/// Number of controllers.
 const CONTROLLERS: usize = 3;
 
-/// Within this time after a cancellation was confirmed nothing of the job runs any more, and all
-/// jobs that need it are cancelled too: `cancel_s` of the settings and a second of tolerance.
+/// Time after a confirmed cancellation by which no task of the job runs and all dependent jobs are
+/// cancelled too: `cancel_s` of the settings plus one second of tolerance.
 const CANCEL_DEADLINE: Micros = 41 * SECOND;
--- a/src/simulation/cloud.rs
+++ b/src/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the cloud: machine types, rentals, releases and the list of machines.
+//! Simulated cloud provider: machine types, rentals, releases and the list of machines.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use super::world::World;
 use super::CONTROLLERS;
 
-/// The time in which a machine is rented.
+/// Period during which a machine is rented.
 struct RentalPeriod {
     began_at: Micros,
     ended_at: Option<Micros>,
@@ -24,15 +24,15 @@
     }
 }
 
-/// The cloud's own records and troubles.
+/// State of the simulated cloud: its rentals, capacity and faults.
 pub(super) struct CloudProvider {
-    /// Machines by the idempotency key of the call that rented them.
+    /// Rented machines, by the idempotency key of the call that rented them.
     rentals: BTreeMap<String, Vec<String>>,
-    /// Every machine there ever was.
+    /// Rental periods of all machines ever rented, by machine name.
     machines: BTreeMap<String, RentalPeriod>,
     outage_until: Micros,
     slow_provisioning_until: Micros,
-    /// Most machines rented at a time.
+    /// Maximum number of machines rented at a time.
     capacity: usize,
 }
 
@@ -49,22 +49,23 @@
 }
 
 impl CloudProvider {
-    /// How many machines were ever rented.
+    /// Returns the number of machines ever rented.
     pub(super) fn machines_rented(&self) -> usize {
         self.machines.len()
     }
 
-    /// Changes how many machines can be rented at a time.
+    /// Sets the maximum number of machines rented at a time.
     pub(super) fn set_capacity(&mut self, machines: usize) {
         self.capacity = machines;
     }
 
-    /// Refuses all calls until then.
+    /// Begins an outage: the cloud refuses all calls until `until`.
     pub(super) fn begin_outage(&mut self, until: Micros) {
         self.outage_until = until;
     }
 
-    /// Machines that are rented until then come up late, and a third of them never.
+    /// Slows provisioning: machines rented before `until` boot late, and a third of them never
+    /// boots.
     pub(super) fn slow_provisioning(&mut self, until: Micros) {
         self.slow_provisioning_until = until;
     }
@@ -82,7 +83,7 @@
 }
 
 impl World {
-    /// The response to a call to the cloud.
+    /// Handles a call to the cloud and returns the response.
     pub(super) fn serve_cloud(&mut self, path: &str, body: &Value) -> Response {
         if self.now < self.cloud.outage_until {
             return response(503, json!({"error": "trouble"}));
@@ -106,7 +107,8 @@
         response(200, json!({}))
     }
 
-    /// Rents machines, as many as there are; a repeated call gets the machines of the first.
+    /// Rents up to the requested number of machines, limited by the free capacity. A repeated call
+    /// with the same idempotency key returns the machines of the first call.
     fn rent_machines(&mut self, body: &Value) -> Response {
         let idempotency_key = body["tenancy"].as_str().unwrap().to_owned();
         if let Some(machines) = self.cloud.rentals.get(&idempotency_key) {
@@ -135,19 +137,19 @@
         };
         self.cloud.machines.insert(machine.clone(), rental);
         let mut ready_at = self.now + self.rng.u64(1..10) * SECOND;
-        let mut comes_up = true;
+        let mut will_boot = true;
         if self.now < self.cloud.slow_provisioning_until {
             self.observations.impaired_boots += 1;
             ready_at += self.rng.u64(60..140) * SECOND;
-            comes_up = self.rng.u32(0..3) != 0;
+            will_boot = self.rng.u32(0..3) != 0;
         }
-        if comes_up {
+        if will_boot {
             self.schedule(ready_at, Event::MachineReady(machine.clone()));
         }
         machine
     }
 
-    /// The machines as they were a while ago.
+    /// Lists the machines that were rented 8 to 16 seconds ago: the cloud's list lags behind.
     fn list_machines(&mut self) -> Response {
         let at = self.now.saturating_sub(self.rng.u64(8..16) * SECOND);
         let rented = self.cloud.machines.iter();
--- a/src/simulation/controllers.rs
+++ b/src/simulation/controllers.rs
@@ -1,5 +1,5 @@
-//! The controllers under test: the processes, their clocks, restarts and pauses, and the
-//! partitions between one of them and the rest of the world.
+//! The controllers under test: their processes, clocks, restarts and pauses, and the network
+//! partitions around a single controller.
 
 use std::collections::BTreeMap;
 
@@ -15,26 +15,27 @@
 use super::trace_digest;
 use super::world::World;
 
-/// Wall-clock time at the beginning of every simulated day.
+/// Wall-clock time at the start of every simulated day.
 pub(super) const WALL_CLOCK_EPOCH: Micros = 1_000_000_000_000;
 
-/// Calls of each run of a process are numbered from a multiple of this.
+/// Interval between the first call numbers of successive runs of a process.
 const CALLS_PER_RUN: u64 = 1_000_000;
 
-/// Each controller's steady clock gains one part in this many, times its index.
+/// Inverse of the drift rate of the steady clocks: a controller's clock gains `index / CLOCK_DRIFT`
+/// of the elapsed time.
 const CLOCK_DRIFT: u64 = 4000;
 
-/// How calls over a partitioned connection fail.
+/// How calls fail during a partition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ConnectionFailure {
-    /// They get no answer, and some are executed after the partition.
+    /// The calls get no response, and some are executed after the partition.
     #[default]
     Hang,
-    /// Connections are reset at once.
+    /// The connections are reset immediately.
     Reset,
 }
 
-/// Until when one controller is partitioned from each kind of other party.
+/// Times until which a controller is partitioned from each of its kinds of counterparts.
 #[derive(Default)]
 pub(super) struct Partitions {
     pub store_until: Micros,
@@ -44,45 +45,45 @@
     pub users_until: Micros,
 }
 
-/// One controller and what its surroundings do to it.
+/// A simulated controller with the faults that affect it.
 #[derive(Default)]
 pub(super) struct SimulatedController {
     process: Option<Controller<SimNet>>,
     net: SimNet,
     started_at: Micros,
-    /// How many times the process was started.
+    /// Number of times that the process was started.
     run: u64,
-    /// The number of the timer that was set last; earlier ones are outdated.
+    /// Number of the timer set last; earlier timers are ignored.
     timer: u64,
-    /// Requests without a response yet, by connection.
+    /// Requesters that wait for a response, by connection.
     requesters: BTreeMap<u32, Requester>,
     last_connection: u32,
     pub partitions: Partitions,
-    /// Until when the state service refuses this controller alone.
+    /// Time until which the state service refuses this controller only.
     pub refused_until: Micros,
-    /// Until when a restart is held back.
+    /// Earliest time of a restart.
     pub down_until: Micros,
-    /// Until when the process is paused while its clocks go on.
+    /// Time until which the process is paused while its clocks advance.
     pub paused_until: Micros,
 }
 
 impl SimulatedController {
-    /// The process, if it runs.
+    /// Returns the process if it is running.
     pub(super) fn process(&self) -> Option<&Controller<SimNet>> {
         self.process.as_ref()
     }
 
-    /// The number of the current run of the process.
+    /// Returns the number of the current run of the process.
     pub(super) fn run(&self) -> u64 {
         self.run
     }
 
-    /// Forgets the requester on a connection and returns it.
+    /// Removes the requester of a connection and returns it.
     pub(super) fn take_requester(&mut self, id: ConnectionId) -> Option<Requester> {
         self.requesters.remove(&id.generation)
     }
 
-    /// Ends the process, if it runs, and returns the requesters whose connections break.
+    /// Kills the process if it is running, and returns the requesters whose connections break.
     pub(super) fn kill(&mut self) -> Option<Vec<Requester>> {
         self.process.take()?;
         let requesters = std::mem::take(&mut self.requesters);
@@ -132,7 +133,7 @@
         self.step_controller(index, None);
     }
 
-    /// Hands a request to a controller, or fails it if the process doesn't run.
+    /// Delivers a request to a controller, or fails the request if the process is not running.
     pub(super) fn receive_request(&mut self, index: usize, request: Request, requester: Requester) {
         if self.controllers[index].process.is_none() {
             return self.fail_request(requester);
@@ -141,7 +142,7 @@
         self.step_controller(index, Some(NetEvent::Request(id, request)));
     }
 
-    /// Hands a message to a controller.
+    /// Delivers a peer message to a controller.
     pub(super) fn receive_peer_message(&mut self, index: usize, payload: Vec<u8>) {
         let id = ConnectionId {
             slot: 0,
@@ -150,15 +151,15 @@
         self.step_controller(index, Some(NetEvent::Frame(id, payload)));
     }
 
-    /// A controller's timer has run out.
+    /// Handles the expiry of a controller's timer.
     pub(super) fn on_controller_timer(&mut self, index: usize, timer: u64) {
         if self.controllers[index].timer == timer {
             self.step_controller(index, None);
         }
     }
 
-    /// Lets a controller handle an event, delivers what it sends and sets its next timer.
-    /// Does nothing while the process doesn't run.
+    /// Passes an event to a controller, delivers what the controller sends, and sets its next
+    /// timer. Does nothing if the process is not running.
     pub(super) fn step_controller(&mut self, index: usize, event: Option<NetEvent>) {
         set_log_position(self.now, index);
         let now = self.now;
--- a/src/simulation/days.rs
+++ b/src/simulation/days.rs
@@ -1,4 +1,4 @@
-//! Days: what a simulated day is made of, and the tables of days that tests play.
+//! Definitions of simulated days, and the tables of days that tests run.
 
 pub(super) mod compound_failures;
 pub(super) mod partial_failures;
@@ -14,22 +14,23 @@
 
 pub(super) use super::faults::at;
 
-/// Mixed into a seed for the draws of a day's faults.
+/// XORed with a day's seed to seed the generator that draws the day's faults.
 const FAULTS_SEED: u64 = 0x3ee7;
 
-/// Everything that is set about a day before it begins.
+/// Parameters of a day, fixed before the day begins.
 pub(super) struct Plan {
     pub seed: u64,
     pub faults: Vec<PlannedFault>,
-    /// How many jobs are drawn.
+    /// Number of jobs drawn.
     pub jobs: u32,
-    /// Jobs are submitted in the first half of this time.
+    /// Nominal end of the day; jobs are submitted in the first half.
     pub end: Micros,
     pub workload: Workload,
 }
 
 impl Plan {
-    /// A day of four minutes with 24 jobs of all kinds and no faults; set what differs.
+    /// Returns a day of four minutes with 24 jobs of all kinds and no faults, as the base for other
+    /// plans.
     pub(super) fn quiet(seed: u64) -> Self {
         Plan {
             seed,
@@ -41,19 +42,19 @@
     }
 }
 
-/// A day of a table. A day that can't bring about its faults proves nothing, so each says how
-/// it is known that it did.
+/// A day of a table. A day whose intended situation never occurs proves nothing, so each day has a
+/// condition that verifies the occurrence.
 pub(super) struct Day {
     pub name: &'static str,
     /// Draws the faults.
     pub faults: fn(&mut fastrand::Rng) -> Vec<PlannedFault>,
     pub workload: Workload,
-    /// Whether what the day is for has occurred.
+    /// Whether the situation that the day tests has occurred.
     pub occurred: fn(&Observations) -> bool,
 }
 
 impl Day {
-    /// The day of one seed.
+    /// Returns the day's plan for a seed.
     pub(super) fn plan(&self, seed: u64) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed ^ FAULTS_SEED);
         let jobs = match self.workload {
@@ -70,12 +71,12 @@
     }
 }
 
-/// The days of both tables of failures.
+/// Returns the days of both tables of failures.
 pub(super) fn all() -> impl Iterator<Item = &'static Day> {
     compound_failures::days().chain(partial_failures::days())
 }
 
-/// The day of that name.
+/// Returns the day with a given name. Panics if there is none.
 pub(super) fn named(name: &str) -> &'static Day {
     let found = all().find(|day| day.name == name);
     found.unwrap_or_else(|| panic!("no day is named {name}"))
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -1,4 +1,4 @@
-//! What can happen in the simulated world, and the queue that orders it by simulated time.
+//! Events of the simulation, and the queue that orders them by simulated time.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use super::users::UserAction;
 use super::workers::Heartbeat;
 
-/// Whoever sent a request to a controller, and so gets its response.
+/// Sender of a request to a controller, who receives the response.
 #[derive(Clone)]
 pub(super) enum Requester {
     /// A worker that sent a heartbeat.
@@ -21,40 +21,41 @@
         action: UserAction,
         sent_at: Micros,
     },
-    /// The request was a delayed duplicate: the sender of the original no longer waits.
+    /// Nobody receives the response: the request is a delayed duplicate, whose original sender no
+    /// longer waits.
     Nobody,
-    /// A request that a test sends itself, by number.
+    /// A test that sent the request directly; the number identifies the request.
     Probe(u32),
 }
 
-/// The process of a controller that made a call to an outside service.
+/// Origin of a call to an outside service: a controller's process and the call's number.
 #[derive(Clone, Copy)]
 pub(super) struct Caller {
     pub controller: usize,
-    /// Which run of the controller's process it was; responses to earlier runs are dropped.
+    /// Number of the run of the controller's process; responses to earlier runs are dropped.
     pub run: u64,
     pub id: CallId,
 }
 
 impl Caller {
-    /// The run number of callers that have given up: no process ever has it.
-    const GIVEN_UP: u64 = u64::MAX;
+    /// Run number of callers whose call has timed out; no process ever has this number.
+    const TIMED_OUT_RUN: u64 = u64::MAX;
 
-    /// The same caller after its time-out: the call may still be executed, but the response
-    /// goes nowhere.
-    pub(super) fn given_up(self) -> Self {
+    /// Returns the caller after its timeout: the call may still be executed, but its response is
+    /// dropped.
+    pub(super) fn timed_out(self) -> Self {
         Caller {
-            run: Self::GIVEN_UP,
+            run: Self::TIMED_OUT_RUN,
             ..self
         }
     }
 }
 
-/// Something that happens at one simulated time.
+/// An event at one point of simulated time.
 pub(super) enum Event {
     /// A controller's process starts.
     StartController(usize),
-    /// A controller asked to be called again by now; outdated timers are ignored.
+    /// A controller's timer expires; only the timer set last counts.
     ControllerTimer { controller: usize, timer: u64 },
     /// A request reaches a controller.
     Request {
@@ -68,24 +69,24 @@
     ServiceCall(Caller, Call),
     /// The result of a call reaches the controller that made it.
     CallResult(Caller, Result<Response, CallError>),
-    /// A message from another controller.
+    /// A message from a peer reaches a controller.
     PeerMessage { controller: usize, payload: Vec<u8> },
-    /// A rented machine has come up.
+    /// A rented machine has booted.
     MachineReady(String),
-    /// A worker sends its next heartbeat; outdated timers are ignored.
+    /// A worker's heartbeat is due; only the timer set last counts.
     HeartbeatDue { machine: String, timer: u64 },
-    /// Tasks on a machine may have reached their end.
+    /// Tasks on a machine may have reached the end of their run time.
     TasksDue { machine: String, incarnation: u64 },
-    /// The user of a job asks for something.
+    /// The user of a job sends a request.
     User { job: String, action: UserAction },
-    /// A watch on the state service has waited as long as it asked for.
+    /// A watch on the state service reaches its requested maximum wait.
     WatchTimeout(u64),
-    /// A planned fault happens.
+    /// A planned fault begins.
     Fault(Fault),
 }
 
 impl Event {
-    /// The controller whose process has to run for this event.
+    /// Returns the controller whose process handles this event, if any.
     pub(super) fn receiver(&self) -> Option<usize> {
         match self {
             Event::ControllerTimer { controller, .. }
@@ -97,7 +98,7 @@
     }
 }
 
-/// Events by time; those of one time in the order in which they were scheduled.
+/// Events ordered by time; events at the same time keep the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BTreeMap<(Micros, u64), Event>,
@@ -105,13 +106,13 @@
 }
 
 impl EventQueue {
-    /// Adds an event.
+    /// Adds an event at a time.
     pub(super) fn push(&mut self, at: Micros, event: Event) {
         self.last_sequence += 1;
         self.events.insert((at, self.last_sequence), event);
     }
 
-    /// Takes the next event if it happens no later than `end`.
+    /// Removes and returns the next event and its time, if the event happens no later than `end`.
     pub(super) fn pop_until(&mut self, end: Micros) -> Option<(Micros, Event)> {
         let (&(at, _), _) = self.events.first_key_value()?;
         if at > end {
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -1,5 +1,4 @@
-//! The faults that a day may hold: which there are, how long they last, and how each is
-//! brought about.
+//! The faults that can be planned for a day, their durations, and their injection.
 
 mod injection;
 
@@ -7,12 +6,12 @@
 
 use super::controllers::ConnectionFailure;
 
-/// Delayed commits are executed within this time.
-const LONGEST_COMMIT_DELAY: Micros = 12 * SECOND;
-/// How long a fault that happens at one moment excuses a lack of progress.
+/// Maximum delay of a commit that is executed late.
+const MAX_COMMIT_DELAY: Micros = 12 * SECOND;
+/// Time after an instantaneous fault during which a lack of progress is no violation.
 const SETTLING_TIME: Micros = 5 * SECOND;
 
-/// A fault of a day's plan and when it happens.
+/// A fault of a day's plan and its start time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct PlannedFault {
     pub at: Micros,
@@ -20,13 +19,13 @@
 }
 
 impl PlannedFault {
-    /// From then on invariants about progress hold, if there are no other faults.
+    /// Returns the time from which the invariants on progress apply if there are no other faults.
     pub(super) fn settled_at(&self) -> Micros {
         self.at + self.fault.duration() + self.fault.settling_time()
     }
 }
 
-/// Plans a fault at a time in seconds since the day began.
+/// Plans a fault; `seconds` is the time since the start of the day.
 pub(super) fn at(seconds: f64, fault: Fault) -> PlannedFault {
     PlannedFault {
         at: (seconds * SECOND as f64) as Micros,
@@ -34,108 +33,114 @@
     }
 }
 
-/// A fault; a `usize` is the index of a controller, a time how long the fault lasts.
+/// A fault. A `usize` is the index of a controller, a [`Micros`] the duration of the fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fault {
-    /// A controller's process ends, and starts again after 0.2 s or 5 s.
+    /// A controller's process is killed and restarted after 0.2 s or 5 s.
     CrashController(usize),
-    /// A controller's process ends, and starts again within a second.
+    /// A controller's process is killed and restarted within a second.
     RestartController(usize),
-    /// The same for the leader.
+    /// The leader's process is killed and restarted within a second.
     RestartLeader,
-    /// No controller runs for so long.
+    /// All controllers are down.
     AllControllersDown(Micros),
-    /// A controller's process is paused while its clocks go on; all that comes to it waits.
+    /// A controller's process is paused while its clocks advance; events for it are held back until
+    /// the pause ends.
     PauseController(usize, Micros),
-    /// The same for the leader.
+    /// The leader's process is paused in the same way.
     PauseLeader(Micros),
 
-    /// A controller can't reach the state service; half of what it had sent is executed when
-    /// the partition ends.
+    /// A controller cannot reach the state service; half of its POST calls are executed
+    /// when the partition ends.
     PartitionFromStore(usize, Micros),
-    /// A controller and all workers can't reach each other; half of their heartbeats arrive when
+    /// A controller and all workers cannot reach each other; half of their heartbeats arrive when
     /// the partition ends.
     PartitionFromWorkers(usize, Micros),
-    /// A controller and its peers can't reach each other; their messages are lost.
+    /// A controller and its peers cannot reach each other; their messages are lost.
     PartitionFromPeers(usize, Micros),
-    /// Users can't reach a controller and turn to the others.
+    /// Users cannot reach a controller and send their requests to the others.
     PartitionFromUsers(usize, Micros),
-    /// A controller can reach neither the state service nor its peers, but its workers.
+    /// A controller can reach its workers, but neither the state service nor its peers.
     IsolateController(usize, Micros, ConnectionFailure),
-    /// The same, and the machines that report to it reach no other controller.
+    /// A controller is isolated as in [`Fault::IsolateController`], and the machines that report to
+    /// that controller cannot reach any other.
     PartitionZone(usize, Micros),
-    /// Half of the machines reach no controller.
+    /// Half of the machines cannot reach any controller.
     PartitionWorkers(Micros),
-    /// Duplicates of heartbeats arrive late, up to three leases.
+    /// Duplicates of heartbeats arrive late, by up to three lease durations.
     DuplicateHeartbeats(Micros),
     /// Responses to workers are delayed by up to 6 s.
     DelayWorkerResponses(Micros),
 
     /// The state service refuses all controllers.
     StoreOutage(Micros),
-    /// The state service refuses the leader alone.
+    /// The state service refuses the leader only.
     StoreRefusesLeader(Micros),
-    /// The state service answers slowly.
+    /// The state service responds slowly.
     SlowStore(Micros),
-    /// A third of the commits get no answer and are executed 2 to 12 s later.
+    /// A third of the commits get no response and are executed 2 to 12 s later.
     DelayCommits(Micros),
-    /// The state service takes only 4 changes a transaction and values of 2 KiB from now on.
+    /// From now on the state service accepts at most 4 changes per transaction and values of at
+    /// most
+    /// 2 KiB.
     LowerStoreLimits,
-    /// The state service's records are backed up, to be restored later.
+    /// The state service's records are backed up, for a restore by a later [`Fault::LoseRecords`].
     BackUpStore,
     /// The state service loses records.
     LoseRecords(RecordLoss),
 
     /// The cloud refuses all calls.
     CloudOutage(Micros),
-    /// Machines that are rented come up ten times as late, every third never.
+    /// Rented machines take about ten times as long to boot, and a third of them never boots.
     SlowProvisioning(Micros),
-    /// A machine fails for good.
+    /// A machine fails permanently.
     FailMachine,
-    /// A machine's worker and tasks stand still.
+    /// A machine's worker and tasks are paused.
     PauseMachine(Micros),
-    /// A machine reboots at once, with its numbering started afresh.
+    /// A machine reboots immediately, and its incarnations and heartbeats are numbered from the
+    /// start again.
     RebootMachine,
-    /// Responses don't arrive at a machine, though its heartbeats are received.
+    /// Responses do not reach a machine, although its heartbeats are received.
     LoseResponsesToMachine(Micros),
 
-    /// Users cancel jobs that run, within a fifth of a second.
+    /// Users cancel running jobs within 0.2 s.
     CancelRunningJobs(CancelRunning),
-    /// Jobs are cancelled as their last task is done.
+    /// Users cancel jobs when the last task is done.
     CancelOnCompletion(Micros),
-    /// Users query thirty times as often.
+    /// Users query the status of their jobs thirty times as often.
     QueryBurst(Micros),
 }
 
-/// Which running jobs are cancelled, and what else befalls their machines.
+/// How many running jobs are cancelled, and for how long their machines are paused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct CancelRunning {
-    /// Most jobs to cancel.
+    /// Maximum number of jobs to cancel.
     pub jobs: usize,
-    /// The machines on which they run are paused for so long.
+    /// Duration for which the machines that run these jobs are paused.
     pub machine_pause: Micros,
 }
 
-/// What the state service loses.
+/// The records that the state service loses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordLoss {
-    /// Everything.
+    /// All records.
     All,
-    /// What came after the backup.
+    /// All changes since the backup.
     SinceBackup,
-    /// The same, and its revision is past the one that was lost.
+    /// All changes since the backup, after which new changes raise the revision above the lost one.
     SinceBackupAndGrown,
-    /// Every other job, with nothing to show it.
+    /// Every other job record, while the revision and all other records stay.
     SomeJobs,
 }
 
 impl Fault {
-    /// Cancels up to `jobs` running jobs.
+    /// Returns a fault that cancels up to `jobs` running jobs.
     pub(super) fn cancel_running(jobs: usize) -> Self {
         Self::cancel_running_and_pause(jobs, 0)
     }
 
-    /// Cancels up to `jobs` running jobs, and pauses the machines on which they run.
+    /// Returns a fault that cancels up to `jobs` running jobs and pauses the machines that run
+    /// them.
     pub(super) fn cancel_running_and_pause(jobs: usize, machine_pause: Micros) -> Self {
         Fault::CancelRunningJobs(CancelRunning {
             jobs,
@@ -143,7 +148,7 @@
         })
     }
 
-    /// How long the fault lasts; 0 if it happens at one moment.
+    /// Returns the duration of the fault; 0 if the fault is instantaneous.
     pub(super) fn duration(&self) -> Micros {
         match self {
             Fault::AllControllersDown(duration)
@@ -180,12 +185,12 @@
         }
     }
 
-    /// How long after its end the fault still has effects that excuse a lack of progress.
+    /// Returns the time after the fault's end during which its effects excuse a lack of progress.
     fn settling_time(&self) -> Micros {
         match self {
-            Fault::DelayCommits(_) => LONGEST_COMMIT_DELAY,
+            Fault::DelayCommits(_) => MAX_COMMIT_DELAY,
             Fault::CancelRunningJobs(_) => 0,
-            momentary if momentary.duration() == 0 => SETTLING_TIME,
+            instantaneous if instantaneous.duration() == 0 => SETTLING_TIME,
             _ => 0,
         }
     }
--- a/src/simulation/faults/injection.rs
+++ b/src/simulation/faults/injection.rs
@@ -1,4 +1,4 @@
-//! Brings about the faults of a day's plan.
+//! Injects the faults of a day's plan.
 
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
@@ -11,15 +11,16 @@
 
 use super::{CancelRunning, Fault};
 
-/// Limits of the state service after [`Fault::LowerStoreLimits`].
+/// Maximum number of changes per transaction after [`Fault::LowerStoreLimits`].
 const LOWERED_TRANSACTION_CHANGES: usize = 4;
+/// Maximum length of a value after [`Fault::LowerStoreLimits`].
 const LOWERED_VALUE_BYTES: usize = 2048;
 
-/// After a crash a controller is started again at once or after a while.
+/// Delays after which a crashed controller restarts; one of them is drawn.
 const CRASH_RESTART_DELAYS: [Micros; 2] = [SECOND / 5, 5 * SECOND];
 
 impl World {
-    /// Brings about a fault now.
+    /// Injects a fault now.
     pub(crate) fn inject(&mut self, fault: Fault) {
         let now = self.now;
         let until = now + fault.duration();
@@ -51,11 +52,11 @@
 
             Fault::CloudOutage(_) => self.cloud.begin_outage(until),
             Fault::SlowProvisioning(_) => self.cloud.slow_provisioning(until),
-            Fault::FailMachine => self.change_any_worker(Worker::fail),
-            Fault::PauseMachine(_) => self.change_any_worker(|w| w.paused_until = until),
-            Fault::RebootMachine => self.change_any_worker(|w| w.reboot(now)),
+            Fault::FailMachine => self.change_random_worker(Worker::fail),
+            Fault::PauseMachine(_) => self.change_random_worker(|w| w.paused_until = until),
+            Fault::RebootMachine => self.change_random_worker(|w| w.reboot(now)),
             Fault::LoseResponsesToMachine(_) => {
-                self.change_any_worker(|w| w.responses_lost_until = until);
+                self.change_random_worker(|w| w.responses_lost_until = until);
             }
 
             Fault::CancelRunningJobs(cancel) => self.cancel_running_jobs(cancel),
@@ -73,8 +74,8 @@
         &mut self.controllers[leader]
     }
 
-    /// Changes the worker of one machine, any of those there are.
-    fn change_any_worker(&mut self, change: impl FnOnce(&mut Worker)) {
+    /// Applies a change to the worker of a random machine.
+    fn change_random_worker(&mut self, change: impl FnOnce(&mut Worker)) {
         if self.workers.is_empty() {
             return;
         }
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Ends a controller's process; false if there was none.
+    /// Kills a controller's process. Returns false if the process was not running.
     fn kill_controller(&mut self, index: usize) -> bool {
         let Some(requesters) = self.controllers[index].kill() else {
             return false;
@@ -139,8 +140,8 @@
 
     fn partition_zone(&mut self, index: usize, until: Micros) {
         self.isolate(index, until, ConnectionFailure::Hang);
-        let inside = |worker: &&mut Worker| worker.controller == index;
-        for worker in self.workers.values_mut().filter(inside) {
+        let is_inside = |worker: &&mut Worker| worker.controller == index;
+        for worker in self.workers.values_mut().filter(is_inside) {
             worker.zone_partition = ZonePartition {
                 controller: index,
                 until,
@@ -151,15 +152,15 @@
     fn cancel_running_jobs(&mut self, cancel: CancelRunning) {
         let mut jobs: Vec<String> = Vec::new();
         for worker in self.workers.values_mut() {
-            let mut cancels_any = false;
+            let mut any_cancelled = false;
             for (task, _) in worker.tasks.iter().filter(|(_, t)| !t.has_ended()) {
                 let (job, _) = task_id(task);
                 if jobs.len() < cancel.jobs && !jobs.iter().any(|known| known == job) {
                     jobs.push(job.to_owned());
-                    cancels_any = true;
+                    any_cancelled = true;
                 }
             }
-            if cancels_any {
+            if any_cancelled {
                 let resumed_at = self.now + cancel.machine_pause;
                 worker.paused_until = worker.paused_until.max(resumed_at);
             }
--- a/src/simulation/invariants.rs
+++ b/src/simulation/invariants.rs
@@ -1,12 +1,13 @@
-//! The rules that hold on every day. Those for starts ([`starts`]) and for responses to users
-//! are checked as these happen; [`World::check_invariants`] checks the others every few seconds.
+//! The invariants, which hold on every day. The invariants on starts of tasks ([`starts`]) and on
+//! responses to users are checked at each start and response; [`World::check_invariants`] checks
+//! the others every few seconds.
 //!
-//! A violation is recorded with the rule's name and what was seen; the day ends there.
+//! A violation is recorded with the invariant's name and the details observed, and ends the day.
 
 mod starts;
 mod waiting;
 
-pub(super) use waiting::NeedlessWait;
+pub(super) use waiting::StartableJob;
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,41 +19,41 @@
 use super::world::World;
 use super::CANCEL_DEADLINE;
 
-/// Once all faults are over, an accepted job has an answer at least this often.
-const LONGEST_SILENCE: Micros = 75 * SECOND;
+/// Maximum time without a response about an accepted job, once all faults are over.
+const MAX_RESPONSE_GAP: Micros = 75 * SECOND;
 
-/// Tolerance of sums of processors and memory.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for rounding errors in sums of processors and memory.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// A rule of the protocol.
+/// An invariant of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rule {
-    /// A task runs on one machine at a time.
+    /// A task runs on at most one machine at a time.
     RanTwice,
-    /// Nothing of a cancelled job runs after the deadline.
+    /// No task of a cancelled job runs after the deadline.
     RanCancelled,
-    /// No task starts before all that its job needs is done.
+    /// No task starts before all dependencies of its job are done.
     TooEarly,
-    /// Tasks run on machines that will do.
+    /// Tasks run only on machines that meet their job's requirements.
     WrongPlace,
-    /// No team uses more than its limit.
+    /// No team uses more than its quota.
     Quota,
-    /// What was accepted is known, and answered about.
+    /// Accepted jobs stay known, and requests about them are answered.
     Forgotten,
-    /// A refusal says when to try again.
+    /// A refusal tells the user when to retry.
     NoRetryAfter,
-    /// A final stage stays.
+    /// A final stage never changes.
     WentBack,
-    /// A job is cancelled with those that it needs.
+    /// A job is cancelled when one of its dependencies is cancelled.
     Orphaned,
-    /// A job is done only with every task's result.
+    /// A job is done only when every task has a result.
     NotDone,
-    /// No job waits for long beside free capacity.
+    /// No job waits for long while there is free capacity for it.
     Waits,
 }
 
 impl Rule {
-    /// The protocol's name for a violation of the rule.
+    /// Returns the protocol's name for a violation of the invariant.
     pub(super) fn name(self) -> &'static str {
         match self {
             Rule::RanTwice => "ran_twice",
@@ -70,52 +71,52 @@
     }
 }
 
-/// A violation of a rule, and what was seen of it.
+/// A violation of an invariant, with the details observed.
 #[derive(Clone)]
 pub(super) struct Violation {
     pub at: Micros,
     pub rule: Rule,
-    pub seen: String,
+    pub details: String,
 }
 
 impl fmt::Debug for Violation {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seconds = self.at as f64 / SECOND as f64;
-        write!(out, "{seconds:.3} {}: {}", self.rule.name(), self.seen)
+        write!(out, "{seconds:.3} {}: {}", self.rule.name(), self.details)
     }
 }
 
 impl World {
-    /// Checks what is checked every few seconds of a day.
+    /// Checks the invariants that are checked periodically.
     pub(super) fn check_invariants(&mut self) {
         self.check_cancelled();
         self.check_answered();
         self.check_waiting();
     }
 
-    /// Records the violation of a rule.
-    pub(super) fn violate(&mut self, rule: Rule, seen: String) {
+    /// Records the violation of an invariant.
+    pub(super) fn record_violation(&mut self, rule: Rule, details: String) {
         let at = self.now;
-        self.violations.push(Violation { at, rule, seen });
+        self.violations.push(Violation { at, rule, details });
     }
 
-    /// Whether a rule was violated.
+    /// Whether an invariant was violated.
     pub(super) fn has_violated(&self, rule: Rule) -> bool {
         self.violations.iter().any(|v| v.rule == rule)
     }
 
-    /// The job that a task is a part of.
+    /// Returns the job that a task belongs to.
     fn job_of(&self, task: &str) -> &Job {
         &self.users.jobs[task_id(task).0]
     }
 
-    /// A job that must be done before this one and isn't.
-    fn open_dependency<'a>(&self, job: &'a Job) -> Option<&'a String> {
+    /// Returns a dependency of a job that is not done.
+    fn unfinished_dependency<'a>(&self, job: &'a Job) -> Option<&'a String> {
         let is_open = |id: &&String| !self.users.jobs[*id].has_all_results();
         job.dependencies.iter().find(is_open)
     }
 
-    /// Checks that no team's tasks use more than its limit.
+    /// Checks that no team's tasks use more than the team's quota.
     pub(super) fn check_quota(&mut self) {
         let mut used: BTreeMap<&'static str, f64> = BTreeMap::new();
         for (_, worker) in self.live_workers() {
@@ -128,34 +129,34 @@
             let limit = self.cpu_limit(team);
             let peak = self.observations.peak_quota_use;
             self.observations.peak_quota_use = peak.max(used / limit);
-            if used > limit + ROUNDING {
-                self.violate(Rule::Quota, format!("{team} uses {used} of {limit}"));
+            if used > limit + ROUNDING_TOLERANCE {
+                self.record_violation(Rule::Quota, format!("{team} uses {used} of {limit}"));
             }
         }
     }
 
-    /// The processors that a team may use.
+    /// Returns the number of processors that a team may use.
     fn cpu_limit(&self, team: &str) -> f64 {
         let limit = self.settings[0].team(team).unwrap().limit;
         limit.map_or(f64::INFINITY, |l| l.cpus as f64 / 1e6)
     }
 
-    /// Once all faults are over, no accepted job is left without an answer, however the others
-    /// fare, and whether it is done or not.
+    /// Checks that requests about every accepted job, finished or not, are answered once all faults
+    /// are over. Each job is checked on its own, independently of responses about other jobs.
     pub(super) fn check_answered(&mut self) {
-        let is_silent = |job: &Job| {
+        let is_unanswered = |job: &Job| {
             let since = job.last_answered_at.max(self.faults_end);
-            job.accepted && self.now > since + LONGEST_SILENCE
+            job.accepted && self.now > since + MAX_RESPONSE_GAP
         };
-        let silent = self.users.jobs.iter().filter(|(_, job)| is_silent(job));
-        let silent: Vec<String> = silent.map(|(id, _)| id.clone()).collect();
-        for id in silent {
-            self.violate(Rule::Forgotten, format!("{id}: no answer for 75 s"));
+        let unanswered = self.users.jobs.iter().filter(|(_, job)| is_unanswered(job));
+        let unanswered: Vec<String> = unanswered.map(|(id, _)| id.clone()).collect();
+        for id in unanswered {
+            self.record_violation(Rule::Forgotten, format!("{id}: no response for 75 s"));
         }
     }
 
-    /// Checks that every cancelled job's tasks are gone in time, those on paused machines
-    /// included.
+    /// Checks that the tasks of cancelled jobs, including those on paused machines, end before the
+    /// deadline.
     pub(super) fn check_cancelled(&mut self) {
         let is_late = |task: &str| {
             let confirmed_at = self.job_of(task).cancel_confirmed_at;
@@ -165,11 +166,11 @@
         let late = active.map(|(task, _)| task).filter(|task| is_late(task));
         let late: Vec<String> = late.cloned().collect();
         for task in late {
-            self.violate(Rule::RanCancelled, task);
+            self.record_violation(Rule::RanCancelled, task);
         }
     }
 
-    /// Workers that have not lost their tasks.
+    /// Returns the workers that have not lost their tasks.
     pub(super) fn live_workers(&self) -> impl Iterator<Item = (&String, &Worker)> {
         let workers = self.workers.iter();
         workers.filter(|(_, worker)| !worker.has_lost_tasks(self.now))
--- a/src/simulation/invariants/waiting.rs
+++ b/src/simulation/invariants/waiting.rs
@@ -1,4 +1,4 @@
-//! The rule that no job waits for long beside free capacity.
+//! Invariant that no job waits for long while there is free capacity for it.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +7,20 @@
 use crate::simulation::world::World;
 use salttiller_records::units::{Micros, SECOND};
 
-use super::{Rule, ROUNDING};
+use super::{Rule, ROUNDING_TOLERANCE};
 
-/// Once all faults are over, a job that could run waits no longer than this.
-const LONGEST_NEEDLESS_WAIT: Micros = 90 * SECOND;
+/// Maximum time that a job which could start more tasks waits for a start, once all faults are
+/// over.
+const STARVATION_LIMIT: Micros = 90 * SECOND;
 
-/// Capacity of a machine that no task uses.
+/// Unused capacity of a machine.
 struct FreeCapacity {
     spot: bool,
     cpus: f64,
     memory_gb: f64,
 }
 
-/// What tasks use of the machines.
+/// The machines' free capacity, and what the running tasks of each team and job use.
 #[derive(Default)]
 struct ClusterUsage {
     free: Vec<FreeCapacity>,
@@ -27,51 +28,53 @@
     tasks_by_job: BTreeMap<String, u32>,
 }
 
-/// Whether a job could run more tasks now.
-enum Outlook {
-    /// It waits for nothing but time or other jobs.
+/// Whether a job could start more tasks now, and if not, why.
+enum WaitStatus {
+    /// The job is not accepted, is over, has all its tasks, or waits for its dependencies.
     NotWaiting,
+    /// The machines lack free capacity for the job's next tasks.
     NoCapacity,
+    /// The job's next tasks would exceed the team's quota.
     OverLimit,
-    /// It could; what speaks for that.
-    CouldRun(String),
+    /// The job could start more tasks; the text holds the evidence.
+    Startable(String),
 }
 
 impl World {
-    /// Once all faults are over, no job waits for long while machines have capacity for what
-    /// it lacks and its team is under its limit.
+    /// Checks that, once all faults are over, no job waits for long while there is free capacity
+    /// for its next tasks and its team stays within its quota.
     pub(crate) fn check_waiting(&mut self) {
         let usage = self.cluster_usage();
         let jobs = self.users.jobs.iter();
-        let outlooks: Vec<(String, Outlook)> = jobs
-            .map(|(id, job)| (id.clone(), self.outlook(id, job, &usage)))
+        let wait_statuses: Vec<(String, WaitStatus)> = jobs
+            .map(|(id, job)| (id.clone(), self.wait_status(id, job, &usage)))
             .collect();
-        for (id, outlook) in outlooks {
-            let no_capacity = matches!(outlook, Outlook::NoCapacity);
+        for (id, wait_status) in wait_statuses {
+            let no_capacity = matches!(wait_status, WaitStatus::NoCapacity);
             self.observations.capacity_shortages += u32::from(no_capacity);
-            match outlook {
-                Outlook::CouldRun(seen) => self.check_needless_wait(id, seen),
-                Outlook::NotWaiting | Outlook::NoCapacity | Outlook::OverLimit => {
-                    self.needless_waits.remove(&id);
+            match wait_status {
+                WaitStatus::Startable(details) => self.check_starvation(id, details),
+                WaitStatus::NotWaiting | WaitStatus::NoCapacity | WaitStatus::OverLimit => {
+                    self.startable_jobs.remove(&id);
                 }
             }
         }
     }
 
-    /// A job could run: checks that it has not been so for long without a start.
-    fn check_needless_wait(&mut self, id: String, seen: String) {
+    /// Checks that a job that could start more tasks has not waited too long since its last start.
+    fn check_starvation(&mut self, id: String, details: String) {
         let starts = self.users.jobs[&id].starts;
-        let now_waiting = NeedlessWait {
+        let current = StartableJob {
             since: self.now,
             starts,
         };
-        let wait = self.needless_waits.entry(id.clone()).or_insert(now_waiting);
+        let wait = self.startable_jobs.entry(id.clone()).or_insert(current);
         if wait.starts != starts {
-            *wait = now_waiting;
+            *wait = current;
         }
         let since = wait.since.max(self.faults_end);
-        if self.now > since + LONGEST_NEEDLESS_WAIT {
-            self.violate(Rule::Waits, format!("{id}: {seen}"));
+        if self.now > since + STARVATION_LIMIT {
+            self.record_violation(Rule::Waits, format!("{id}: {details}"));
         }
     }
 
@@ -100,49 +103,49 @@
         usage
     }
 
-    fn outlook(&self, id: &str, job: &Job, usage: &ClusterUsage) -> Outlook {
+    fn wait_status(&self, id: &str, job: &Job, usage: &ClusterUsage) -> WaitStatus {
         let active = usage.tasks_by_job.get(id).copied().unwrap_or(0);
-        let present = active + job.results.len() as u32;
-        let is_over = job.is_final() || job.cancel_requested;
-        let is_blocked = self.open_dependency(job).is_some();
-        if !job.accepted || is_over || is_blocked || present >= job.tasks {
-            return Outlook::NotWaiting;
+        let started = active + job.results.len() as u32;
+        let is_ending = job.is_final() || job.cancel_requested;
+        let is_blocked = self.unfinished_dependency(job).is_some();
+        if !job.accepted || is_ending || is_blocked || started >= job.tasks {
+            return WaitStatus::NotWaiting;
         }
-        // All tasks of a gang or a service start together.
-        let lacking = match job.kind {
+        // The remaining tasks of a gang or a service start together.
+        let required = match job.kind {
             JobKind::Batch => 1,
-            JobKind::Gang | JobKind::Service => job.tasks - present,
+            JobKind::Gang | JobKind::Service => job.tasks - started,
         };
-        let capacity: u32 = usage.free.iter().map(|free| free.tasks_of(job)).sum();
-        if capacity < lacking {
-            return Outlook::NoCapacity;
+        let capacity: u32 = usage.free.iter().map(|free| free.fitting_tasks(job)).sum();
+        if capacity < required {
+            return WaitStatus::NoCapacity;
         }
         let used = usage.cpus_by_team.get(job.team).copied().unwrap_or(0.0);
         let limit = self.cpu_limit(job.team);
-        if used + f64::from(lacking) * job.cpus > limit + ROUNDING {
-            return Outlook::OverLimit;
+        if used + f64::from(required) * job.cpus > limit + ROUNDING_TOLERANCE {
+            return WaitStatus::OverLimit;
         }
-        Outlook::CouldRun(format!(
-            "{present} of {} tasks present, capacity for {capacity}, team uses {used} of {limit}, {}",
+        WaitStatus::Startable(format!(
+            "{started} of {} tasks started or done, capacity for {capacity}, team uses {used} of {limit}, {}",
             job.tasks, job.submission
         ))
     }
 }
 
-/// Since when a job could run more tasks, and how many starts it had then.
+/// Time since which a job could start more tasks, and its number of starts at that time.
 #[derive(Clone, Copy)]
-pub(crate) struct NeedlessWait {
+pub(crate) struct StartableJob {
     since: Micros,
     starts: u32,
 }
 
 impl FreeCapacity {
-    /// How many tasks of a job it has space for.
-    fn tasks_of(&self, job: &Job) -> u32 {
+    /// Returns the number of tasks of a job that fit the free capacity.
+    fn fitting_tasks(&self, job: &Job) -> u32 {
         if self.spot && !job.spot_allowed {
             return 0;
         }
-        let by_cpus = self.cpus / job.cpus + ROUNDING;
+        let by_cpus = self.cpus / job.cpus + ROUNDING_TOLERANCE;
         by_cpus.min(self.memory_gb).max(0.0) as u32
     }
 }
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -1,8 +1,8 @@
-//! The simulated network: the [`Net`] that each controller's process is given, and what
-//! becomes of each response, call and message under latency, partitions and delays.
+//! Simulated network: the [`Net`] implementation of each controller's process, and the delivery of
+//! responses, calls and messages subject to latency, partitions and delays.
 //!
-//! Partitions that concern one controller are part of it (`controllers::Partitions`); what
-//! concerns the traffic of all is [`NetworkFaults`].
+//! Partitions of one controller are part of that controller (`controllers::Partitions`);
+//! [`NetworkFaults`] holds the faults that affect all traffic.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,21 +18,21 @@
 use super::world::World;
 use super::CONTROLLERS;
 
-/// Shortest time that anything takes on the network; the longest is twice that.
+/// Minimum network latency; the maximum is twice this value.
 const LATENCY: Micros = MILLISECOND;
 
-/// Longest extra delay of a response to a worker, in milliseconds.
+/// Maximum additional delay of a response to a worker, in milliseconds.
 const MAX_RESPONSE_DELAY_MS: u64 = 6000;
 
-/// After this time a controller notices that the response to its call was lost.
-const LOST_RESPONSE_NOTICED: Micros = 2 * SECOND;
+/// Time after which a controller detects that the response to its call was lost.
+const LOST_RESPONSE_DETECTION_DELAY: Micros = 2 * SECOND;
 
-/// [`Call::dest`] of the state service.
+/// [`Call::destination`] of the state service.
 pub(super) const STATE_SERVICE: usize = 0;
-/// [`Call::dest`] of the cloud.
+/// [`Call::destination`] of the cloud.
 pub(super) const CLOUD: usize = 1;
 
-/// What a controller hands to its network.
+/// Output that a controller passes to the network.
 pub(super) enum Outgoing {
     /// The response to a request on a connection.
     Respond(ConnectionId, Response),
@@ -42,11 +42,11 @@
     Send(usize, Vec<u8>),
     /// The reply to a peer's message on a connection.
     Reply(ConnectionId, Vec<u8>),
-    /// The connections to an outside service are closed.
+    /// A request to close the idle connections to an outside service.
     ResetDest(usize),
 }
 
-/// The network as one run of a controller's process sees it.
+/// Network interface of one run of a controller's process.
 #[derive(Clone, Default)]
 pub(super) struct SimNet {
     state: Rc<RefCell<NetState>>,
@@ -61,25 +61,25 @@
 }
 
 impl SimNet {
-    /// A network whose calls are numbered upwards from `first_call`.
+    /// Creates a network interface whose call numbers begin above `first_call`.
     pub(super) fn new(first_call: CallId) -> Self {
         let net = SimNet::default();
         net.state.borrow_mut().last_call = first_call;
         net
     }
 
-    /// Sets the steady clock and the wall clock that the controller reads.
+    /// Sets the controller's steady clock and wall clock.
     pub(super) fn set_clocks(&self, clock: Micros, wall: Micros) {
         let mut state = self.state.borrow_mut();
         (state.clock, state.wall) = (clock, wall);
     }
 
-    /// The steady clock that the controller reads.
+    /// Returns the controller's steady clock.
     pub(super) fn steady_clock(&self) -> Micros {
         self.state.borrow().clock
     }
 
-    /// Takes all that the controller has handed over since the last time.
+    /// Returns the controller's output since the last call.
     pub(super) fn take_outgoing(&self) -> Vec<Outgoing> {
         std::mem::take(&mut self.state.borrow_mut().outgoing)
     }
@@ -125,20 +125,20 @@
     }
 }
 
-/// Until when each fault of the whole network lasts; 0: there was none.
+/// End times of the faults that affect all traffic; 0 if there was no such fault.
 #[derive(Default)]
 pub(super) struct NetworkFaults {
     /// Responses to workers are delayed by up to [`MAX_RESPONSE_DELAY_MS`].
     pub worker_responses_delayed_until: Micros,
-    /// Duplicates of heartbeats arrive late, at any controller.
+    /// Heartbeats are duplicated, and the duplicates arrive late at a random controller.
     pub heartbeats_duplicated_until: Micros,
-    /// A third of the commits is executed only after its caller has given up.
+    /// A third of the commits get no response and are executed late.
     pub commits_delayed_until: Micros,
-    /// The state service takes up to 1.5 s for each call.
+    /// Calls to the state service take up to 1.5 s.
     pub store_slow_until: Micros,
 }
 
-/// What becomes of a call to an outside service.
+/// Outcome of the delivery of a call to an outside service.
 enum CallDelivery {
     Arrives {
         at: Micros,
@@ -146,25 +146,25 @@
     ConnectionReset {
         at: Micros,
     },
-    /// The caller gets no response; the call may be executed all the same.
+    /// The caller gets no response; the call may still be executed.
     TimesOut {
         executed_at: Option<Micros>,
     },
 }
 
 impl World {
-    /// How long the next message takes.
+    /// Draws the latency of the next message.
     pub(super) fn draw_latency(&mut self) -> Micros {
         LATENCY + self.rng.u64(0..LATENCY)
     }
 
-    /// Delivers, delays or drops what a controller has sent.
+    /// Delivers, delays or drops an output of a controller.
     pub(super) fn deliver(&mut self, controller: usize, outgoing: Outgoing) {
         match outgoing {
             Outgoing::Respond(id, response) => self.deliver_response(controller, id, response),
             Outgoing::Call(id, call) => self.deliver_call(controller, id, call),
             Outgoing::Send(peer, payload) => self.deliver_to_peer(controller, peer, payload),
-            // No peer asks on a connection here, and there are no idle connections to reset.
+            // The simulation sends peer messages without connections and has no idle connections.
             Outgoing::Reply(..) | Outgoing::ResetDest(_) => {}
         }
     }
@@ -203,7 +203,7 @@
             CallDelivery::TimesOut { executed_at } => {
                 let timeout = self.now + call.timeout;
                 if let Some(at) = executed_at {
-                    self.schedule(at, Event::ServiceCall(caller.given_up(), call));
+                    self.schedule(at, Event::ServiceCall(caller.timed_out(), call));
                 }
                 self.schedule(timeout, no_answer);
             }
@@ -219,11 +219,11 @@
                 let at = self.now + latency;
                 return CallDelivery::ConnectionReset { at };
             }
-            // Kept by the partition and executed when it ends, long after its caller has
-            // given up.
-            let healed = partitions.store_until + latency;
+            // Half of the POST calls are held back by the partition and executed when it ends, long
+            // after their callers have timed out.
+            let partition_end = partitions.store_until + latency;
             let executed = call.method == "POST" && self.rng.bool();
-            let executed_at = executed.then_some(healed);
+            let executed_at = executed.then_some(partition_end);
             return CallDelivery::TimesOut { executed_at };
         }
         let commits_delayed = self.now < self.network.commits_delayed_until;
@@ -262,19 +262,19 @@
         }
     }
 
-    /// The connection of a request breaks before there is a response.
+    /// Fails a request whose connection breaks before there is a response.
     pub(super) fn fail_request(&mut self, requester: Requester) {
         let at = self.now + self.draw_latency();
         let no_response = Response::new(0, Vec::new());
         self.schedule(at, Event::Response(requester, no_response));
     }
 
-    /// Sends the result of a call back; a partition loses results as well as calls.
+    /// Returns the result of a call to the caller. A partition loses results as well as calls.
     pub(super) fn return_result(&mut self, caller: Caller, result: Result<Response, CallError>) {
         let latency = self.draw_latency();
         if self.now < self.controllers[caller.controller].partitions.store_until {
             let lost = Err(CallError::NoAnswer);
-            let at = self.now + LOST_RESPONSE_NOTICED;
+            let at = self.now + LOST_RESPONSE_DETECTION_DELAY;
             self.schedule(at, Event::CallResult(caller, lost));
         } else {
             self.schedule(self.now + latency, Event::CallResult(caller, result));
@@ -282,12 +282,12 @@
     }
 }
 
-/// A response with a body.
+/// Creates a response with a body.
 pub(super) fn response(status: u16, body: Value) -> Response {
     Response::new(status, rmp_serde::to_vec(&body).unwrap())
 }
 
-/// A request to a controller.
+/// Creates a request to a controller.
 pub(super) fn request(method: &str, path: &str, body: Vec<u8>) -> Request {
     Request {
         method: method.into(),
@@ -298,7 +298,7 @@
     }
 }
 
-/// What a body says; null if it can't be read.
+/// Decodes a body; returns null if the body cannot be decoded.
 pub(super) fn decode(body: &[u8]) -> Value {
     rmp_serde::from_slice(body).unwrap_or(Value::Null)
 }
--- a/src/simulation/observations.rs
+++ b/src/simulation/observations.rs
@@ -1,24 +1,24 @@
-//! Counts of what happened on a simulated day, so that a test can assert that its day
-//! brought about what it is there for.
+//! Counters of events on a simulated day, so that a test can assert that the situation it is meant
+//! for occurred.
 
-/// What was seen on a day.
+/// Counters of the events of a day.
 #[derive(Default, Debug, Clone, PartialEq)]
 pub(super) struct Observations {
-    /// Cancellations confirmed while the state service refused a controller alone.
+    /// Cancellations confirmed while the state service refused a single controller.
     pub cancels_confirmed_in_refusal: u32,
-    /// Running tasks of jobs at the moment at which their cancellation was confirmed.
+    /// Tasks that were active when the cancellation of their job was confirmed.
     pub running_tasks_cancelled: u32,
-    /// Starts later after a confirmed cancellation than the way of a command explains.
+    /// Starts that followed a confirmed cancellation by more than the maximum command latency.
     pub starts_after_cancel: u32,
-    /// Heartbeats accepted by a controller that the state service refused, or in an outage.
+    /// Heartbeats accepted by a controller to which the state service was unavailable.
     pub heartbeats_accepted_without_store: u32,
-    /// Starts by such a controller.
+    /// Starts by a controller to which the state service was unavailable.
     pub starts_without_store: u32,
-    /// Commits executed after their caller had given up.
+    /// Commits that got no response and were executed late.
     pub delayed_commits: u32,
-    /// Cancellations of jobs with all results that were answered with `done`.
+    /// Cancellations of jobs with all results that were answered `done`.
     pub late_cancels_answered_done: u32,
-    /// Cancellations of jobs with all results that were answered with `cancelled`.
+    /// Cancellations of jobs with all results that were answered `cancelled`.
     pub late_cancels_answered_cancelled: u32,
     /// Worker leases that expired with tasks on the machine.
     pub leases_expired_with_tasks: u32,
@@ -26,28 +26,28 @@
     pub region_acquisitions: u32,
     /// Changes of leader.
     pub leader_elections: u32,
-    /// Responses that came too late for their worker.
+    /// Responses that reached their worker after its timeout.
     pub late_responses: u32,
-    /// Highest use of a team's limit, as a fraction of it.
+    /// Peak use of a team's quota, as a fraction of the quota.
     pub peak_quota_use: f64,
-    /// Results of a job that came after a change of leader since its first result.
+    /// Results of jobs for which the leader has changed since their first result.
     pub results_across_elections: u32,
-    /// Times at which the machines had no capacity for a waiting job.
+    /// Checks that found no capacity for a waiting job.
     pub capacity_shortages: u32,
     /// Starts of tasks of jobs with dependencies.
     pub dependent_starts: u32,
-    /// Jobs reported as cancelled because a dependency was.
+    /// Jobs reported cancelled because a dependency was cancelled.
     pub cascaded_cancellations: u32,
-    /// Transactions refused for their size.
+    /// Transactions rejected because of their size.
     pub oversized_transactions: u32,
-    /// Events that a paused controller saw late.
+    /// Events held back while their controller was paused.
     pub events_delayed_by_pause: u32,
-    /// Regions released by the controller that they belong to.
+    /// Releases of a region by the controller of the same name.
     pub regions_released: u32,
-    /// Machines that came up late or never.
+    /// Machines that booted late or never.
     pub impaired_boots: u32,
-    /// Status queries answered in a burst of them.
+    /// Status queries answered during a burst of queries.
     pub burst_queries: u32,
-    /// Tasks that failed by a mistake of their job.
+    /// Tasks that failed because of an error in their job.
     pub task_failures: u32,
 }
--- a/src/simulation/runner.rs
+++ b/src/simulation/runner.rs
@@ -1,4 +1,4 @@
-//! Plays days, and writes their logs if asked to.
+//! Runs days, and writes their logs if requested.
 
 use std::cell::Cell;
 use std::io::Write;
@@ -14,25 +14,25 @@
 /// Time between two checks of the invariants.
 pub(super) const CHECK_INTERVAL: Micros = 5 * SECOND;
 
-/// After its end a day goes on for so long, for its work to get done.
+/// Time that a day continues after its nominal end, so that its jobs can finish.
 const COMPLETION_TIME: Micros = 120 * SECOND;
-/// The same for [`Workload::Overload`].
+/// Time that a day of [`Workload::Overload`] continues after its nominal end.
 const OVERLOAD_COMPLETION_TIME: Micros = 400 * SECOND;
 
-/// Seeds of a day, unless `SALTTILLER_SEEDS` says otherwise.
+/// Number of seeds of a day if `SALTTILLER_SEEDS` is not set.
 const DEFAULT_SEEDS: u64 = 40;
 
-/// Plays a day.
+/// Runs a day and returns the world at the end.
 pub(super) fn play(plan: &Plan) -> World {
     play_on(plan, World::new(plan))
 }
 
-/// Plays a day without one of the controllers' safeguards.
+/// Runs a day with one of the controllers' safeguards disabled.
 pub(super) fn play_without(safeguard: Safeguard, plan: &Plan) -> World {
     with_disabled(safeguard, || play(plan))
 }
 
-/// Plays a day on from the state of a world that a test has prepared.
+/// Runs a day from a world that a test has prepared.
 pub(super) fn play_on(plan: &Plan, mut world: World) -> World {
     log_if_requested();
     fastrand::seed(plan.seed);
@@ -49,32 +49,33 @@
     world
 }
 
-/// The seeds to play; more with `SALTTILLER_SEEDS=1000`.
+/// Returns the seeds to run; `SALTTILLER_SEEDS` sets their number, for example
+/// `SALTTILLER_SEEDS=1000`.
 pub(super) fn seeds() -> RangeInclusive<u64> {
     1..=environment_number("SALTTILLER_SEEDS").unwrap_or(DEFAULT_SEEDS)
 }
 
-/// The number that an environment variable holds, if it holds one.
+/// Returns the number that an environment variable holds, if any.
 pub(super) fn environment_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 thread_local! {
-    /// Simulated time and controller, for the log.
+    /// Simulated time and current controller, for log lines.
     static LOG_POSITION: Cell<(Micros, usize)> = const { Cell::new((0, 0)) };
 }
 
-/// Notes which controller runs at which time, for the log.
+/// Sets the simulated time and the controller that log lines show.
 pub(super) fn set_log_position(now: Micros, controller: usize) {
     LOG_POSITION.set((now, controller));
 }
 
-/// Writes a log with simulated times if `SALTTILLER_LOG` names a level, e.g. `debug`.
+/// Enables logging with simulated times if `SALTTILLER_LOG` sets a level, for example `debug`.
 pub(super) fn log_if_requested() {
     let Ok(level) = std::env::var("SALTTILLER_LOG") else {
         return;
     };
-    // It fails if an earlier day of this process has set the logger.
+    // The call fails if an earlier day of this process has already set the logger.
     let _ = env_logger::Builder::new()
         .parse_filters(&level)
         .format(|out, record| {
--- a/src/simulation/state_service.rs
+++ b/src/simulation/state_service.rs
@@ -1,5 +1,5 @@
-//! The stand-in for the state service, written from the protocol: records with versions and
-//! leases, compare-and-set commits, paged reads and watches. How calls reach it is in [`calls`].
+//! Simulated state service, implemented from the protocol: records with versions and leases,
+//! compare-and-swap commits, paged reads and watches. [`calls`] handles the calls to it.
 
 mod calls;
 
@@ -14,23 +14,23 @@
 use super::network::response;
 use super::observations::Observations;
 
-/// Records on one page of a read.
+/// Maximum number of records per page of a read.
 const PAGE_SIZE: usize = 20;
 
-/// The prefix of the records of regions' owners.
+/// Key prefix of the records of region owners.
 const REGION_PREFIX: &str = "st/region/";
 
-/// One record.
+/// A stored record.
 #[derive(Clone)]
 pub(super) struct Record {
     pub value: Value,
-    /// The revision that wrote it.
+    /// Revision of the last write of the record.
     pub version: u64,
-    /// The lease with which it is deleted.
+    /// Lease whose expiry deletes the record.
     pub lease: Option<u64>,
 }
 
-/// One change of one record; without a value it is a deletion.
+/// A change of a record; a change without a value is a deletion.
 #[derive(Clone)]
 pub(super) struct Change {
     pub revision: u64,
@@ -43,14 +43,14 @@
     expires_at: Micros,
 }
 
-/// A request for changes that waits until there are any.
+/// A request for changes that waits for the next change.
 #[derive(Clone, Copy)]
 struct Watch {
     caller: Caller,
     after_revision: u64,
 }
 
-/// A copy of the records.
+/// A backup of the records and the change log.
 #[derive(Default, Clone)]
 struct Backup {
     revision: u64,
@@ -58,7 +58,7 @@
     changes: Vec<Change>,
 }
 
-/// The state service.
+/// State of the simulated state service.
 pub(super) struct StateService {
     records: BTreeMap<String, Record>,
     changes: Vec<Change>,
@@ -69,9 +69,9 @@
     next_watch: u64,
     outage_until: Micros,
     backup: Backup,
-    /// Most changes that a transaction may hold.
+    /// Maximum number of changes per transaction.
     max_transaction_changes: usize,
-    /// Most bytes that a value may have.
+    /// Maximum length of a value in bytes.
     max_value_bytes: usize,
 }
 
@@ -94,27 +94,28 @@
 }
 
 impl StateService {
-    /// All records, by key.
+    /// Returns all records, by key.
     pub(super) fn records(&self) -> &BTreeMap<String, Record> {
         &self.records
     }
 
-    /// All changes there were, oldest first.
+    /// Returns the change log, oldest change first.
     pub(super) fn changes(&self) -> &[Change] {
         &self.changes
     }
 
-    /// The value of a record, if there is one.
+    /// Returns the value of a record, if the record exists.
     pub(super) fn value(&self, key: &str) -> Option<&Value> {
         self.records.get(key).map(|record| &record.value)
     }
 
-    /// The version of a record, 0 if there is none.
+    /// Returns the version of a record, or 0 if the record does not exist.
     pub(super) fn version(&self, key: &str) -> u64 {
         self.records.get(key).map_or(0, |record| record.version)
     }
 
-    /// Is unreachable for all until then; afterwards every lease has its full time again.
+    /// Begins an outage: all calls are refused until `until`, and every lease has its full duration
+    /// again from then on.
     pub(super) fn begin_outage(&mut self, until: Micros) {
         self.outage_until = until;
         for lease in self.leases.values_mut() {
@@ -122,13 +123,13 @@
         }
     }
 
-    /// Accepts no larger transactions and values from now on.
+    /// Sets the maximum size of transactions and values.
     pub(super) fn set_limits(&mut self, transaction_changes: usize, value_bytes: usize) {
         self.max_transaction_changes = transaction_changes;
         self.max_value_bytes = value_bytes;
     }
 
-    /// Copies the records, to be restored by [`StateService::lose_records`].
+    /// Backs up the records, for a restore by [`StateService::lose_records`].
     pub(super) fn back_up(&mut self) {
         self.backup = Backup {
             revision: self.revision,
@@ -137,7 +138,7 @@
         };
     }
 
-    /// Puts a record that was there before the day began.
+    /// Stores a record that exists before the day begins.
     pub(super) fn seed_record(&mut self, key: &str, value: Value) {
         self.revision += 1;
         let record = Record {
@@ -148,7 +149,8 @@
         self.records.insert(key.into(), record);
     }
 
-    /// Loses records, and with them all leases unless only jobs are missing.
+    /// Loses records. All leases and their records are lost too, except with
+    /// [`RecordLoss::SomeJobs`].
     fn lose_records(&mut self, loss: RecordLoss) {
         let lost_revision = self.revision;
         match loss {
@@ -161,7 +163,7 @@
             RecordLoss::SomeJobs => self.lose_every_other_job(),
         }
         if loss == RecordLoss::SinceBackupAndGrown {
-            self.grow_past(lost_revision);
+            self.advance_past(lost_revision);
         }
         if loss != RecordLoss::SomeJobs {
             self.records.retain(|_, record| record.lease.is_none());
@@ -184,8 +186,8 @@
         });
     }
 
-    /// Changes a record of no importance until the revision is past a lost one.
-    fn grow_past(&mut self, lost_revision: u64) {
+    /// Writes an unrelated record until the revision exceeds a lost one.
+    fn advance_past(&mut self, lost_revision: u64) {
         let key = "st/progress/req-999999/t-0/0";
         while self.revision <= lost_revision + 5 {
             self.revision += 1;
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Puts a record as a change of the current revision.
+    /// Writes a record, as a change of the current revision.
     fn put(&mut self, key: &str, value: Value, lease: Option<u64>) {
         let record = Record {
             value: value.clone(),
@@ -244,12 +246,13 @@
         response(200, json!({"almanac": self.revision, "events": events}))
     }
 
-    /// Answers a request for changes, or keeps it as a watch: its number and the longest wait.
+    /// Answers a request for changes, or registers it as a watch. The error holds the watch's
+    /// number and maximum wait.
     fn watch(&mut self, caller: Caller, query: &str) -> Result<Response, (u64, Micros)> {
         let number = |name| query_value(query, name).unwrap().parse::<u64>().unwrap();
         let (after_revision, wait_ms) = (number("from"), number("waitMs"));
-        let is_news = |change: &Change| change.revision > after_revision;
-        if wait_ms == 0 || self.changes.last().is_some_and(is_news) {
+        let is_newer = |change: &Change| change.revision > after_revision;
+        if wait_ms == 0 || self.changes.last().is_some_and(is_newer) {
             return Ok(self.changes_after(after_revision));
         }
         let watch = self.next_watch;
@@ -262,7 +265,7 @@
         Err((watch, wait_ms * MILLISECOND))
     }
 
-    /// Ends a watch: who gets which response.
+    /// Ends a watch and returns its caller and response.
     fn end_watch(&mut self, watch: u64) -> Option<(Caller, Response)> {
         let watch = self.watches.remove(&watch)?;
         Some((watch.caller, self.changes_after(watch.after_revision)))
@@ -299,12 +302,12 @@
         expired.map(|(number, _)| *number).collect()
     }
 
-    /// Deletes a lease and the records under it; whether there were any.
+    /// Deletes a lease and its records. Returns whether there were any records.
     fn delete_lease(&mut self, number: u64) -> bool {
         self.leases.remove(&number);
-        let under_lease = self.records.iter();
-        let under_lease = under_lease.filter(|(_, record)| record.lease == Some(number));
-        let keys: Vec<String> = under_lease.map(|(key, _)| key.clone()).collect();
+        let leased_records = self.records.iter();
+        let leased_records = leased_records.filter(|(_, record)| record.lease == Some(number));
+        let keys: Vec<String> = leased_records.map(|(key, _)| key.clone()).collect();
         if keys.is_empty() {
             return false;
         }
@@ -316,7 +319,7 @@
         true
     }
 
-    /// Executes a transaction if its conditions hold.
+    /// Executes a transaction if its conditions hold and it is within the limits.
     fn commit(&mut self, body: &Value, observations: &mut Observations) -> Response {
         if let Some(refusal) = self.refusal(body, observations) {
             return refusal;
@@ -329,9 +332,10 @@
                 self.put(key, change["value"].clone(), change["tenure"].as_u64());
             } else if let Some(key) = change["delete"].as_str() {
                 if let Some(deleted) = self.records.remove(key) {
-                    let home = key.strip_prefix(REGION_PREFIX);
-                    let by_home = home.is_some_and(|home| deleted.value["owner"] == home);
-                    observations.regions_released += u32::from(by_home);
+                    let region = key.strip_prefix(REGION_PREFIX);
+                    let released_by_namesake =
+                        region.is_some_and(|region| deleted.value["owner"] == region);
+                    observations.regions_released += u32::from(released_by_namesake);
                     self.log_change(key, None);
                 }
             }
@@ -339,7 +343,7 @@
         response(200, json!({ "almanac": self.revision }))
     }
 
-    /// The response to a transaction that can't be executed.
+    /// Returns the error response if a transaction cannot be executed.
     fn refusal(&self, body: &Value, observations: &mut Observations) -> Option<Response> {
         for condition in body["when"].as_array().into_iter().flatten() {
             let key = condition["k"].as_str().unwrap();
@@ -349,8 +353,9 @@
             }
         }
         let apply = body["apply"].as_array().unwrap();
-        let is_too_long = |change: &Value| change["value"].to_string().len() > self.max_value_bytes;
-        if apply.len() > self.max_transaction_changes || apply.iter().any(is_too_long) {
+        let is_too_large =
+            |change: &Value| change["value"].to_string().len() > self.max_value_bytes;
+        if apply.len() > self.max_transaction_changes || apply.iter().any(is_too_large) {
             observations.oversized_transactions += 1;
             return Some(response(400, json!({"error": "too large"})));
         }
--- a/src/simulation/state_service/calls.rs
+++ b/src/simulation/state_service/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to outside services: which of them they reach, and when the state service answers.
+//! Dispatch of calls to the outside services, and the watches and leases of the state service.
 
 use crate::reactor::{Call, CallError};
 use crate::simulation::events::{Caller, Event};
@@ -11,7 +11,7 @@
 use super::Watch;
 
 impl World {
-    /// A call reaches an outside service.
+    /// Handles a call that reaches an outside service.
     pub(crate) fn serve_call(&mut self, caller: Caller, call: &Call) {
         let (path, query) = call.target.split_once('?').unwrap_or((&call.target, ""));
         let body = decode(&call.body);
@@ -20,7 +20,7 @@
             return self.return_result(caller, Ok(response));
         }
         self.expire_store_leases();
-        if self.is_without_store(caller.controller) {
+        if self.is_store_unavailable_to(caller.controller) {
             let unavailable = Response::new(503, Vec::new());
             return self.return_result(caller, Ok(unavailable));
         }
@@ -39,13 +39,13 @@
         self.return_result(caller, Ok(response));
     }
 
-    /// Whether the state service refuses a controller now, alone or with all others.
-    pub(crate) fn is_without_store(&self, controller: usize) -> bool {
+    /// Whether the state service refuses a controller now, individually or in an outage.
+    pub(crate) fn is_store_unavailable_to(&self, controller: usize) -> bool {
         let refused_until = self.controllers[controller].refused_until;
         self.now < self.store.outage_until || self.now < refused_until
     }
 
-    /// Executes a transaction and tells those who watch.
+    /// Executes a transaction and notifies the watches.
     pub(crate) fn commit(&mut self, body: &Value) -> Response {
         let response = self.store.commit(body, &mut self.observations);
         if response.status == 200 {
@@ -54,12 +54,13 @@
         response
     }
 
-    /// A watch has waited as long as it asked for; in an outage it goes on to its end.
+    /// Handles a watch that has reached its maximum wait. While the state service refuses the
+    /// caller, the watch is extended to the end of the refusal.
     pub(crate) fn on_watch_timeout(&mut self, watch: u64) {
         let Some(caller) = self.store.watches.get(&watch).map(|w| w.caller) else {
             return;
         };
-        if self.is_without_store(caller.controller) {
+        if self.is_store_unavailable_to(caller.controller) {
             let refused_until = self.controllers[caller.controller].refused_until;
             let until = self.store.outage_until.max(refused_until);
             return self.schedule(until, Event::WatchTimeout(watch));
@@ -90,8 +91,8 @@
         }
     }
 
-    /// The state service loses records. It is another process from then on, so its connections
-    /// break.
+    /// Makes the state service lose records. From then on the service counts as a new process, so
+    /// its connections break.
     pub(crate) fn lose_records(&mut self, loss: RecordLoss) {
         self.store.lose_records(loss);
         for watch in std::mem::take(&mut self.store.watches).into_values() {
--- a/src/simulation/tests.rs
+++ b/src/simulation/tests.rs
@@ -1,4 +1,4 @@
-//! The tests that play days, by what the days are about.
+//! Tests that run simulated days, grouped by subject.
 
 pub(super) mod failures;
 pub(super) mod lost_records;
--- a/src/simulation/users.rs
+++ b/src/simulation/users.rs
@@ -1,5 +1,5 @@
-//! The users: what they ask of the controllers, and which responses they accept. Their jobs are
-//! in [`jobs`].
+//! Simulated users: their requests to the controllers, and the checks of the responses. Their jobs
+//! are in [`jobs`].
 
 mod jobs;
 
@@ -18,74 +18,75 @@
 use super::world::World;
 use super::{CANCEL_DEADLINE, CONTROLLERS};
 
-/// Time between two status queries for a job.
+/// Interval between status queries for a job.
 const QUERY_INTERVAL: Micros = 9 * SECOND;
-/// Time between the confirmation of a submission and the first status query.
+/// Delay of the first status query after the confirmation of a submission.
 const FIRST_QUERY_DELAY: Micros = 5 * SECOND;
-/// Time between two status queries for a job in a burst of queries.
+/// Interval between status queries for a job during a burst of queries.
 const BURST_QUERY_INTERVAL: Micros = 5 * SECOND / 30;
-/// Time after which a refused status query is repeated.
+/// Delay before a refused status query is retried.
 const QUERY_RETRY_INTERVAL: Micros = 5 * SECOND;
-/// Time after which any other refused request is repeated.
+/// Delay before any other refused request is retried.
 const RETRY_INTERVAL: Micros = SECOND;
 
-/// What the user of a job asks for.
+/// A request of a job's user.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum UserAction {
-    /// The job's submission.
+    /// Submits the job.
     Submit,
-    /// A status query.
+    /// Queries the job's status.
     Query,
-    /// The job's cancellation.
+    /// Cancels the job.
     Cancel,
 }
 
-/// The users' side of the world.
+/// State of the simulated users.
 #[derive(Default)]
 pub(super) struct Users {
     pub jobs: BTreeMap<String, Job>,
-    /// Until when users query thirty times as often.
+    /// Time until which users query the status of their jobs thirty times as often.
     pub query_burst_until: Micros,
-    /// Until when jobs are cancelled as their last task is done.
+    /// Time until which users cancel jobs when the last task is done.
     pub cancel_on_completion_until: Micros,
-    /// The controller that answered a cancellation last.
+    /// Controller that last answered a cancellation.
     pub last_cancel_answered_by: usize,
-    /// Responses to requests of tests themselves: status and body.
+    /// Responses to requests that tests send directly: status and body.
     pub probe_responses: BTreeMap<u32, (u16, Value)>,
 }
 
-/// What became of the cancellation of a job's dependencies.
+/// State of the cancellation of a job's direct and indirect dependencies.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum UpstreamCancellation {
     None,
-    /// Users have asked for it.
+    /// A user has requested the cancellation of a dependency.
     Requested,
-    /// A user was told of it at this time.
+    /// A cancellation was first confirmed to a user at this time.
     Confirmed(Micros),
 }
 
 impl UpstreamCancellation {
-    /// Whether the job must be cancelled too by then.
+    /// Whether the job must be cancelled too by the time `at`.
     fn is_due(self, at: Micros) -> bool {
         matches!(self, Self::Confirmed(confirmed_at) if at > confirmed_at + CANCEL_DEADLINE)
     }
 }
 
 impl World {
-    /// Adds a job whose user submits it at that time.
+    /// Adds a job whose user submits it at the time `at`.
     pub(super) fn submit_job(&mut self, at: Micros, submission: &Submission, run_time: Micros) {
         let job = Job::new(submission, run_time);
         self.users.jobs.insert(submission.id.clone(), job);
         self.schedule_user(at, &submission.id, UserAction::Submit);
     }
 
-    /// Lets the user of a job ask for something at that time.
+    /// Schedules a request of a job's user.
     pub(super) fn schedule_user(&mut self, at: Micros, job: &str, action: UserAction) {
         let job = job.to_owned();
         self.schedule(at, Event::User { job, action });
     }
 
-    /// A user sends a request, unless it is needless or too early.
+    /// Sends a request of a job's user. Drops a request that is no longer needed, and defers one
+    /// that is too early.
     pub(super) fn on_user_action(&mut self, id: String, action: UserAction) {
         let job = &self.users.jobs[&id];
         if job.abandoned {
@@ -96,7 +97,7 @@
             UserAction::Query if !job.accepted => return,
             UserAction::Query => false,
             UserAction::Cancel => !job.accepted,
-            // Users name only dependencies that were accepted.
+            // Users submit a job only after all its dependencies were accepted.
             UserAction::Submit => !job.dependencies.iter().all(is_accepted),
         };
         if is_too_early {
@@ -116,7 +117,7 @@
         self.send_user_request(request, requester);
     }
 
-    /// Sends a request to any controller that users reach.
+    /// Sends a request to a random controller that users can reach.
     fn send_user_request(&mut self, request: Request, requester: Requester) {
         let mut controller = self.rng.usize(0..CONTROLLERS);
         while self.now < self.controllers[controller].partitions.users_until {
@@ -131,7 +132,7 @@
         self.schedule(self.now + latency, event);
     }
 
-    /// A response reaches a user.
+    /// Handles a response that reaches a user.
     pub(super) fn on_user_response(
         &mut self,
         id: &str,
@@ -141,7 +142,7 @@
     ) {
         let is_refusal = matches!(response.status, 429 | 503);
         if is_refusal && response.retry_after.is_none() {
-            self.violate(Rule::NoRetryAfter, format!("{id}: {action:?}"));
+            self.record_violation(Rule::NoRetryAfter, format!("{id}: {action:?}"));
         }
         if !matches!(response.status, 200 | 201) {
             return self.on_refused_request(id, action, response.status);
@@ -150,11 +151,11 @@
             .as_str()
             .unwrap_or("")
             .to_owned();
-        let violated = self.rule_violated_by_stage(id, &stage, sent_at);
+        let violated_rule = self.rule_violated_by_stage(id, &stage, sent_at);
         let is_first = !self.users.jobs[id].accepted;
         self.record_stage(id, action, &stage);
-        if let Some(rule) = violated {
-            return self.violate(rule, format!("{id}: {action:?} says {stage}"));
+        if let Some(rule) = violated_rule {
+            return self.record_violation(rule, format!("{id}: {action:?} returned stage {stage}"));
         }
         match action {
             UserAction::Query => self.schedule_next_query(id, QUERY_INTERVAL),
@@ -166,7 +167,10 @@
     fn on_refused_request(&mut self, id: &str, action: UserAction, status: u16) {
         let accepted = self.users.jobs[id].accepted;
         if matches!(status, 400 | 422) || (accepted && status == 404) {
-            self.violate(Rule::Forgotten, format!("{id}: {action:?} got {status}"));
+            self.record_violation(
+                Rule::Forgotten,
+                format!("{id}: {action:?} returned status {status}"),
+            );
         }
         let interval = match action {
             UserAction::Query => QUERY_RETRY_INTERVAL,
@@ -175,7 +179,7 @@
         self.schedule_user(self.now + interval, id, action);
     }
 
-    /// The rule that a controller violates by answering with a stage.
+    /// Returns the invariant that a response with a stage violates, if any.
     fn rule_violated_by_stage(&self, id: &str, stage: &str, sent_at: Micros) -> Option<Rule> {
         let job = &self.users.jobs[id];
         let upstream = self.upstream_cancellation(id);
@@ -190,20 +194,21 @@
         if is_open && upstream.is_due(sent_at) {
             return Some(Rule::Orphaned);
         }
-        // A query sent before the final stage was confirmed may cross that response.
+        // The response to a request sent before the final stage was confirmed may arrive after that
+        // confirmation and hold an older stage.
         let is_newer = sent_at >= job.final_stage_at;
         let was_done = job.completion_confirmed && stage != "done";
         let was_cancelled = job.cancel_confirmed_at.is_some() && stage != "cancelled";
         (is_newer && (was_done || was_cancelled)).then_some(Rule::WentBack)
     }
 
-    /// Notes what a user was told.
+    /// Records the stage that a response reported to a user.
     fn record_stage(&mut self, id: &str, action: UserAction, stage: &str) {
         let now = self.now;
         if stage == "cancelled" {
             self.record_cancellation(id);
         }
-        let seen = &mut self.observations;
+        let observations = &mut self.observations;
         let Some(job) = self.users.jobs.get_mut(id) else {
             return;
         };
@@ -213,15 +218,15 @@
             job.final_stage_at = now;
         }
         if action == UserAction::Cancel && job.has_all_results() {
-            seen.late_cancels_answered_done += u32::from(stage == "done");
-            seen.late_cancels_answered_cancelled += u32::from(stage == "cancelled");
+            observations.late_cancels_answered_done += u32::from(stage == "done");
+            observations.late_cancels_answered_cancelled += u32::from(stage == "cancelled");
         }
         if stage == "done" {
             job.completion_confirmed = true;
         }
     }
 
-    /// Notes that a user was told that a job is cancelled, if it is the first time.
+    /// Records the first confirmation of a job's cancellation to its user.
     fn record_cancellation(&mut self, id: &str) {
         let now = self.now;
         let job = &self.users.jobs[id];
@@ -232,10 +237,10 @@
         let cascaded = !job.cancel_requested && upstream != UpstreamCancellation::None;
         let refused = self.controllers.iter().any(|c| now < c.refused_until);
         let running = self.running_tasks_of(id);
-        let seen = &mut self.observations;
-        seen.cascaded_cancellations += u32::from(cascaded);
-        seen.cancels_confirmed_in_refusal += u32::from(refused);
-        seen.running_tasks_cancelled += running;
+        let observations = &mut self.observations;
+        observations.cascaded_cancellations += u32::from(cascaded);
+        observations.cancels_confirmed_in_refusal += u32::from(refused);
+        observations.running_tasks_cancelled += running;
         if let Some(job) = self.users.jobs.get_mut(id) {
             job.cancel_confirmed_at = Some(now);
         }
@@ -249,7 +254,7 @@
         tasks.filter(|(id, _)| task_id(id).0 == job).count() as u32
     }
 
-    /// Schedules a status query after an interval, or sooner in a burst.
+    /// Schedules a status query after an interval, or after a shorter one during a burst.
     fn schedule_next_query(&mut self, id: &str, interval: Micros) {
         let in_burst = self.now < self.users.query_burst_until;
         self.observations.burst_queries += u32::from(in_burst);
@@ -260,7 +265,7 @@
         self.schedule_user(self.now + interval, id, UserAction::Query);
     }
 
-    /// Whether users cancel a job that this one needs, directly or through others.
+    /// Returns the state of the cancellation of a job's direct and indirect dependencies.
     fn upstream_cancellation(&self, id: &str) -> UpstreamCancellation {
         let mut remaining = self.users.jobs[id].dependencies.clone();
         let mut requested = false;
@@ -281,7 +286,8 @@
         }
     }
 
-    /// Jobs that were not accepted, or of which no user knows that they are done or cancelled.
+    /// Returns the jobs that were not accepted, or whose final stage was not confirmed to their
+    /// user.
     pub(super) fn unfinished_jobs(&self) -> Vec<&String> {
         let is_unfinished = |job: &Job| !job.accepted || !job.is_final();
         let unfinished = self.users.jobs.iter();
--- a/src/simulation/users/jobs.rs
+++ b/src/simulation/users/jobs.rs
@@ -1,18 +1,18 @@
-//! Submissions, and the jobs that they begin.
+//! Submissions, and the state of the submitted jobs.
 
 use std::collections::BTreeSet;
 
 use salttiller_records::units::Micros;
 use serde_json::{json, Value};
 
-/// The kinds of jobs.
+/// Kind of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobKind {
-    /// Tasks that run independently of each other.
+    /// The tasks run independently of each other.
     Batch,
-    /// Tasks that run together or not at all.
+    /// All tasks run together or none runs.
     Gang,
-    /// Tasks that run until they are stopped.
+    /// The tasks run until they are stopped.
     Service,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A submission as a user writes it; begin with [`Submission::batch`] and set what differs.
+/// A user's submission. [`Submission::batch`] returns defaults for the fields.
 pub(crate) struct Submission {
     pub id: String,
     pub team: &'static str,
@@ -36,18 +36,19 @@
     pub cpus: f64,
     pub memory_gb: f64,
     pub image_gb: f64,
-    /// Machine types that will do; `None`: any.
+    /// Acceptable machine types; `None` accepts any.
     pub machine_types: Option<&'static [&'static str]>,
-    /// Whether spot machines will do.
+    /// Whether the tasks may run on spot machines.
     pub spot_allowed: bool,
-    /// The expected run time in seconds; 0: until it is stopped.
+    /// Expected run time in seconds; 0 if the job runs until it is stopped.
     pub expected_seconds: u64,
-    /// Jobs that must be done before it; `None`: the submission has no such field.
+    /// Dependencies, which must be done before the job starts; with `None` the submission lacks the
+    /// field.
     pub dependencies: Option<Vec<String>>,
 }
 
 impl Submission {
-    /// A batch of one task of one processor, of team `red`.
+    /// Returns a batch job of team `red` with one task that needs one processor.
     pub(crate) fn batch(id: &str) -> Self {
         Submission {
             id: id.into(),
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The body of the request.
+    /// Returns the body of the request.
     pub(crate) fn body(&self) -> Value {
         let mut body = json!({"nameId": self.id, "crop": "x", "crew": self.team, "furrow": self.kind.wire_name(),
             "rank": self.priority, "sheaves": self.tasks, "cores": self.cpus, "cards": 0.0,
@@ -80,44 +81,45 @@
     }
 }
 
-/// A job, as its user knows it and as it really is.
+/// A job: its actual state, and the state known to its user.
 pub(crate) struct Job {
-    /// The body of its submission.
+    /// Body of the submission.
     pub submission: Value,
     pub team: &'static str,
     pub kind: JobKind,
     pub tasks: u32,
     pub cpus: f64,
     pub spot_allowed: bool,
-    /// Jobs that must be done before it.
+    /// Jobs that must be done before this job starts.
     pub dependencies: Vec<String>,
-    /// How long each task runs.
+    /// Run time of each task.
     pub run_time: Micros,
-    /// Its tasks fail wherever they run.
+    /// Whether the job's tasks fail on every machine.
     pub always_fails: bool,
-    /// Its submission was confirmed.
+    /// Whether the submission was confirmed to the user.
     pub accepted: bool,
-    /// When a request about it was answered last.
+    /// Time of the last successful response to a request about the job.
     pub last_answered_at: Micros,
     pub cancel_requested: bool,
-    /// When its user was told first that it is cancelled.
+    /// Time at which the cancellation was first confirmed to the user.
     pub cancel_confirmed_at: Option<Micros>,
-    /// Its user was told that it is done.
+    /// Whether the completion was confirmed to the user.
     pub completion_confirmed: bool,
-    /// When its user was told first that it is done or cancelled; 0: not yet.
+    /// Time at which the final stage, done or cancelled, was first confirmed to the user; 0 if it
+    /// was not.
     pub final_stage_at: Micros,
-    /// Its user has given up on it.
+    /// Whether the user no longer sends requests about the job.
     pub abandoned: bool,
-    /// Tasks that are done.
+    /// Numbers of the tasks that are done.
     pub results: BTreeSet<u32>,
-    /// Starts of its tasks.
+    /// Number of starts of the job's tasks.
     pub starts: u32,
-    /// How many leaders had been elected at its first result.
+    /// Number of leader elections before the job's first result.
     pub elections_before_result: u32,
 }
 
 impl Job {
-    /// A job that was not submitted yet; each task runs for `run_time`.
+    /// Creates a job that was not submitted yet; each task runs for `run_time`.
     pub(crate) fn new(submission: &Submission, run_time: Micros) -> Self {
         Job {
             submission: submission.body(),
@@ -142,12 +144,12 @@
         }
     }
 
-    /// Whether each task is done.
+    /// Whether every task is done.
     pub(crate) fn has_all_results(&self) -> bool {
         self.results.len() as u32 == self.tasks
     }
 
-    /// Whether its user was told that it is done or cancelled.
+    /// Whether the user has received a confirmation that the job is done or cancelled.
     pub(crate) fn is_final(&self) -> bool {
         self.completion_confirmed || self.cancel_confirmed_at.is_some()
     }
--- a/src/simulation/workers.rs
+++ b/src/simulation/workers.rs
@@ -1,5 +1,5 @@
-//! The workers: heartbeats, leases and what a response makes them do. What they do with a
-//! command is in [`commands`], how tasks end in [`tasks`].
+//! Simulated workers: heartbeats, leases and the handling of responses. [`commands`] executes the
+//! commands in responses, and [`tasks`] ends tasks.
 
 mod commands;
 mod tasks;
@@ -17,58 +17,58 @@
 use super::world::World;
 use super::CONTROLLERS;
 
-/// A worker kills its tasks so long after it sent its last accepted heartbeat.
+/// Duration of a worker's lease: a worker kills its tasks this long after it sent its last accepted
+/// heartbeat.
 const WORKER_LEASE: Micros = 16 * SECOND;
-/// Time between an accepted heartbeat and the next one.
+/// Delay of the next heartbeat after an accepted one.
 const HEARTBEAT_INTERVAL: Micros = 3 * SECOND;
-/// The same after a response with commands or a new fencing token.
+/// Delay of the next heartbeat after a response with commands or a new fencing token.
 const HEARTBEAT_INTERVAL_AFTER_COMMANDS: Micros = SECOND / 2;
-/// Without a response for so long a worker turns to the next controller.
+/// Time without a response after which a worker sends its next heartbeat.
 const RESPONSE_TIMEOUT: Micros = 4 * SECOND;
-/// Time before a worker turns to the next controller after a refusal or a failed connection.
+/// Delay of the heartbeat to the next controller after a refusal or a failed connection.
 const RETRY_INTERVAL: Micros = SECOND;
-/// Time before a worker turns to the controller that a refusal names.
+/// Delay of the heartbeat to the controller that a refusal names.
 const REDIRECT_DELAY: Micros = 100 * MILLISECOND;
 
-/// A partition around one controller and the machines that report to it.
+/// A partition that isolates one controller together with the machines that report to it.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ZonePartition {
     pub controller: usize,
     pub until: Micros,
 }
 
-/// The worker of one machine.
+/// The worker on a machine.
 pub(super) struct Worker {
     pub machine_type: String,
     pub spot: bool,
-    /// Rises with each loss of the lease.
+    /// Incarnation number, incremented with each expired lease.
     pub incarnation: u64,
-    /// The number of the last heartbeat of this incarnation.
+    /// Number of the last heartbeat of this incarnation.
     pub sequence: u64,
-    /// The highest fencing token seen.
+    /// Highest fencing token received.
     pub token: u64,
     /// Tasks by their id, `JOB/NUMBER`.
     pub tasks: BTreeMap<String, WorkerTask>,
-    /// When the last accepted heartbeat was sent.
+    /// Time at which the last accepted heartbeat was sent.
     pub lease_renewed_at: Micros,
-    /// The controller that gets the next heartbeat.
+    /// Controller that receives the next heartbeat.
     pub controller: usize,
-    /// The number of the timer that was set last; earlier ones are outdated.
+    /// Number of the timer set last; earlier timers are ignored.
     timer: u64,
     failed: bool,
-    /// Until when the worker and its tasks stand still.
+    /// Time until which the worker and its tasks are paused.
     pub paused_until: Micros,
-    /// Until when responses don't arrive.
+    /// Time until which responses do not reach the worker.
     pub responses_lost_until: Micros,
-    /// Until when no controller can be reached.
+    /// Time until which the worker cannot reach any controller.
     pub unreachable_until: Micros,
-    /// Keeps the worker with one controller.
+    /// Partition during which the worker reaches only one controller.
     pub zone_partition: ZonePartition,
 }
 
 impl Worker {
-    /// The worker of a machine that has not reported yet; its first heartbeat goes to
-    /// `controller`.
+    /// Creates a worker that has not sent a heartbeat yet; the first one goes to `controller`.
     pub(super) fn new(machine_type: &str, spot: bool, controller: usize) -> Self {
         Worker {
             machine_type: machine_type.into(),
@@ -88,31 +88,32 @@
         }
     }
 
-    /// Whether the machine is gone or its lease has expired, and with it its tasks.
+    /// Whether the worker has lost its tasks because the machine failed or the lease expired.
     pub(super) fn has_lost_tasks(&self, now: Micros) -> bool {
         self.failed || self.is_lease_expired(now)
     }
 
-    /// The machine as the cloud lists it.
+    /// Returns the machine's entry in the cloud's list.
     pub(super) fn cloud_listing(&self, name: &str, rented_for: Micros) -> Value {
         json!({"nameId": name, "address": "x", "plot": self.machine_type, "field": "a",
             "fallow": self.spot, "stage": "running", "heldS": rented_for as f64 / 1e6})
     }
 
-    /// The machine fails for good.
+    /// Fails the machine permanently.
     pub(super) fn fail(&mut self) {
         self.failed = true;
         self.tasks.clear();
     }
 
-    /// The machine is back at once after a reboot, with its numbering started afresh.
+    /// Reboots the machine immediately; incarnations and heartbeats are numbered from the start
+    /// again.
     pub(super) fn reboot(&mut self, now: Micros) {
         (self.incarnation, self.sequence, self.token) = (1, 0, 0);
         self.tasks.clear();
         self.lease_renewed_at = now;
     }
 
-    /// Tasks that have not ended.
+    /// Returns the tasks that have not ended.
     pub(super) fn active_tasks(&self) -> impl Iterator<Item = (&String, &WorkerTask)> {
         self.tasks.iter().filter(|(_, task)| !task.has_ended())
     }
@@ -126,11 +127,11 @@
         self.timer
     }
 
-    fn try_next_controller(&mut self) {
+    fn switch_to_next_controller(&mut self) {
         self.controller = (self.controller + 1) % CONTROLLERS;
     }
 
-    /// The body of the next heartbeat.
+    /// Creates the body of the next heartbeat.
     fn next_heartbeat(&mut self, name: &str) -> Value {
         self.sequence += 1;
         let tasks: Vec<Value> = self.tasks.iter().map(|(id, t)| t.report(id)).collect();
@@ -138,8 +139,8 @@
             "season": self.incarnation, "tally": self.sequence, "brand": self.token, "reclaimS": null, "sheaves": tasks})
     }
 
-    /// Whether the response to a heartbeat counts: no newer heartbeat was sent, and it came in
-    /// time to a worker that takes responses.
+    /// Whether the response to a heartbeat is accepted: no newer heartbeat was sent, the response
+    /// arrived before the timeout, and the worker can receive responses.
     fn accepts_response(&self, heartbeat: &Heartbeat, now: Micros) -> bool {
         !self.failed
             && self.incarnation == heartbeat.incarnation
@@ -149,8 +150,8 @@
             && now >= self.responses_lost_until
     }
 
-    /// Turns to the controller that a refusal names, or to the next one; how long to wait
-    /// before that.
+    /// Switches to the controller that a refusal names, or else to the next one. Returns the delay
+    /// of the next heartbeat.
     fn redirect(&mut self, status: u16, owner: Option<usize>) -> Micros {
         match owner {
             Some(owner) if status == 421 && owner != self.controller => {
@@ -158,14 +159,14 @@
                 REDIRECT_DELAY
             }
             _ => {
-                self.try_next_controller();
+                self.switch_to_next_controller();
                 RETRY_INTERVAL
             }
         }
     }
 }
 
-/// A heartbeat that a worker has sent.
+/// A heartbeat sent by a worker.
 #[derive(Clone)]
 pub(super) struct Heartbeat {
     pub machine: String,
@@ -181,7 +182,7 @@
 }
 
 impl World {
-    /// A machine has come up: its worker begins to report.
+    /// Starts the worker of a machine that has booted.
     pub(super) fn start_worker(&mut self, name: &str) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.lease_renewed_at = self.now;
@@ -195,7 +196,7 @@
         self.schedule(at, Event::HeartbeatDue { machine, timer });
     }
 
-    /// A worker's timer has run out: it sends a heartbeat.
+    /// Handles the expiry of a worker's timer: ends an expired lease and sends a heartbeat.
     pub(super) fn on_heartbeat_due(&mut self, name: &str, timer: u64) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else {
@@ -254,7 +255,7 @@
         self.transmit_heartbeat(name, controller, event);
     }
 
-    /// Sends a heartbeat over the network as it is now.
+    /// Sends a heartbeat over the network, subject to the current partitions.
     fn transmit_heartbeat(&mut self, name: &str, controller: usize, event: Event) {
         let now = self.now;
         let latency = self.draw_latency();
@@ -263,12 +264,13 @@
             return;
         };
         if now < worker.unreachable_until {
-            worker.try_next_controller();
+            worker.switch_to_next_controller();
             let timer = worker.restart_timer();
             self.schedule_heartbeat(name, now + RETRY_INTERVAL, timer);
         } else if now < partitioned_until {
-            worker.try_next_controller();
-            // Half of what a partition holds back arrives after it, the rest never.
+            worker.switch_to_next_controller();
+            // Half of the heartbeats sent during a partition arrive when it ends; the rest are
+            // lost.
             if self.rng.bool() {
                 self.schedule(partitioned_until + latency, event);
             }
@@ -277,7 +279,7 @@
         }
     }
 
-    /// A response reaches a worker.
+    /// Handles a response that reaches a worker.
     pub(super) fn on_heartbeat_response(&mut self, heartbeat: &Heartbeat, response: &Response) {
         let now = self.now;
         let name = heartbeat.machine.as_str();
@@ -304,8 +306,8 @@
         let report_soon = token > worker.token || !commands.is_empty();
         worker.token = token;
         worker.lease_renewed_at = heartbeat.sent_at;
-        let without_store = self.is_without_store(self.workers[name].controller);
-        self.observations.heartbeats_accepted_without_store += u32::from(without_store);
+        let store_unavailable = self.is_store_unavailable_to(self.workers[name].controller);
+        self.observations.heartbeats_accepted_without_store += u32::from(store_unavailable);
         for command in &commands {
             self.execute_command(name, command);
         }
--- a/src/simulation/workers/commands.rs
+++ b/src/simulation/workers/commands.rs
@@ -1,4 +1,4 @@
-//! The commands in responses to heartbeats: start, stop and forget a task.
+//! Execution of the commands in responses to heartbeats: start, stop and forget a task.
 
 use salttiller_records::units::{Micros, SECOND};
 use serde_json::Value;
@@ -10,15 +10,15 @@
 
 use super::tasks::{task_id, ExitReason, TaskStage, WorkerTask};
 
-/// The tasks of a gang wait so long for each other.
+/// Time that the tasks of a gang wait for each other.
 const GANG_WAIT: Micros = 30 * SECOND;
-/// Services run until they are stopped: longer than any day.
+/// Run time of services, which run until they are stopped: longer than any day.
 const SERVICE_RUN_TIME: Micros = 100_000 * SECOND;
-/// How many times longer the first task runs in [`Workload::UnevenTasks`].
+/// Factor by which the first task of a job runs longer in [`Workload::UnevenTasks`].
 const UNEVEN_FACTOR: u64 = 4;
 
 impl World {
-    /// Does what one command of an accepted response says.
+    /// Executes a command of an accepted response.
     pub(crate) fn execute_command(&mut self, machine: &str, command: &Value) {
         let task = command["sheaf"].as_str().unwrap();
         let attempt = command["sowing"].as_u64().unwrap();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A task as it starts. One that has a result already ends at once.
+    /// Creates a task that starts now. A task that already has a result ends immediately.
     fn new_task(&self, task: &str, attempt: u64) -> WorkerTask {
         let (job_id, number) = task_id(task);
         let job = &self.users.jobs[job_id];
@@ -94,7 +94,7 @@
         self.schedule(at, event);
     }
 
-    /// Lets the tasks of a gang run once all have gathered.
+    /// Starts the run of a gang's tasks if all of them have gathered.
     fn start_complete_gang(&mut self, job: &str, attempt: u64) {
         let gathered = self.gathered_tasks(job, attempt);
         if gathered.len() as u32 != self.users.jobs[job].tasks {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Machines and tasks of a gang's attempt that wait for the others.
+    /// Returns the gathered tasks of a gang's attempt with their machines.
     fn gathered_tasks(&self, job: &str, attempt: u64) -> Vec<(String, String)> {
         let prefix = format!("{job}/");
         let is_gathered = |id: &str, task: &WorkerTask| {
@@ -136,11 +136,11 @@
         }
     }
 
-    /// Drops an ended task, whose end is on record.
+    /// Removes an ended task whose end has been recorded.
     fn forget_task(&mut self, machine: &str, task: &str, attempt: u64) {
         if let Some(worker) = self.workers.get_mut(machine) {
-            let is_reaped = |t: &WorkerTask| t.attempt == attempt && t.has_ended();
-            if worker.tasks.get(task).is_some_and(is_reaped) {
+            let is_removable = |t: &WorkerTask| t.attempt == attempt && t.has_ended();
+            if worker.tasks.get(task).is_some_and(is_removable) {
                 worker.tasks.remove(task);
             }
         }
--- a/src/simulation/workers/tasks.rs
+++ b/src/simulation/workers/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on a worker's machine: what is reported of them, and how they end.
+//! Tasks on a worker's machine: how heartbeats report them, and how they end.
 
 use salttiller_records::model::parse_task;
 use salttiller_records::units::{Micros, MILLISECOND};
@@ -8,16 +8,16 @@
 use crate::simulation::users::{JobKind, UserAction};
 use crate::simulation::world::World;
 
-/// A worker reports so soon after a task has ended.
-const END_REPORTED_WITHIN: Micros = 10 * MILLISECOND;
+/// Delay of the heartbeat that reports the end of a task.
+const END_REPORT_DELAY: Micros = 10 * MILLISECOND;
 
-/// Why a task ended.
+/// Reason for the end of a task.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ExitReason {
     Done,
     Stopped,
     Error,
-    /// The other tasks of the gang did not come in time.
+    /// The other tasks of the gang did not gather in time.
     Incomplete,
     /// Another task of the gang was lost.
     PeersGone,
@@ -35,10 +35,10 @@
     }
 }
 
-/// What a task does.
+/// Stage of a task on a worker.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TaskStage {
-    /// It waits for the other tasks of its gang.
+    /// The task waits for the other tasks of its gang.
     Gathering,
     Running,
     Ended(ExitReason),
@@ -59,22 +59,22 @@
 pub(crate) struct WorkerTask {
     pub attempt: u64,
     pub stage: TaskStage,
-    /// When it ends by itself.
+    /// Time at which the task ends unless it is stopped.
     pub ends_at: Micros,
 }
 
 impl WorkerTask {
-    /// Whether it has ended.
+    /// Whether the task has ended.
     pub(crate) fn has_ended(&self) -> bool {
         matches!(self.stage, TaskStage::Ended(_))
     }
 
-    /// Whether it runs as a part of an attempt.
-    pub(crate) fn runs_in(&self, attempt: u64) -> bool {
+    /// Whether the task is running in an attempt.
+    pub(crate) fn is_running_in(&self, attempt: u64) -> bool {
         self.attempt == attempt && self.stage == TaskStage::Running
     }
 
-    /// What a heartbeat says of it.
+    /// Returns the task's entry in a heartbeat.
     pub(crate) fn report(&self, id: &str) -> Value {
         let mut report =
             json!({"sheaf": id, "sowing": self.attempt, "stage": self.stage.wire_name()});
@@ -85,14 +85,14 @@
     }
 }
 
-/// The job and the number of a task.
+/// Splits a task id into the job's id and the number of the task.
 pub(crate) fn task_id(task: &str) -> (&str, u32) {
     parse_task(task).unwrap()
 }
 
 impl World {
-    /// Tasks of a machine may have reached their end. Nothing is left of those of an earlier
-    /// incarnation.
+    /// Ends the tasks of a machine that have reached their end. Does nothing if the event belongs
+    /// to an earlier incarnation, whose tasks are gone.
     pub(crate) fn on_tasks_due(&mut self, machine: &str, incarnation: u64) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(machine) else {
@@ -116,18 +116,18 @@
         for (id, task) in due {
             self.end_task(machine, &id, &task);
         }
-        self.schedule_heartbeat(machine, now + END_REPORTED_WITHIN, timer);
+        self.schedule_heartbeat(machine, now + END_REPORT_DELAY, timer);
     }
 
     fn end_task(&mut self, machine: &str, id: &str, task: &WorkerTask) {
         let reason = self.exit_reason(id, task);
         self.observations.task_failures += u32::from(reason == ExitReason::Error);
-        let on_machine = self
+        let worker_task = self
             .workers
             .get_mut(machine)
             .and_then(|worker| worker.tasks.get_mut(id));
-        if let Some(on_machine) = on_machine {
-            on_machine.stage = TaskStage::Ended(reason);
+        if let Some(worker_task) = worker_task {
+            worker_task.stage = TaskStage::Ended(reason);
         }
         if reason == ExitReason::Done {
             self.record_result(id);
@@ -143,28 +143,28 @@
         if task.stage == TaskStage::Gathering {
             return ExitReason::Incomplete;
         }
-        // The tasks of a gang are done together or not at all.
+        // All tasks of a gang succeed together or none does.
         let has_result = job.results.contains(&number);
-        let is_whole =
-            job.kind != JobKind::Gang || has_result || self.gang_runs(job_id, task.attempt);
-        match is_whole {
+        let is_complete =
+            job.kind != JobKind::Gang || has_result || self.is_gang_running(job_id, task.attempt);
+        match is_complete {
             true => ExitReason::Done,
             false => ExitReason::PeersGone,
         }
     }
 
-    /// Whether every task of a gang's attempt runs.
-    fn gang_runs(&self, job: &str, attempt: u64) -> bool {
+    /// Whether every task of a gang is running in an attempt.
+    fn is_gang_running(&self, job: &str, attempt: u64) -> bool {
         (0..self.users.jobs[job].tasks).all(|number| {
             let id = format!("{job}/{number}");
             self.live_workers().any(|(_, worker)| {
                 let task = worker.tasks.get(&id);
-                task.is_some_and(|task| task.runs_in(attempt))
+                task.is_some_and(|task| task.is_running_in(attempt))
             })
         })
     }
 
-    /// Notes that a task, or the gang that it is a part of, is done.
+    /// Records that a task, or the whole gang of the task, is done.
     fn record_result(&mut self, id: &str) {
         let (job_id, number) = task_id(id);
         let Some(job) = self.users.jobs.get_mut(job_id) else {
--- a/src/simulation/workload.rs
+++ b/src/simulation/workload.rs
@@ -1,4 +1,4 @@
-//! What the users of a day ask for: jobs drawn from the day's seed.
+//! The jobs and user requests of a day, drawn from the day's seed.
 
 use salttiller_records::units::{Micros, SECOND};
 
@@ -6,59 +6,59 @@
 use super::users::{Job, JobKind, Submission, UserAction};
 use super::world::World;
 
-/// The kind of work that a day brings.
+/// Kind of workload of a day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Workload {
-    /// Batches, gangs and services.
+    /// Batch jobs, gangs and services.
     Mixed,
-    /// Jobs of two or three tasks of which one runs several times as long.
+    /// Jobs of two or three tasks, one of which runs several times as long as the others.
     UnevenTasks,
-    /// More than there is capacity for, of all priorities.
+    /// Jobs of all priorities that exceed the capacity.
     Overload,
-    /// Most jobs need one or two others, some of them a whole chain.
+    /// Most jobs depend on one or two others, and some of these dependencies form chains.
     Pipelines,
-    /// A third of the jobs fail wherever they run, until their users cancel them.
+    /// A third of the jobs fail on every machine until their users cancel them.
     FailingJobs,
 }
 
-/// Priorities in turn, in [`Workload::Overload`].
+/// Priorities of the jobs of [`Workload::Overload`], in rotation.
 const PRIORITIES: [&str; 4] = ["low", "standard", "urgent", "critical"];
 
-/// Every n-th job of [`Workload::FailingJobs`] fails.
+/// One in this many jobs of [`Workload::FailingJobs`] fails.
 const FAILING_JOB_INTERVAL: u32 = 3;
-/// Users cancel a job that fails so long after its submission.
+/// Time after the submission of a failing job at which its user cancels the job.
 const FAILING_JOB_CANCELLED_AFTER: Micros = 100 * SECOND;
 
-/// Mixed into the seed for the draws of what was added to the workload later, so that the
-/// first draws stay as they were.
-const REPEATS_SEED: u64 = 0x1a7e;
+/// XORed with the seed for a separate generator, which draws the later additions to the workload
+/// (dependencies and repeated requests) so that the original draws stay unchanged.
+const ADDITIONS_SEED: u64 = 0x1a7e;
 
 impl World {
-    /// Draws the jobs of a day and schedules what their users ask for.
+    /// Draws the jobs of a day and schedules their users' requests.
     pub(super) fn add_jobs(&mut self, plan: &Plan) {
-        let mut repeats = fastrand::Rng::with_seed(plan.seed ^ REPEATS_SEED);
+        let mut additions_rng = fastrand::Rng::with_seed(plan.seed ^ ADDITIONS_SEED);
         for index in 0..plan.jobs {
-            self.add_job(plan, index, &mut repeats);
+            self.add_job(plan, index, &mut additions_rng);
         }
     }
 
-    fn add_job(&mut self, plan: &Plan, index: u32, repeats: &mut fastrand::Rng) {
+    fn add_job(&mut self, plan: &Plan, index: u32, additions_rng: &mut fastrand::Rng) {
         let (mut submission, run_seconds) = self.draw_submission(plan, index);
-        if plan.workload == Workload::Pipelines && repeats.u32(0..10) < 7 {
-            submission.dependencies = Some(self.draw_dependencies(repeats));
+        if plan.workload == Workload::Pipelines && additions_rng.u32(0..10) < 7 {
+            submission.dependencies = Some(self.draw_dependencies(additions_rng));
         }
         let id = submission.id.as_str();
         let submitted_at = SECOND * self.rng.u64(1..plan.end / SECOND / 2);
         if submission.kind == JobKind::Service || self.rng.u32(0..5) == 0 {
             let cancelled_at = submitted_at + SECOND * self.rng.u64(1..40);
             self.schedule_user(cancelled_at, id, UserAction::Cancel);
-            let repeated_at = cancelled_at + SECOND * repeats.u64(1..120);
+            let repeated_at = cancelled_at + SECOND * additions_rng.u64(1..120);
             self.schedule_user(repeated_at, id, UserAction::Cancel);
         }
         self.schedule_user(submitted_at, id, UserAction::Submit);
-        // Submissions that were carried out are repeated, long after.
-        for _ in 0..repeats.u32(0..3) {
-            let repeated_at = submitted_at + SECOND * repeats.u64(1..200);
+        // Users repeat submissions up to 200 s later, also after the job has finished.
+        for _ in 0..additions_rng.u32(0..3) {
+            let repeated_at = submitted_at + SECOND * additions_rng.u64(1..200);
             self.schedule_user(repeated_at, id, UserAction::Submit);
         }
         let mut job = Job::new(&submission, run_seconds * SECOND);
@@ -71,7 +71,7 @@
         self.users.jobs.insert(submission.id, job);
     }
 
-    /// A submission, and how many seconds its tasks run.
+    /// Draws a submission and the run time of its tasks in seconds.
     fn draw_submission(&mut self, plan: &Plan, index: u32) -> (Submission, u64) {
         let id = format!("req-{:06}", 100 + index * 7 % plan.jobs.max(1));
         let kinds = [
@@ -111,7 +111,7 @@
         (submission, run_seconds)
     }
 
-    /// One or two jobs of the day so far; the same one may come twice.
+    /// Draws one or two of the jobs added so far, possibly the same job twice.
     fn draw_dependencies(&self, rng: &mut fastrand::Rng) -> Vec<String> {
         let candidates = self.users.jobs.iter();
         let candidates = candidates.filter(|(_, job)| job.kind != JobKind::Service);
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The world: its parts, and the loop that lets one event after the other happen to them.
+//! The simulated world: its components, and the event loop.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use super::controllers::SimulatedController;
 use super::days::Plan;
 use super::events::{Event, EventQueue, Requester};
-use super::invariants::{NeedlessWait, Violation};
+use super::invariants::{StartableJob, Violation};
 use super::network::{decode, NetworkFaults};
 use super::observations::Observations;
 use super::state_service::StateService;
@@ -21,13 +21,13 @@
 use super::workload::Workload;
 use super::CONTROLLERS;
 
-/// Time between the first starts of two controllers.
+/// Interval between the first starts of the controllers.
 const START_INTERVAL: Micros = 50 * MILLISECOND;
 
-/// Everything there is on a simulated day.
+/// The complete state of a simulated day.
 pub(super) struct World {
     pub now: Micros,
-    /// All that is left to chance is drawn from here, in the order in which it happens.
+    /// Generator of the random choices during a day, drawn in the order of events.
     pub rng: fastrand::Rng,
     events: EventQueue,
     pub network: NetworkFaults,
@@ -40,18 +40,18 @@
     pub workers: BTreeMap<String, Worker>,
     pub users: Users,
     pub workload: Workload,
-    /// When the last fault is over.
+    /// Time from which the faults no longer excuse a lack of progress.
     pub faults_end: Micros,
-    /// Starts of tasks.
+    /// Number of starts of tasks.
     pub starts: u32,
     pub violations: Vec<Violation>,
     pub observations: Observations,
-    /// Jobs that could run more tasks and don't.
-    pub needless_waits: BTreeMap<String, NeedlessWait>,
+    /// Jobs that could start more tasks but are waiting, by id.
+    pub startable_jobs: BTreeMap<String, StartableJob>,
 }
 
 impl World {
-    /// The world at the beginning of a day.
+    /// Creates the world at the beginning of a day.
     pub(super) fn new(plan: &Plan) -> Self {
         let mut world = World {
             now: 1,
@@ -71,7 +71,7 @@
             starts: 0,
             violations: Vec::new(),
             observations: Observations::default(),
-            needless_waits: BTreeMap::new(),
+            startable_jobs: BTreeMap::new(),
         };
         for index in 0..CONTROLLERS {
             world.controllers.push(SimulatedController::default());
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Lets an event happen at a time, or now if that is past.
+    /// Schedules an event at a time, or now if that time has passed.
     pub(super) fn schedule(&mut self, at: Micros, event: Event) {
         self.events.push(at.max(self.now), event);
     }
 
-    /// Plays on until a time, or until a rule is violated.
+    /// Processes events until the time `end`, or until an invariant is violated.
     pub(super) fn run(&mut self, end: Micros) {
         while self.violations.is_empty() {
             let Some((at, event)) = self.events.pop_until(end) else {
@@ -106,12 +106,13 @@
         }
     }
 
-    /// Lets an event happen, unless it is for a controller that is paused.
+    /// Handles an event, or postpones it if its controller is paused.
     fn dispatch(&mut self, event: Event) {
         if let Some(index) = event.receiver() {
             let paused_until = self.controllers[index].paused_until;
             if self.now < paused_until {
-                // Kept in the order of arrival; all are seen at once when it goes on.
+                // Postponed events keep their order of arrival; the controller handles all of them
+                // when its pause ends.
                 self.observations.events_delayed_by_pause += 1;
                 return self.schedule(paused_until, event);
             }
@@ -166,7 +167,8 @@
         }
     }
 
-    /// The controller that is on record as the leader; the first if none is.
+    /// Returns the controller that the leader's record names, or the first controller if there is
+    /// no such record.
     pub(super) fn leader(&self) -> usize {
         let record = self.store.value("st/leader");
         let holder = record.and_then(|value| value["holder"].as_str());
@@ -177,7 +179,7 @@
     }
 }
 
-/// The settings of one of the controllers.
+/// Creates the settings of a controller.
 fn controller_settings(index: usize, workload: Workload) -> Settings {
     let sample = crate::settings::tests::sample();
     let mut settings: Value = serde_json::from_str(&sample).unwrap();
