--- a/crates/archive/src/clock.rs
+++ b/crates/archive/src/clock.rs
@@ -4,16 +4,17 @@
 
 use salttiller_records::units::Micros;
 
-/// Both clocks at one moment.
+/// Readings of the monotonic and the wall clock, taken together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockReading {
-    /// Time since an arbitrary start, never set back. Decides when something is due.
+    /// Time since an arbitrary start; it never goes back. Deadlines and intervals use this clock.
     pub monotonic: Micros,
-    /// Time since 1970, which may jump. Only recorded, never compared to decide what is true.
+    /// Time since 1970, which may jump. This time is only recorded; no decision on the order of
+    /// events depends on it.
     pub wall_clock: Micros,
 }
 
-/// Wall-clock time: microseconds since 1970.
+/// Returns the wall-clock time in microseconds since 1970.
 #[must_use]
 pub fn wall_clock() -> Micros {
     SystemTime::now()
--- a/crates/archive/src/database.rs
+++ b/crates/archive/src/database.rs
@@ -1,7 +1,8 @@
-//! The archive's file.
+//! Storage of the archive in a file of an embedded key-value store.
 //!
-//! The embedded store is opened for each transaction, so that other commands may read while
-//! one records. Whenever a process is killed, the file holds the last whole transaction.
+//! The file is opened for each transaction, so that other commands can read the archive while
+//! a recorder is running. If a process is killed, the file holds the state after the last
+//! committed transaction.
 
 mod file;
 mod tables;
@@ -23,12 +24,12 @@
 pub(crate) use transaction::ArchiveTransaction;
 pub use view::ArchiveView;
 
-/// An archive.
+/// An archive file of one deployment.
 #[derive(Debug)]
 pub struct Archive {
     path: PathBuf,
     deployment: String,
-    /// Set while the file is kept open, see [`Archive::keep_open`].
+    /// The open file, while the archive is kept open; see [`Archive::keep_open`].
     kept_open: Option<RefCell<Database>>,
 }
 
@@ -62,7 +63,7 @@
     /// Opens a deployment's archive, or creates it if there is no such file.
     ///
     /// # Errors
-    /// Those of [`Archive::open`], and of creating a file.
+    /// Errors of [`Archive::open`] and of creating the file.
     pub fn open_or_create(path: &Path, deployment: &str) -> Result<Self, ArchiveError> {
         if !path.exists() {
             file::create(path, deployment)?;
@@ -70,7 +71,7 @@
         Archive::open(path, Some(deployment))
     }
 
-    /// Opens an archive; with `deployment` only if it belongs to that one.
+    /// Opens an archive. If `deployment` is given, the archive must belong to that deployment.
     ///
     /// # Errors
     /// The file is missing, not an archive, of a later format, of another deployment, damaged
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Keeps the file open, so that no other process can read it meanwhile. Opening it takes
-    /// some milliseconds, which matters for many transactions in a row.
+    /// Keeps the file open between transactions, which saves some milliseconds for each
+    /// transaction. No other process can read the file while it is kept open.
     ///
     /// # Errors
     /// The file can't be opened.
@@ -121,20 +122,20 @@
         }
     }
 
-    /// Path of the file.
+    /// Returns the path of the file.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Name of the deployment whose records it holds.
+    /// Returns the name of the deployment whose records the archive holds.
     #[must_use]
     pub fn deployment(&self) -> &str {
         &self.deployment
     }
 
-    /// Carries out actions of the recorder in one transaction: all or none. `wall_clock` is
-    /// the time at which the answer arrived that they follow from.
+    /// Applies actions of the recorder in one transaction: all or none. `wall_clock` is the
+    /// arrival time of the response that led to the actions.
     ///
     /// # Errors
     /// The actions contradict the archive, or it can't be written.
@@ -146,15 +147,15 @@
         })
     }
 
-    /// Deletes a snapshot that a killed process left incomplete.
+    /// Deletes an incomplete snapshot, which a recorder leaves behind when it is killed.
     ///
     /// # Errors
-    /// Those of reading and writing.
+    /// The archive can't be read or written.
     pub fn delete_incomplete_snapshot(&self) -> Result<(), ArchiveError> {
         self.write(|transaction| transaction.delete_incomplete_snapshot())
     }
 
-    /// Runs `change` in a transaction, which is committed unless it fails.
+    /// Runs `change` in a transaction and commits the transaction unless `change` fails.
     pub(crate) fn write<T>(
         &self,
         change: impl FnOnce(&mut ArchiveTransaction<'_>) -> Result<T, ArchiveError>,
@@ -171,7 +172,7 @@
     /// Runs `read` on a consistent view of the archive.
     ///
     /// # Errors
-    /// Those of `read`, and of opening the file.
+    /// Errors of `read` and of opening the file.
     pub fn read<T>(
         &self,
         read: impl FnOnce(&ArchiveView) -> Result<T, ArchiveError>,
@@ -183,10 +184,10 @@
         })
     }
 
-    /// Checks all checksums that the embedded store keeps of its own pages.
+    /// Verifies the page checksums of the embedded store.
     ///
     /// # Errors
-    /// [`ArchiveError::Damaged`] if they don't agree, and those of reading.
+    /// [`ArchiveError::Damaged`] if a checksum does not match, or the file can't be read.
     pub fn check_integrity(&self) -> Result<(), ArchiveError> {
         catch_store_panic(&self.path, || {
             if self.database()?.check_integrity().in_file(&self.path)? {
--- a/crates/archive/src/database/file.rs
+++ b/crates/archive/src/database/file.rs
@@ -1,4 +1,4 @@
-//! The file as a whole: creating it, telling it from other files, opening the embedded store.
+//! Creating, identifying and opening the archive's file.
 
 use std::fs::File;
 use std::io::{ErrorKind, Read};
@@ -14,25 +14,25 @@
 use crate::encoding::encode_entry;
 use crate::error::{ArchiveError, EntryName, ForeignFile, StoreResult};
 
-/// Format of the file that this version writes, and the highest that it reads.
+/// File format that this version writes, and the highest format that it reads.
 pub const FORMAT: u64 = 1;
 
-/// Key of the file's format in the metadata.
+/// Metadata key of the file's format.
 pub(super) const FORMAT_KEY: &str = "format";
-/// Key of the deployment's name in the metadata.
+/// Metadata key of the deployment's name.
 const DEPLOYMENT_KEY: &str = "deployment";
 
-/// How long to wait while another process has the file open, which a recorder has only for the
-/// time of a transaction.
+/// Time after which opening fails if another process keeps the file open. A recorder opens the
+/// file only for the duration of a transaction.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two attempts to open the file.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Memory for pages of the embedded store, in bytes; its default is a gigabyte.
+/// Size of the embedded store's page cache in bytes. The store's default is one gigabyte.
 const CACHE_BYTES: usize = 16 * 1024 * 1024;
-/// The first bytes of a file of the embedded store.
+/// Bytes at the start of every file of the embedded store.
 const STORE_MAGIC: &[u8] = b"redb";
 
-/// What the file says of itself.
+/// Contents of the metadata table.
 #[derive(Debug)]
 pub(super) struct Metadata {
     /// Format of the file.
@@ -41,16 +41,17 @@
     pub(super) deployment: String,
 }
 
-/// Creates the file whole or not at all: a process killed midway leaves no half of one.
+/// Creates the file atomically: no partial file remains at `path` if the process is killed.
 pub(super) fn create(path: &Path, deployment: &str) -> Result<(), ArchiveError> {
     let mut temporary_name = path.as_os_str().to_owned();
     temporary_name.push(format!(".new-{}", std::process::id()));
     let temporary = PathBuf::from(temporary_name);
-    // A link, unlike a renaming, does not replace a file that another process made meanwhile.
+    // Unlike a rename, a hard link does not replace a file that another process has created in
+    // the meantime.
     let created = initialize(&temporary, deployment).and_then(|()| {
         std::fs::hard_link(&temporary, path).map_err(|cause| ArchiveError::io(path, cause))
     });
-    // A file that stays behind takes space but is never opened.
+    // A remaining temporary file takes space but is never opened.
     let _ = std::fs::remove_file(&temporary);
     created
 }
@@ -67,12 +68,13 @@
             metadata.insert(key, entry.as_slice()).in_file(path)?;
         }
     }
-    // Creates the tables.
+    // Opening the transaction creates the tables.
     ArchiveTransaction::open(path, &transaction)?;
     transaction.commit().in_file(path)
 }
 
-/// Tells what can be told of a file without opening it as a store.
+/// Checks that the file exists and starts like a file of the embedded store, without opening
+/// the store.
 pub(super) fn check_magic(path: &Path) -> Result<(), ArchiveError> {
     let file = File::open(path).map_err(|cause| match cause.kind() {
         ErrorKind::NotFound => ArchiveError::NotFound(path.to_path_buf()),
@@ -83,13 +85,14 @@
         .read_to_end(&mut head)
         .map_err(|cause| ArchiveError::io(path, cause))?;
     match head.as_slice() {
-        [] => Err(foreign(path, ForeignFile::Empty)),
+        [] => Err(not_an_archive(path, ForeignFile::Empty)),
         STORE_MAGIC => Ok(()),
-        _ => Err(foreign(path, ForeignFile::OtherKind)),
+        _ => Err(not_an_archive(path, ForeignFile::OtherKind)),
     }
 }
 
-/// Opens the embedded store, waiting for another process that has it open.
+/// Opens the embedded store. While another process has the file open, the call waits for up to
+/// `OPEN_TIMEOUT`.
 pub(super) fn open_database(path: &Path) -> Result<Database, ArchiveError> {
     let deadline = Instant::now() + OPEN_TIMEOUT;
     loop {
@@ -119,16 +122,16 @@
 ) -> Result<T, ArchiveError> {
     let table = match transaction.open_table(METADATA) {
         Err(TableError::TableDoesNotExist(_)) => {
-            return Err(foreign(path, ForeignFile::OtherProgram))
+            return Err(not_an_archive(path, ForeignFile::OtherProgram))
         }
         result => result.in_file(path)?,
     };
     let entry = table.get(key).in_file(path)?;
-    let entry = entry.ok_or_else(|| foreign(path, ForeignFile::MissingMetadata(key)))?;
+    let entry = entry.ok_or_else(|| not_an_archive(path, ForeignFile::MissingMetadata(key)))?;
     decode(path, EntryName::Metadata(key), entry.value())
 }
 
-fn foreign(path: &Path, cause: ForeignFile) -> ArchiveError {
+fn not_an_archive(path: &Path, cause: ForeignFile) -> ArchiveError {
     ArchiveError::NotAnArchive {
         path: path.to_path_buf(),
         cause,
--- a/crates/archive/src/database/tables.rs
+++ b/crates/archive/src/database/tables.rs
@@ -1,5 +1,5 @@
-//! Tables of the file and how their rows are read. Names of tables and types of their keys are
-//! part of the file's format.
+//! Table definitions and helpers that read their rows. Table names and key types are part of the
+//! file format.
 
 use std::ops::Range;
 use std::path::Path;
@@ -11,9 +11,9 @@
 use crate::error::{ArchiveError, Damage, EntryName, StoreResult};
 use crate::model::{ChangeBatch, KeyedRecord, Row};
 
-/// Key of a snapshot's record: number of the snapshot, key of the record.
+/// Key of a snapshot record: snapshot number and record key.
 pub(super) type RecordKey = (u64, &'static str);
-/// Key of a change batch: number of its segment, number of the batch.
+/// Key of a change batch: segment number and batch number.
 pub(super) type BatchKey = (u64, u64);
 /// An encoded entry, see [`crate::encoding`].
 pub(super) type EntryBytes = &'static [u8];
@@ -32,7 +32,7 @@
 pub(super) const BATCHES: TableDefinition<BatchKey, EntryBytes> =
     TableDefinition::new("change-batches");
 
-/// Decodes an entry or says which one is damaged.
+/// Decodes an entry; the error names the damaged entry.
 pub(super) fn decode<T: DeserializeOwned>(
     path: &Path,
     entry: EntryName,
@@ -51,7 +51,7 @@
     decode(path, EntryName::ChangeBatch { segment, number }, bytes)
 }
 
-/// All rows of a table of numbered entries, in ascending order.
+/// Returns all rows of a table of numbered entries, in ascending order.
 pub(super) fn read_rows<T: DeserializeOwned>(
     path: &Path,
     table: &impl ReadableTable<u64, EntryBytes>,
@@ -67,7 +67,7 @@
     Ok(rows)
 }
 
-/// Calls `visit` with every record of a snapshot, in the order of the keys.
+/// Calls `visit` with every record of a snapshot, in key order.
 pub(super) fn for_each_record(
     path: &Path,
     table: &impl ReadableTable<RecordKey, EntryBytes>,
@@ -87,12 +87,12 @@
     Ok(())
 }
 
-/// The range of keys of a snapshot's records.
+/// Returns the key range of a snapshot's records.
 pub(super) fn record_keys(snapshot: u64) -> Range<RecordKey> {
     (snapshot, "")..(snapshot + 1, "")
 }
 
-/// The range of keys of a segment's change batches from a number on.
+/// Returns the key range of a segment's change batches, starting at batch number `first`.
 pub(super) fn batch_keys(segment: u64, first: u64) -> Range<BatchKey> {
     (segment, first)..(segment + 1, 0)
 }
--- a/crates/archive/src/database/tests.rs
+++ b/crates/archive/src/database/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the archive's file: damage is named, never passed on.
+//! Tests of the archive's file: damage to the file is reported and never returned as records.
 
 use redb::{ReadableTable, TableDefinition};
 use salttiller_testkit::TempFolder;
@@ -38,7 +38,7 @@
     })
 }
 
-/// The actions of a snapshot at one revision.
+/// Returns the actions that record a snapshot at one revision.
 fn snapshot_at(revision: u64, records: RecordMap) -> [Action; 3] {
     let records = records.into_iter();
     let keyed = records.map(|(key, record)| KeyedRecord { key, record });
@@ -51,8 +51,8 @@
     ]
 }
 
-/// An archive of one segment with two snapshots and three batches.
-fn small(folder: &TempFolder) -> Archive {
+/// Creates an archive of one segment with two snapshots and three batches.
+fn small_archive(folder: &TempFolder) -> Archive {
     let path = folder.file("small.archive");
     let archive = Archive::open_or_create(&path, "a").unwrap();
     let begin = Action::BeginSegment {
@@ -64,63 +64,63 @@
     archive.apply(&snapshot_at(4, first), 1).unwrap();
     let batches = [add_changes(4, 6), add_changes(6, 9), add_changes(9, 10)];
     archive.apply(&batches, 1).unwrap();
-    let records = newest(&archive).unwrap().records;
+    let records = latest_records(&archive).unwrap().records;
     archive.apply(&snapshot_at(10, records), 2).unwrap();
     archive
 }
 
-fn newest(archive: &Archive) -> Result<Reconstruction, ArchiveError> {
+fn latest_records(archive: &Archive) -> Result<Reconstruction, ArchiveError> {
     archive.read(|view| reconstruct(view, PointInTime::default()))
 }
 
-/// Harm done to the archive of [`small`], and what verification says of it.
+/// Damage to the archive of [`small_archive`], and the error that verification must report.
 struct DamageCase {
     name: &'static str,
-    harm: fn(&mut ArchiveTransaction<'_>),
-    /// Part of the message; empty: nothing is wrong.
+    damage: fn(&mut ArchiveTransaction<'_>),
+    /// Part of the error message; empty if verification must succeed.
     expected: &'static str,
 }
 
 const DAMAGE_CASES: [DamageCase; 7] = [
     DamageCase {
-        name: "nothing",
-        harm: |_| {},
+        name: "no damage",
+        damage: |_| {},
         expected: "",
     },
     DamageCase {
-        name: "a batch is gone",
-        harm: |t| drop(t.batches.remove((1, 1)).unwrap()),
+        name: "missing batch",
+        damage: |t| drop(t.batches.remove((1, 1)).unwrap()),
         expected: "change batch 1/1 is missing",
     },
     DamageCase {
-        name: "the last batch is gone",
-        harm: |t| drop(t.batches.remove((1, 2)).unwrap()),
+        name: "missing last batch",
+        damage: |t| drop(t.batches.remove((1, 2)).unwrap()),
         expected: "change batch 1/2 is missing",
     },
     DamageCase {
-        name: "a batch is another",
-        harm: |t| {
+        name: "batch replaced by another",
+        damage: |t| {
             let first = t.batches.get((1, 0)).unwrap().unwrap().value().to_vec();
             t.batches.insert((1, 1), first.as_slice()).unwrap();
         },
         expected: "change batch 1/1 is out of order",
     },
     DamageCase {
-        name: "a record is gone",
-        harm: |t| drop(t.records.remove((2, "st/job/req-1")).unwrap()),
+        name: "missing record",
+        damage: |t| drop(t.records.remove((2, "st/job/req-1")).unwrap()),
         expected: "snapshot 2 fails its digest",
     },
     DamageCase {
-        name: "a record's bytes changed",
-        harm: |t| {
+        name: "changed bytes of a record",
+        damage: |t| {
             let key = (2, "st/job/req-1");
             t.records.insert(key, &b"12345"[..]).unwrap();
         },
         expected: "record st/job/req-1 of snapshot 2 fails its checksum",
     },
     DamageCase {
-        name: "a snapshot isn't what the changes make",
-        harm: |t| {
+        name: "snapshot inconsistent with the changes",
+        damage: |t| {
             let mut row = t.snapshots().unwrap().pop().unwrap();
             row.value.revision = None;
             t.put_snapshot(&row).unwrap();
@@ -133,19 +133,19 @@
 ];
 
 #[test]
-fn what_is_missing_or_changed_is_found() {
+fn verification_reports_missing_and_changed_entries() {
     for case in DAMAGE_CASES {
         let DamageCase {
             name,
-            harm,
+            damage,
             expected,
         } = case;
-        let folder = format!("harm-{}", name.replace([' ', '\''], "-"));
+        let folder = format!("damage-{}", name.replace(' ', "-"));
         let folder = TempFolder::new(&folder).unwrap();
-        let archive = small(&folder);
+        let archive = small_archive(&folder);
         archive
             .write(|transaction| {
-                harm(transaction);
+                damage(transaction);
                 Ok(())
             })
             .unwrap();
@@ -163,9 +163,9 @@
 }
 
 #[test]
-fn actions_that_contradict_the_archive_are_refused_as_a_whole() {
+fn inconsistent_actions_are_rejected_atomically() {
     let folder = TempFolder::new("contradiction").unwrap();
-    let archive = small(&folder);
+    let archive = small_archive(&folder);
     let before = archive.read(ArchiveView::segments).unwrap();
     let actions = [Action::AdvanceTo(11), add_changes(12, 13)];
     let refused = archive.apply(&actions, 9);
@@ -183,9 +183,9 @@
 }
 
 #[test]
-fn a_newer_format_is_named() {
+fn newer_format_is_reported() {
     let folder = TempFolder::new("newer").unwrap();
-    let path = small(&folder).path().to_path_buf();
+    let path = small_archive(&folder).path().to_path_buf();
     let database = Database::open(&path).unwrap();
     let transaction = database.begin_write().unwrap();
     let newer = encode_entry(&(FORMAT + 1));
@@ -203,7 +203,8 @@
     );
 }
 
-/// Turns one bit of a byte that isn't zero: most of a small file is empty space.
+/// Inverts one bit of a nonzero byte. Most of a small file is empty space, where a changed bit
+/// has no effect.
 fn flip_bit(whole: &[u8], random: &mut fastrand::Rng) -> Vec<u8> {
     let mut bytes = whole.to_vec();
     let used = loop {
@@ -216,12 +217,12 @@
     bytes
 }
 
-/// Cut off anywhere, or with bits turned, the file is refused or read rightly; no panic.
+/// Guards against wrong records or a panic when the file is truncated or has inverted bits.
 #[test]
-fn damaged_files_are_refused_or_read_rightly() {
+fn damaged_files_are_refused_or_read_correctly() {
     let folder = TempFolder::new("damaged").unwrap();
-    let archive = small(&folder);
-    let records = newest(&archive).unwrap().records;
+    let archive = small_archive(&folder);
+    let records = latest_records(&archive).unwrap().records;
     let whole = std::fs::read(archive.path()).unwrap();
     let mut refused = 0;
     let cuts = (0..16).map(|i| whole[..whole.len() * i / 16].to_vec());
@@ -231,7 +232,7 @@
         let damaged = folder.write("damaged.archive", &bytes).unwrap();
         let checked = Archive::open(&damaged, None).and_then(|archive| {
             verify(&archive)?;
-            newest(&archive)
+            latest_records(&archive)
         });
         match checked {
             Ok(found) => assert_eq!(found.records, records, "case {case}"),
@@ -241,11 +242,12 @@
     assert!(refused > 16, "{refused}");
 }
 
-/// The file's tables by their names, and the keys in them.
+/// Guards against changes to the names and keys of the file's tables, which are part of the file
+/// format.
 #[test]
-fn tables_keep_their_names_and_keys() {
+fn table_names_and_keys_are_unchanged() {
     let folder = TempFolder::new("names").unwrap();
-    drop(small(&folder));
+    drop(small_archive(&folder));
     let db = redb::Database::open(folder.file("small.archive")).unwrap();
     let txn = db.begin_read().unwrap();
     let mut names: Vec<String> = txn
@@ -265,9 +267,9 @@
     let meta = TableDefinition::<&str, &[u8]>::new("salttiller-archive");
     let meta = txn.open_table(meta).unwrap();
     for (key, bytes) in [
-        // Checksum, then 1.
+        // Checksum, then the number 1.
         ("format", &[0x1b, 0xdf, 0x05, 0xa5, 0x01][..]),
-        // Checksum, then "a".
+        // Checksum, then the text "a".
         ("deployment", &[0x99, 0xce, 0x70, 0xcc, 0xa1, 0x61][..]),
     ] {
         assert_eq!(meta.get(key).unwrap().unwrap().value(), bytes, "{key}");
--- a/crates/archive/src/database/transaction.rs
+++ b/crates/archive/src/database/transaction.rs
@@ -1,4 +1,4 @@
-//! Writing an archive: the actions of one transaction.
+//! Write transactions: apply the recorder's actions to the archive's tables.
 
 mod segments;
 mod snapshots;
@@ -13,8 +13,8 @@
 use crate::error::{ArchiveError, StoreResult};
 use crate::recorder::Action;
 
-/// The tables of an archive within a write transaction. Nothing is written unless the
-/// transaction is committed.
+/// Tables of an archive within a write transaction. Changes take effect when the transaction is
+/// committed.
 pub(crate) struct ArchiveTransaction<'txn> {
     path: PathBuf,
     segments: Table<'txn, u64, EntryBytes>,
@@ -38,7 +38,7 @@
         })
     }
 
-    /// Carries out one action of the recorder.
+    /// Applies one action of the recorder.
     pub(super) fn apply(
         &mut self,
         action: &Action,
--- a/crates/archive/src/database/transaction/segments.rs
+++ b/crates/archive/src/database/transaction/segments.rs
@@ -1,4 +1,4 @@
-//! Segments and their change batches.
+//! Operations on segments and their change batches within a write transaction.
 
 use redb::ReadableTable;
 
@@ -12,7 +12,7 @@
 use crate::reconstruct::RevisionRange;
 
 impl ArchiveTransaction<'_> {
-    /// All segments, oldest first.
+    /// Returns all segments, oldest first.
     pub(crate) fn segments(&self) -> Result<Vec<Row<Segment>>, ArchiveError> {
         read_rows(&self.path, &self.segments, EntryName::Segment)
     }
@@ -28,7 +28,7 @@
         previous.map(drop).in_file(&self.path)
     }
 
-    /// Changes the last segment.
+    /// Applies `change` to the last segment and stores the result.
     pub(super) fn update_segment(
         &mut self,
         change: impl FnOnce(&mut Segment),
@@ -59,7 +59,7 @@
         self.put_segment(&Row { id, value })
     }
 
-    /// Appends a change batch to the last segment, which it must continue.
+    /// Appends a change batch to the last segment. The batch must start where the segment ends.
     pub(super) fn add_batch(&mut self, batch: &ChangeBatch) -> Result<(), ArchiveError> {
         let mut row = self.last_segment()?;
         let segment = &mut row.value;
@@ -80,8 +80,8 @@
         self.put_segment(&row)
     }
 
-    /// A change batch; `None` if it is missing or damaged. Deletion stops at such a batch and
-    /// recording goes on: naming the damage is for verification.
+    /// Returns a change batch, or `None` if the batch is missing or damaged. Deletion stops at
+    /// such a batch and recording continues; only verification reports the damage.
     fn readable_batch(
         &self,
         segment: u64,
@@ -96,7 +96,7 @@
         removed.in_file(&self.path)
     }
 
-    /// A segment's changes in a range of revisions, oldest first.
+    /// Returns a segment's changes in a range of revisions, oldest first.
     pub(super) fn changes_in(
         &self,
         segment: u64,
@@ -118,8 +118,8 @@
         Ok(changes)
     }
 
-    /// Deletes the newest batches of the last segment back to a revision. A batch that holds
-    /// the change of that revision stays whole.
+    /// Deletes the newest batches of the last segment that start at or after a revision. A batch
+    /// that contains the change of that revision is kept as a whole.
     pub(super) fn drop_changes_after(&mut self, revision: u64) -> Result<(), ArchiveError> {
         let mut row = self.last_segment()?;
         let segment = &mut row.value;
@@ -138,7 +138,7 @@
         self.put_segment(&row)
     }
 
-    /// Deletes a segment's oldest batches up to a revision.
+    /// Deletes a segment's oldest batches that end at or before a revision.
     pub(crate) fn delete_changes_until(
         &mut self,
         id: u64,
@@ -148,7 +148,7 @@
             return Ok(());
         };
         let segment = &mut row.value;
-        // The newest batch stays: after an interruption it identifies the history.
+        // The newest batch is kept because it identifies the history after an interruption.
         while segment.first_batch + 1 < segment.next_batch {
             let oldest = segment.first_batch;
             let batch = self.readable_batch(id, oldest)?;
--- a/crates/archive/src/database/transaction/snapshots.rs
+++ b/crates/archive/src/database/transaction/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots and their records.
+//! Operations on snapshots and their records within a write transaction.
 
 use salttiller_records::units::Micros;
 
@@ -12,12 +12,12 @@
 use crate::reconstruct::RevisionRange;
 
 impl ArchiveTransaction<'_> {
-    /// All snapshots, oldest first.
+    /// Returns all snapshots, oldest first, including an incomplete one.
     pub(crate) fn snapshots(&self) -> Result<Vec<Row<Snapshot>>, ArchiveError> {
         read_rows(&self.path, &self.snapshots, EntryName::Snapshot)
     }
 
-    /// The complete snapshots of all segments, oldest first.
+    /// Returns the complete snapshots of all segments, oldest first.
     pub(crate) fn complete_snapshots(&self) -> Result<Vec<CompleteSnapshot>, ArchiveError> {
         let snapshots = self.snapshots()?.into_iter();
         Ok(snapshots.filter_map(CompleteSnapshot::from_row).collect())
@@ -59,7 +59,7 @@
         removed.in_file(&self.path)
     }
 
-    /// Starts a snapshot of the last segment; an incomplete one is deleted.
+    /// Starts a snapshot in the last segment. An incomplete snapshot is deleted first.
     pub(super) fn begin_snapshot(
         &mut self,
         first_page_revision: u64,
@@ -87,10 +87,10 @@
             .try_for_each(|keyed| self.put_record(id, &keyed.key, &keyed.record))
     }
 
-    /// Makes the snapshot in progress consistent at a revision, and completes it.
+    /// Makes the snapshot in progress consistent at a revision and marks it complete.
     ///
-    /// Pages were read one after the other, each at its own revision. The changes from the
-    /// first page's revision on bring all of them to the last page's.
+    /// The pages of a snapshot are read in sequence, each at its own revision. Applying the
+    /// changes after the first page's revision brings all pages to the last page's revision.
     pub(in crate::database) fn complete_snapshot(
         &mut self,
         revision: u64,
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// Deletes a snapshot with its records.
+    /// Deletes a snapshot and its records.
     pub(crate) fn delete_snapshot(&mut self, id: u64) -> Result<(), ArchiveError> {
         let removed = self.snapshots.remove(id).map(drop);
         removed.in_file(&self.path)?;
--- a/crates/archive/src/database/view.rs
+++ b/crates/archive/src/database/view.rs
@@ -1,4 +1,4 @@
-//! Reading an archive: everything as of one moment.
+//! Read access to an archive: a consistent view as of one transaction.
 
 use std::path::{Path, PathBuf};
 
@@ -33,32 +33,32 @@
         })
     }
 
-    /// Path of the file, for messages.
+    /// Returns the path of the file, for messages.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// All segments, oldest first.
+    /// Returns all segments, oldest first.
     ///
     /// # Errors
-    /// Those of reading.
+    /// The archive can't be read.
     pub fn segments(&self) -> Result<Vec<Row<Segment>>, ArchiveError> {
         read_rows(&self.path, &self.segments, EntryName::Segment)
     }
 
-    /// All snapshots, oldest first, with one that is still being read.
+    /// Returns all snapshots, oldest first, including an incomplete one.
     ///
     /// # Errors
-    /// Those of reading.
+    /// The archive can't be read.
     pub fn snapshots(&self) -> Result<Vec<Row<Snapshot>>, ArchiveError> {
         read_rows(&self.path, &self.snapshots, EntryName::Snapshot)
     }
 
-    /// The complete snapshots of a segment, oldest first.
+    /// Returns the complete snapshots of a segment, oldest first.
     ///
     /// # Errors
-    /// Those of reading.
+    /// The archive can't be read.
     pub fn complete_snapshots(&self, segment: u64) -> Result<Vec<CompleteSnapshot>, ArchiveError> {
         let complete = self.snapshots()?.into_iter();
         Ok(complete
@@ -67,10 +67,10 @@
             .collect())
     }
 
-    /// Calls `visit` with every record of a snapshot, in the order of the keys.
+    /// Calls `visit` with every record of a snapshot, in key order.
     ///
     /// # Errors
-    /// Those of `visit` and of reading.
+    /// Errors of `visit`, or the archive can't be read.
     pub fn for_each_record(
         &self,
         snapshot: u64,
@@ -83,7 +83,7 @@
     /// in ascending order.
     ///
     /// # Errors
-    /// Those of `visit` and of reading.
+    /// Errors of `visit`, or the archive can't be read.
     pub fn for_each_batch(
         &self,
         segment: &Row<Segment>,
@@ -99,11 +99,11 @@
         Ok(())
     }
 
-    /// The changes that identify a segment's history: the last ones that were compared, and
-    /// all after them.
+    /// Returns the changes that identify a segment's history: the last changes that were compared
+    /// with the state service, and all changes after them.
     ///
     /// # Errors
-    /// Those of reading.
+    /// The archive can't be read.
     pub fn recent_changes(&self, row: &Row<Segment>) -> Result<Vec<Fingerprint>, ArchiveError> {
         let segment = &row.value;
         let keys = batch_keys(row.id, segment.first_batch);
@@ -125,13 +125,13 @@
             recent.extend(segment.preceding_changes.iter().cloned());
         }
         recent.extend(newest_first.into_iter().rev().flatten());
-        Ok(keep_recent(recent, segment.verified_until))
+        Ok(retain_identifying_changes(recent, segment.verified_until))
     }
 
-    /// Size of the file in bytes.
+    /// Returns the size of the file in bytes.
     ///
     /// # Errors
-    /// The file can't be examined.
+    /// The file's metadata can't be read.
     pub fn file_bytes(&self) -> Result<u64, ArchiveError> {
         std::fs::metadata(&self.path)
             .map(|metadata| metadata.len())
@@ -139,8 +139,12 @@
     }
 }
 
-/// Of changes in the order of their revisions: the last that were compared, and all after.
-fn keep_recent(mut changes: Vec<Fingerprint>, verified_until: u64) -> Vec<Fingerprint> {
+/// Reduces changes in revision order to those that identify the history: the last changes up to
+/// `verified_until`, and all changes after it.
+fn retain_identifying_changes(
+    mut changes: Vec<Fingerprint>,
+    verified_until: u64,
+) -> Vec<Fingerprint> {
     let split = changes.partition_point(|change| change.version <= verified_until);
     let unverified = changes.split_off(split);
     let mut recent = last_whole_revisions(changes);
--- a/crates/archive/src/digest.rs
+++ b/crates/archive/src/digest.rs
@@ -1,10 +1,10 @@
-//! The digest by which a snapshot's records are checked.
+//! Digest that detects changes to a snapshot's records.
 
 use sha2::{Digest, Sha256};
 
 use crate::model::StoredRecord;
 
-/// Number of records and SHA-256 over them.
+/// Number of records and their SHA-256 digest.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct DigestedRecords {
     /// Number of records.
@@ -13,7 +13,7 @@
     pub digest: Vec<u8>,
 }
 
-/// Computes the digest of records, which must be added in ascending order of their keys.
+/// Computes the digest of records. The records must be added in ascending order of their keys.
 #[derive(Default)]
 pub(crate) struct RecordDigest {
     hash: Sha256,
@@ -21,8 +21,8 @@
 }
 
 impl RecordDigest {
-    /// Adds the next record. Lengths go before variable parts, so that no two lists of records
-    /// hash the same bytes.
+    /// Adds the next record. Variable-length parts are prefixed with their length, so that two
+    /// different lists of records never hash the same bytes.
     pub(crate) fn add(&mut self, key: &str, record: &StoredRecord) {
         self.hash.update((key.len() as u64).to_le_bytes());
         self.hash.update(key.as_bytes());
@@ -32,7 +32,7 @@
         self.records += 1;
     }
 
-    /// The number of records and their digest.
+    /// Returns the number of records and their digest.
     #[must_use]
     pub(crate) fn finish(self) -> DigestedRecords {
         DigestedRecords {
--- a/crates/archive/src/documents.rs
+++ b/crates/archive/src/documents.rs
@@ -1,15 +1,15 @@
-//! The JSON documents that the tool prints, each with a published schema.
+//! JSON documents that `salttillerctl archive` prints, each with a published schema.
 //!
 //! Names, field order and doc comments of these types are part of the published schemas in
-//! docs/schemas: a doc comment appears there as `description`. They change only with the
-//! schemas, and [`DOCUMENT_VERSION`] goes up with an incompatible change. A snapshot is
-//! called "image" in them.
+//! docs/schemas: a doc comment appears there as `description`. A change to these types requires
+//! the same change to the schemas, and an incompatible change increments [`DOCUMENT_VERSION`].
+//! The documents call a snapshot "image".
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Version of the documents' form.
+/// Format version of the documents.
 pub const DOCUMENT_VERSION: u32 = 1;
 
 /// All records at one revision.
--- a/crates/archive/src/encoding.rs
+++ b/crates/archive/src/encoding.rs
@@ -1,36 +1,36 @@
-//! The encoding of an entry of the file: a CRC-32 in little-endian order, then MessagePack.
+//! Encoding of the archive file's entries: a little-endian CRC-32 followed by MessagePack.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use thiserror::Error;
 
-/// Bytes of the checksum in front of each entry.
+/// Size of the checksum at the start of each entry.
 const CHECKSUM_BYTES: usize = 4;
 
 /// Why an entry can't be decoded.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// It is too short to hold a checksum.
-    #[error("is cut off")]
+    /// The entry is shorter than a checksum.
+    #[error("is truncated")]
     Truncated,
-    /// Its bytes are not those that were written.
+    /// The entry's bytes do not match its checksum.
     #[error("fails its checksum")]
     Checksum,
-    /// Its bytes are intact but not of the expected form.
+    /// The entry's bytes match the checksum but do not have the expected form.
     #[error("can't be decoded: {0}")]
     Form(#[source] rmp_serde::decode::Error),
 }
 
 /// Encodes an entry with its checksum.
 pub(crate) fn encode_entry<T: Serialize>(entry: &T) -> Vec<u8> {
-    // Entries are plain structures of text, bytes and numbers: this can't fail.
+    // Entries consist of text, bytes and numbers only, so encoding can't fail.
     let body = rmp_serde::to_vec_named(entry).unwrap_or_default();
     let mut bytes = crc32fast::hash(&body).to_le_bytes().to_vec();
     bytes.extend_from_slice(&body);
     bytes
 }
 
-/// Decodes what [`encode_entry`] wrote.
+/// Decodes an entry that [`encode_entry`] wrote.
 pub(crate) fn decode_entry<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, EntryError> {
     let (checksum, body) = bytes
         .split_at_checked(CHECKSUM_BYTES)
--- a/crates/archive/src/encoding/tests.rs
+++ b/crates/archive/src/encoding/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the stored form of entries. The bytes were written by version 0.6 before any of
-//! these types was renamed: they must not change while the format's number stays.
+//! Tests of the stored form of entries. Version 0.6 wrote the expected bytes before any of these
+//! types was renamed. The bytes must not change while the format number stays the same.
 
 mod fixtures;
 
@@ -38,7 +38,7 @@
     "5cc851e684a56361757365af486973746f72795265706c61636564ae61667465725f72657669",
     "73696f6e03ac6c6173745f636f6e7461637404a76e6f746963656405",
 );
-/// SHA-256 of the one record under the key `st/a`.
+/// SHA-256 of a single record with the key `st/a`.
 const DIGEST: &str = "8a1709fe9b2b3958228ce2609cc0adcf8171c8025cc9653cd2ecb3c3016df5f3";
 
 fn hex(bytes: &[u8]) -> String {
@@ -97,8 +97,8 @@
     }
 }
 
-/// An entry has these bytes, and they are read back as that entry.
-fn check<T>(entry: T, expected: &str)
+/// Checks that an entry is encoded to the expected bytes and that they decode to the entry.
+fn check_encoding<T>(entry: T, expected: &str)
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
@@ -108,13 +108,13 @@
 }
 
 #[test]
-fn entries_keep_their_bytes() {
-    check(record(), RECORD);
-    check(batch(), BATCH);
-    check(segment(), SEGMENT);
-    check(snapshot(), SNAPSHOT);
-    check(gap(GapCause::ChangesCompacted), GAP_CHANGES_COMPACTED);
-    check(gap(GapCause::HistoryReplaced), GAP_HISTORY_REPLACED);
+fn encoded_bytes_of_entries_are_unchanged() {
+    check_encoding(record(), RECORD);
+    check_encoding(batch(), BATCH);
+    check_encoding(segment(), SEGMENT);
+    check_encoding(snapshot(), SNAPSHOT);
+    check_encoding(gap(GapCause::ChangesCompacted), GAP_CHANGES_COMPACTED);
+    check_encoding(gap(GapCause::HistoryReplaced), GAP_HISTORY_REPLACED);
     let mut digest = RecordDigest::default();
     digest.add("st/a", &record());
     assert_eq!(hex(&digest.finish().digest), DIGEST);
--- a/crates/archive/src/error.rs
+++ b/crates/archive/src/error.rs
@@ -1,7 +1,7 @@
-//! What can go wrong with an archive.
+//! Error types of the archive.
 //!
-//! Each error is one line for an operator, which includes the text of its cause. Causes are
-//! available through [`std::error::Error::source`] as well.
+//! The message of each error is one line for an operator and includes the text of its cause.
+//! The cause is also available through [`std::error::Error::source`].
 
 mod damage;
 
@@ -23,56 +23,56 @@
     /// There is no such file.
     #[error("{}: no such archive", .0.display())]
     NotFound(PathBuf),
-    /// The file is something else.
+    /// The file is not an archive.
     #[error("{}: not an archive: {cause}", path.display())]
     NotAnArchive {
         /// The file.
         path: PathBuf,
-        /// How that shows.
+        /// Why the file is not an archive.
         #[source]
         cause: ForeignFile,
     },
-    /// A later version wrote it.
+    /// The file has a format of a later version.
     #[error("{}: format {found}, this version reads up to {supported}", path.display())]
     UnsupportedFormat {
         /// The file.
         path: PathBuf,
-        /// Its format.
+        /// Format of the file.
         found: u64,
         /// The highest format that this version reads.
         supported: u64,
     },
-    /// It belongs to another deployment.
+    /// The archive belongs to another deployment.
     #[error("{}: archive of deployment \"{found}\", not of \"{expected}\"", path.display())]
     OtherDeployment {
         /// The file.
         path: PathBuf,
-        /// The deployment that it belongs to.
+        /// The deployment that the archive belongs to.
         found: String,
-        /// The deployment that was asked for.
+        /// The requested deployment.
         expected: String,
     },
-    /// Its content contradicts itself or its checksums.
+    /// The file's content is inconsistent or does not match its checksums.
     #[error("{}: damaged: {cause}", path.display())]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// What is wrong, and where.
+        /// The kind of damage and the entry concerned.
         #[source]
         cause: Damage,
     },
-    /// Another process kept it open for longer than the wait limit.
+    /// Another process kept the file open until the open timeout.
     #[error("{}: in use by another process", .0.display())]
     InUse(PathBuf),
-    /// The disk is full, or this process may not write more.
-    #[error("{}: no space left; nothing of this transaction is written", .0.display())]
+    /// The disk is full, or the process has reached a file size limit or disk quota.
+    #[error("{}: no space left; the transaction was not written", .0.display())]
     NoSpace(PathBuf),
-    /// The operating system refused for another reason.
+    /// The operating system reported another error.
     #[error("{}: {cause}", path.display())]
     Io {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The operating system's error.
         #[source]
         cause: io::Error,
     },
@@ -84,49 +84,49 @@
     StateService(#[source] RequestError),
 }
 
-/// How a file shows that it is not an archive.
+/// Why a file is not an archive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ForeignFile {
-    /// It has no bytes.
+    /// The file has no content.
     #[error("the file is empty")]
     Empty,
-    /// It is no file of the embedded store.
-    #[error("another kind of file")]
+    /// The file does not have the format of the embedded store.
+    #[error("the file is of another kind")]
     OtherKind,
-    /// It is a file of the embedded store without an archive's tables.
-    #[error("a store of another program")]
+    /// The file is a file of the embedded store but has no archive tables.
+    #[error("the file belongs to another program")]
     OtherProgram,
-    /// An entry that every archive has is missing.
-    #[error("no {0}")]
+    /// A metadata entry that every archive has is missing.
+    #[error("metadata entry \"{0}\" is missing")]
     MissingMetadata(&'static str),
 }
 
-/// Why a request to the state service has no usable answer.
+/// Why a request to the state service got no usable response.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// There was no answer.
+    /// The request got no response.
     #[error(transparent)]
     Client(#[from] ClientError),
     /// A page of records can't be decoded.
-    #[error("a page can't be read: {0}")]
+    #[error("page can't be decoded: {0}")]
     InvalidPage(#[source] rmp_serde::decode::Error),
     /// A list of changes can't be decoded.
-    #[error("changes can't be read: {0}")]
+    #[error("changes can't be decoded: {0}")]
     InvalidChanges(#[source] rmp_serde::decode::Error),
-    /// The state service refused.
+    /// The state service refused the request.
     #[error("{address}: status {status}")]
     Refused {
         /// Address of the state service.
         address: SocketAddr,
         /// HTTP status.
         status: u16,
-        /// The state service asks to come back no sooner than after this time.
+        /// Minimum delay before a retry, as requested by the state service.
         retry_after: Option<Micros>,
     },
 }
 
 impl RequestError {
-    /// The least time to wait before the next request.
+    /// Returns the minimum time to wait before the next request.
     pub(crate) fn retry_after(&self) -> Micros {
         match self {
             RequestError::Refused { retry_after, .. } => retry_after.unwrap_or(0),
@@ -135,12 +135,12 @@
     }
 }
 
-/// Linux error numbers that mean that no more can be written: `ENOSPC` (disk full), `EFBIG`
-/// (file size limit) and `EDQUOT` (disk quota).
+/// Linux error numbers for exhausted space: `ENOSPC` (disk full), `EFBIG` (file size limit) and
+/// `EDQUOT` (disk quota).
 const NO_SPACE_ERRNOS: [i32; 3] = [28, 27, 122];
 
 impl ArchiveError {
-    /// An input or output error of a file.
+    /// Returns the error for an I/O error of a file.
     #[must_use]
     pub fn io(path: &Path, cause: io::Error) -> Self {
         let path = path.to_path_buf();
@@ -159,9 +159,9 @@
     }
 }
 
-/// Converts results of the embedded store into those of an archive.
+/// Converts results of the embedded store into results of the archive.
 pub(crate) trait StoreResult<T> {
-    /// Names the file that the store's error is about.
+    /// Converts an error of the store into an error that names the file.
     fn in_file(self, path: &Path) -> Result<T, ArchiveError>;
 }
 
--- a/crates/archive/src/error/damage.rs
+++ b/crates/archive/src/error/damage.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a damaged file, and where.
+//! Kinds of damage to an archive's file, and the entries that they concern.
 
 use std::fmt;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use super::ArchiveError;
 use crate::encoding::EntryError;
 
-/// Names an entry of the file in messages.
+/// Name of an entry of the file, for messages.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryName {
     /// An entry about the archive as a whole.
@@ -26,9 +26,9 @@
     },
     /// A change batch.
     ChangeBatch {
-        /// Number of its segment.
+        /// Number of the segment that the batch belongs to.
         segment: u64,
-        /// Its number within the segment.
+        /// Number of the batch within the segment.
         number: u64,
     },
 }
@@ -47,24 +47,24 @@
     }
 }
 
-/// What is wrong with a damaged file.
+/// Damage found in a file.
 #[derive(Debug, Error)]
 pub enum Damage {
-    /// An entry's bytes are not those that were written.
+    /// An entry can't be decoded.
     #[error("{entry} {cause}")]
     Entry {
         /// The entry.
         entry: EntryName,
-        /// What is wrong with it.
+        /// Why the entry can't be decoded.
         #[source]
         cause: EntryError,
     },
     /// A record's value can't be decoded.
-    #[error("record {key} can't be read: {cause}")]
+    #[error("record {key} can't be decoded: {cause}")]
     RecordValue {
         /// Key of the record.
         key: String,
-        /// What the decoder said.
+        /// The decoder's error.
         #[source]
         cause: rmp_serde::decode::Error,
     },
@@ -72,47 +72,47 @@
     #[error("{0}")]
     Store(#[source] Box<redb::Error>),
     /// The embedded store found its own structures inconsistent and panicked.
-    #[error("the embedded store finds it inconsistent")]
+    #[error("the embedded store found inconsistent structures")]
     StoreAssertion,
-    /// The embedded store's check of all its pages failed.
-    #[error("checksums of the file's pages don't agree")]
+    /// The embedded store's check of its page checksums failed.
+    #[error("page checksums don't match")]
     PageChecksums,
-    /// A segment is needed and there is none.
-    #[error("no segment is open")]
+    /// An action requires a segment, but the archive has none.
+    #[error("the archive has no segment")]
     NoSegment,
-    /// A snapshot in progress is needed and there is none.
-    #[error("no snapshot is being read")]
+    /// An action requires a snapshot in progress, but there is none.
+    #[error("no snapshot is in progress")]
     NoSnapshotInProgress,
-    /// Changes were to be added that don't follow the last ones.
-    #[error("changes after {after} don't continue {expected}")]
+    /// A new change batch does not start at the end of the segment.
+    #[error("changes start after revision {after}, but the segment ends at {expected}")]
     NotContiguous {
-        /// The new changes come after this revision.
+        /// Revision after which the new batch starts.
         after: u64,
-        /// The segment ends at this revision.
+        /// Revision at which the segment ends.
         expected: u64,
     },
-    /// A change batch is missing from the numbering.
+    /// A change batch is missing from the sequence of numbers.
     #[error("{0} is missing")]
     MissingBatch(EntryName),
-    /// A change batch overlaps the one before it or lies past its segment's end.
+    /// A change batch overlaps the batch before it or extends past the segment's end.
     #[error("{0} is out of order")]
     BatchOutOfOrder(EntryName),
-    /// Changes within a batch are not in the order of their revisions.
-    #[error("{0} holds changes out of order")]
+    /// Changes within a batch are not in revision order.
+    #[error("{0} contains changes out of order")]
     ChangesOutOfOrder(EntryName),
-    /// A batch holds changes after the revision that it ends at.
-    #[error("{0} holds changes past its end")]
+    /// A batch contains changes after its last revision.
+    #[error("{0} contains changes after its last revision")]
     ChangesPastEnd(EntryName),
-    /// A snapshot's records are not those that were written.
+    /// A snapshot's records do not match its digest.
     #[error("{0} fails its digest")]
     SnapshotDigest(EntryName),
-    /// A snapshot is not what the changes make of the one before it.
-    #[error("{0} differs from the one before it with the changes between")]
+    /// A snapshot differs from the result of applying the changes to the previous snapshot.
+    #[error("{0} differs from the previous snapshot with the changes applied")]
     SnapshotDiffers(EntryName),
 }
 
 impl Damage {
-    /// The damage as an error of a file.
+    /// Returns the damage as an error that names the file.
     pub(crate) fn in_file(self, path: &Path) -> ArchiveError {
         ArchiveError::Damaged {
             path: path.to_path_buf(),
--- a/crates/archive/src/export.rs
+++ b/crates/archive/src/export.rs
@@ -1,4 +1,4 @@
-//! Export of an archive's content as documents, see [`crate::documents`].
+//! Conversion of an archive's content into the JSON documents of [`crate::documents`].
 
 use salttiller_records::units::to_seconds;
 
@@ -14,7 +14,7 @@
 /// Exports the records at a point in time.
 ///
 /// # Errors
-/// [`ArchiveError::NotCovered`], and those of reading.
+/// [`ArchiveError::NotCovered`], or the archive can't be read.
 pub fn export(archive: &Archive, point: PointInTime) -> Result<ExportDocument, ArchiveError> {
     archive.read(|view| {
         let found = reconstruct(view, point)?;
@@ -51,7 +51,7 @@
 /// Lists an archive's segments and snapshots.
 ///
 /// # Errors
-/// Those of reading.
+/// The archive can't be read.
 pub fn list(archive: &Archive) -> Result<ListDocument, ArchiveError> {
     archive.read(|view| {
         let segments = view.segments()?;
@@ -98,7 +98,7 @@
     }
 }
 
-/// The text of a cause; scripts may compare it.
+/// Returns the text of a cause. Scripts may compare the text, so it must not change.
 fn describe_cause(cause: &GapCause) -> String {
     match cause {
         GapCause::FirstRecording => "first recording".to_owned(),
--- a/crates/archive/src/fault_injection.rs
+++ b/crates/archive/src/fault_injection.rs
@@ -1,32 +1,35 @@
-//! Fault injection for tests: a test disables one safeguard and shows that the archive is then
-//! wrong, so that the safeguard is needed. In production builds every safeguard is active, and
-//! [`is_disabled`] is a constant.
+//! Fault injection for tests: a test disables one safeguard and checks that the archive is then
+//! wrong, which shows that the safeguard is needed. In production builds every safeguard is
+//! active, and [`is_disabled`] is a constant.
 
 /// A safeguard that a test may disable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Safeguard {
-    /// After an interruption the archived changes are compared with the state service's.
+    /// After an interruption, the archived changes are compared with the state service's changes.
     HistoryComparison,
-    /// A revision that goes back ends the segment.
+    /// The segment ends when the revision goes back.
     RevisionOrder,
-    /// When the history turns out to be another, changes archived since the last comparison
-    /// are dropped.
+    /// If a comparison shows that the history was replaced, the changes archived since the last
+    /// comparison that may come from the new history are dropped.
     UnverifiedChangesDropped,
-    /// A snapshot is brought to one revision by the changes made while it was read.
+    /// The changes made while a snapshot was read are applied to it, so that all its records are
+    /// at one revision.
     SnapshotConsistency,
-    /// A snapshot read ahead of the archived changes is read anew after an interruption.
+    /// After an interruption, a snapshot with pages ahead of the archived changes is discarded
+    /// and read again.
     PagesAheadDiscarded,
-    /// A segment without changes of its own is recognised by those just before it.
+    /// The history of a segment without changes is identified by the changes just before the
+    /// segment.
     PrecedingChanges,
 }
 
 #[cfg(test)]
 thread_local! {
-    /// Per thread, since tests run in parallel.
+    /// The safeguard disabled on this thread. Tests run in parallel on several threads.
     static DISABLED: std::cell::Cell<Option<Safeguard>> = const { std::cell::Cell::new(None) };
 }
 
-/// Disables a safeguard on this thread until the next call; `None` enables all.
+/// Disables a safeguard on this thread until the next call. `None` enables all safeguards.
 #[cfg(test)]
 pub(crate) fn disable(safeguard: Option<Safeguard>) {
     DISABLED.set(safeguard);
@@ -38,7 +41,7 @@
     DISABLED.get() == Some(safeguard)
 }
 
-/// Whether a test has disabled this safeguard: never outside tests.
+/// Whether a test has disabled this safeguard: always `false` outside tests.
 #[cfg(not(test))]
 pub(crate) const fn is_disabled(_safeguard: Safeguard) -> bool {
     false
--- a/crates/archive/src/lib.rs
+++ b/crates/archive/src/lib.rs
@@ -1,16 +1,17 @@
 //! An archive of the state service's records on an operator's disk.
 //!
-//! The archive holds *snapshots* (all records at one revision) and every change after them, as
-//! the state service's watch shows it. A run of changes without a gap is a *segment*; where
-//! continuity was lost, the next segment says why and what is missing in between.
+//! The archive holds *snapshots* (all records at one revision) and every later change that the
+//! state service's watch reports. A sequence of changes without a gap is a *segment*. Where
+//! continuity was lost, the next segment records the cause and the extent of the gap.
 //!
-//! - [`recorder`] decides what to ask next and what an answer means; it does no I/O.
-//! - [`database`] stores segments, snapshots and changes in one file, a transaction at a time.
-//! - [`session`] joins the two with a blocking client.
-//! - [`mod@reconstruct`], [`mod@verify`], [`retention`] and [`mod@export`] work on what is
-//!   stored.
+//! - [`recorder`] selects the next request and turns responses into actions on the archive. The
+//!   module does no I/O.
+//! - [`database`] stores segments, snapshots and changes in one file, one transaction at a time.
+//! - [`session`] runs a recorder with an archive and a blocking client.
+//! - [`mod@reconstruct`], [`mod@verify`], [`retention`] and [`mod@export`] operate on the stored
+//!   data.
 //!
-//! See docs/recovery.md. In the file and in JSON documents a snapshot is called "image".
+//! See docs/recovery.md. The file and the JSON documents call a snapshot "image".
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/archive/src/model.rs
+++ b/crates/archive/src/model.rs
@@ -1,8 +1,8 @@
-//! What an archive is made of.
+//! Data types of an archive.
 //!
-//! All types here are written to the file in MessagePack with their field names. Where a Rust
-//! name differs from the stored one, `serde(rename)` keeps the file's form; `encoding/tests.rs`
-//! holds the bytes.
+//! The serializable types of this module are written to the file in MessagePack with their field
+//! names. Where a Rust name differs from the stored name, `serde(rename)` preserves the stored
+//! form; `encoding/tests.rs` checks the stored bytes.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -12,39 +12,39 @@
 use salttiller_records::history::Fingerprint;
 use salttiller_records::units::Micros;
 
-/// An entry of a table, with the number that it is stored under.
+/// An entry of a table with its number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row<T> {
-    /// Number of the segment or snapshot; numbers only grow.
+    /// Number of the segment or snapshot. Numbers only increase.
     pub id: u64,
     /// The entry.
     pub value: T,
 }
 
-/// A record as archived.
+/// A record in its archived form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRecord {
     /// Revision of the record's last change.
     pub version: u64,
-    /// The value, in MessagePack.
+    /// The record's value in MessagePack.
     pub value: Vec<u8>,
 }
 
 impl StoredRecord {
-    /// Encodes a record as the state service returned it.
+    /// Encodes a record that the state service returned.
     #[must_use]
     pub fn new(version: u64, value: &Value) -> Self {
         StoredRecord {
             version,
-            // A value that was just decoded can be encoded.
+            // The value was decoded from a response, so encoding can't fail.
             value: rmp_serde::to_vec(value).unwrap_or_default(),
         }
     }
 
-    /// Decodes the value.
+    /// Decodes the record's value.
     ///
     /// # Errors
-    /// The stored bytes are not MessagePack.
+    /// The stored bytes are not valid MessagePack.
     pub fn decode_value(&self) -> Result<Value, rmp_serde::decode::Error> {
         rmp_serde::from_slice(&self.value)
     }
@@ -71,26 +71,26 @@
 /// A watch event that can't be archived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum InvalidChange {
-    /// It is not exactly one of put and deletion.
+    /// The event is both a put and a deletion, or neither.
     #[error("the change at revision {revision} is neither a put nor a deletion")]
     Ambiguous {
         /// Revision of the event.
         revision: u64,
     },
-    /// It puts a record without a value.
+    /// The event puts a record without a value.
     #[error("the change at revision {revision} has no value")]
     NoValue {
         /// Revision of the event.
         revision: u64,
     },
-    /// Its revision lies outside of the range that was asked for.
+    /// The event's revision is outside the requested range.
     #[error("the change at revision {revision} is outside of revisions {after} to {until}")]
     OutOfRange {
         /// Revision of the event.
         revision: u64,
-        /// The watch asked for changes after this revision.
+        /// The watch requested changes after this revision.
         after: u64,
-        /// Revision of the answer.
+        /// Revision of the response.
         until: u64,
     },
 }
@@ -102,7 +102,7 @@
     pub version: u64,
     /// Key of the record.
     pub key: String,
-    /// The new value in MessagePack; `None`: the record was deleted.
+    /// The new value in MessagePack, or `None` if the record was deleted.
     pub value: Option<Vec<u8>>,
 }
 
@@ -129,119 +129,121 @@
 }
 
 impl Change {
-    /// What identifies the change when two histories are compared.
+    /// Returns the change's fingerprint, by which two histories are compared.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint::new(self.version, self.key.clone(), self.value.as_deref())
     }
 }
 
-/// The changes that one answer of the watch brought.
+/// The changes of one response to a watch.
 ///
 /// Invariant: `after <` each change's revision `<= until`, in ascending order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeBatch {
-    /// The batch holds all changes after this revision …
+    /// The batch contains all changes after this revision and up to `until`.
     pub after: u64,
-    /// … up to and including this one.
+    /// Last revision that the batch covers.
     pub until: u64,
-    /// Wall-clock time at which the answer arrived; informational only.
+    /// Wall-clock time at which the response arrived; informational only.
     pub received: Micros,
-    /// The changes, in the order of their revisions.
+    /// The changes in revision order.
     pub changes: Vec<Change>,
 }
 
-/// Why a segment does not continue the one before it.
+/// Why a segment does not continue the previous segment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GapCause {
-    /// It is the archive's first segment.
+    /// The segment is the archive's first.
     FirstRecording,
-    /// The state service no longer kept the changes after the last archived one.
+    /// The state service no longer retained the changes after the last archived change.
     #[serde(rename = "ChangesNotKept")]
     ChangesCompacted,
-    /// The revision is lower than one seen before: the store was wiped or restored from an
-    /// older copy.
+    /// The revision is lower than an earlier one: the store was wiped or restored from an older
+    /// backup.
     RevisionWentBack {
         /// The lower revision.
         to: u64,
     },
-    /// The state service shows other changes for archived revisions: another history.
+    /// The state service reports other changes for archived revisions, so its history was
+    /// replaced.
     HistoryReplaced,
 }
 
-/// A gap between two segments: changes that may exist but are not archived.
+/// A gap between two segments. Changes within the gap may exist but are not archived.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gap {
     /// Why continuity was lost.
     pub cause: GapCause,
-    /// The last revision that is certainly archived, in the segment before.
+    /// The last revision of the previous segment that is certainly archived.
     pub after_revision: u64,
-    /// Wall-clock time of the last answer before the gap.
+    /// Wall-clock time of the last response before the gap.
     pub last_contact: Micros,
     /// Wall-clock time at which the gap was detected.
     #[serde(rename = "noticed")]
     pub detected: Micros,
 }
 
-/// A run of changes without a gap.
+/// A sequence of changes without a gap.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The gap between the segment before and this one.
+    /// The gap between the previous segment and this one.
     pub gap: Gap,
-    /// Changes are complete after this revision …
+    /// The segment covers all changes after this revision and up to `until`.
     pub after: u64,
-    /// … up to and including this one.
+    /// Last revision that the segment covers.
     pub until: u64,
-    /// Up to this revision the state service has been seen to have the same history.
+    /// Last revision up to which a comparison found the same history at the state service.
     #[serde(rename = "verified")]
     pub verified_until: u64,
-    /// Number of the first change batch that is retained.
+    /// Number of the first retained change batch.
     pub first_batch: u64,
     /// Number of the next change batch to be written.
     pub next_batch: u64,
-    /// The changes just before the segment. They identify its history while it has no changes
-    /// of its own.
+    /// The changes just before the segment. They identify its history while the segment has no
+    /// changes.
     #[serde(rename = "context")]
     pub preceding_changes: Vec<Fingerprint>,
-    /// Wall-clock time of the last answer.
+    /// Wall-clock time of the last response.
     pub last_contact: Micros,
-    /// Set when continuity was lost: the gap between this segment and the next.
+    /// The gap between this segment and the next, set when continuity was lost.
     #[serde(rename = "ended")]
     pub ended_by: Option<Gap>,
 }
 
-/// All records at one revision; the records themselves are in a table of their own.
+/// Metadata of a snapshot, which holds all records at one revision. The records are stored in a
+/// separate table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Number of the segment that it belongs to.
+    /// Number of the segment that the snapshot belongs to.
     pub segment: u64,
-    /// Revision at which it is consistent; `None` while it is being read.
+    /// Revision at which the snapshot is consistent, or `None` while it is incomplete.
     pub revision: Option<u64>,
-    /// Revision of the first page that was read.
+    /// Revision of the first page.
     #[serde(rename = "first_page")]
     pub first_page_revision: u64,
-    /// Wall-clock time at which reading began.
+    /// Wall-clock time at which the snapshot was started.
     #[serde(rename = "begun")]
     pub started: Micros,
     /// Number of records.
     pub records: u64,
-    /// SHA-256 over all keys, versions and values in the order of the keys, see `digest.rs`.
+    /// SHA-256 over all keys, versions and values in key order, see `digest.rs`.
     pub digest: Vec<u8>,
 }
 
-/// A snapshot that was read to its end.
+/// A complete snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompleteSnapshot {
-    /// Its number.
+    /// Number of the snapshot.
     pub id: u64,
-    /// Revision at which it is consistent.
+    /// Revision at which the snapshot is consistent.
     pub revision: u64,
-    /// What the archive says of it.
+    /// Metadata of the snapshot.
     pub snapshot: Snapshot,
 }
 
 impl CompleteSnapshot {
-    /// The snapshot of a row, unless it is still being read.
+    /// Returns the snapshot of a row, or `None` if it is incomplete.
     pub(crate) fn from_row(row: Row<Snapshot>) -> Option<Self> {
         Some(CompleteSnapshot {
             id: row.id,
--- a/crates/archive/src/reconstruct.rs
+++ b/crates/archive/src/reconstruct.rs
@@ -1,5 +1,5 @@
-//! Point-in-time reconstruction: the records as they were at a revision that the archive
-//! covers, from the last snapshot before it and the changes since.
+//! Point-in-time reconstruction of the records at a revision that the archive covers, from the
+//! last snapshot at or before that revision and the changes after the snapshot.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,16 +13,16 @@
 /// All records, by key.
 pub type RecordMap = BTreeMap<String, StoredRecord>;
 
-/// A point in time, as an operator asks for it.
+/// A point in time that an operator requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PointInTime {
-    /// Number of the segment; `None`: the newest that covers the revision.
+    /// Number of the segment; `None` selects the newest segment that covers the revision.
     pub segment: Option<u64>,
-    /// Revision; `None`: the last one known.
+    /// Revision; `None` selects the last known revision.
     pub revision: Option<u64>,
 }
 
-/// Says what is missing for this point in time.
+/// Describes what is missing for this point in time, for an error message.
 impl fmt::Display for PointInTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.revision {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Changes after one revision, up to and including another.
+/// A range of revisions: after one revision, up to and including another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RevisionRange {
     /// The last revision before the range.
@@ -46,34 +46,35 @@
 }
 
 impl RevisionRange {
-    /// Whether the range holds a revision.
+    /// Whether the range contains a revision.
     #[must_use]
     pub fn contains(&self, revision: u64) -> bool {
         self.after < revision && revision <= self.until
     }
 }
 
-/// The records at a point in time, and what they were made from.
+/// The records at a point in time, with the snapshot and changes that they result from.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reconstruction {
     /// The segment that covers the revision.
     pub segment: Row<Segment>,
-    /// The revision.
+    /// The reconstructed revision.
     pub revision: u64,
-    /// Revision of the snapshot that the records start from.
+    /// Revision of the snapshot that the reconstruction starts from.
     pub snapshot_revision: u64,
-    /// Wall-clock time at which that snapshot was started.
+    /// Wall-clock time at which the snapshot was started.
     pub snapshot_started: Micros,
     /// Number of changes applied to the snapshot.
     pub changes_applied: u64,
-    /// The records.
+    /// The records at the reconstructed revision.
     pub records: RecordMap,
 }
 
 /// Reconstructs the records at a point in time.
 ///
 /// # Errors
-/// [`ArchiveError::NotCovered`] without a snapshot to start from, and those of reading.
+/// [`ArchiveError::NotCovered`] if there is no snapshot to start from, or the archive can't be
+/// read.
 pub fn reconstruct(view: &ArchiveView, point: PointInTime) -> Result<Reconstruction, ArchiveError> {
     let (segment, revision, base) = find_base(view, point)?;
     let mut records = load_snapshot(view, base.id)?;
@@ -92,8 +93,8 @@
     })
 }
 
-/// The newest segment that covers a point in time, the revision that is meant, and the last
-/// snapshot up to it.
+/// Returns the newest segment that covers a point in time, the selected revision, and the last
+/// snapshot at or before that revision.
 fn find_base(
     view: &ArchiveView,
     point: PointInTime,
@@ -114,10 +115,10 @@
     Err(ArchiveError::NotCovered(point))
 }
 
-/// The records of a snapshot.
+/// Returns the records of a snapshot.
 ///
 /// # Errors
-/// Those of reading.
+/// The archive can't be read.
 pub fn load_snapshot(view: &ArchiveView, snapshot: u64) -> Result<RecordMap, ArchiveError> {
     let mut records = RecordMap::new();
     view.for_each_record(snapshot, |keyed| {
@@ -127,10 +128,10 @@
     Ok(records)
 }
 
-/// Applies a segment's changes in a range of revisions to records; returns their number.
+/// Applies a segment's changes within a range of revisions to `records` and returns their number.
 ///
 /// # Errors
-/// Those of reading.
+/// The archive can't be read.
 pub fn apply_changes(
     view: &ArchiveView,
     segment: &Row<Segment>,
--- a/crates/archive/src/recorder.rs
+++ b/crates/archive/src/recorder.rs
@@ -1,12 +1,13 @@
-//! What to ask the state service next, and what its answers mean for the archive.
+//! The recorder: a state machine that selects the next request to the state service and turns
+//! responses into actions on the archive.
 //!
-//! Answers and clock readings go in; actions on the archive and the next request come out.
-//! Nothing here does I/O, so every sequence of events can be a case of a test.
+//! Inputs are responses and clock readings; outputs are actions and the next request. The module
+//! does no I/O, so a test can run any sequence of events.
 //!
-//! Continuity rests on two checks. The revision of the store never goes back: a lower one is
-//! another history. And after each interruption, and at intervals without one, the last
-//! archived changes are asked for again and compared: a store that was replaced and has grown
-//! past our revision since shows others.
+//! Two checks detect a loss of continuity. First, the revision of a store never goes back: a
+//! lower revision means that the history was replaced. Second, after each interruption, and at
+//! intervals without one, the last archived changes are requested again and compared. The second
+//! check detects a store that was replaced and has since grown past the archived revision.
 
 mod action;
 mod answers;
@@ -28,55 +29,56 @@
 pub use request::{Answer, Request};
 pub use schedule::Pacing;
 
-/// How long a watch waits for a change.
+/// Time that a watch waits for a change.
 const WATCH_WAIT: Micros = 10 * SECOND;
 
-/// What the recorder is doing.
+/// State of the recorder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Phase {
-    /// No segment is open; the revision at which the next may start is asked for.
+    /// No segment is open; the recorder requests the revision at which the next segment starts.
     StartingSegment { gap: Gap },
-    /// The changes just before the new segment are asked for. With them it begins: all that
-    /// it then records must be of the history that showed them.
+    /// The recorder requests the changes just before the new segment. The segment begins with the
+    /// response; everything that it records must belong to the same history as these changes.
     ReadingPrecedingChanges {
         gap: Gap,
         /// The segment starts after this revision.
         after: u64,
-        /// How far before it changes are asked for, in revisions.
+        /// Number of revisions before the segment whose changes are requested.
         depth: u64,
     },
-    /// Whether the state service still has the recorded history is asked.
+    /// The recorder checks whether the state service still has the recorded history.
     VerifyingHistory,
-    /// Changes, and at intervals a snapshot, are recorded.
+    /// The recorder records changes and, at intervals, a snapshot.
     Recording,
 }
 
-/// A request, and when to send it.
+/// A request and the earliest time to send it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScheduledRequest {
-    /// The earliest time to send it, by the monotonic clock.
+    /// The earliest time to send the request, by the monotonic clock.
     pub not_before: Micros,
-    /// The request.
+    /// The request to send.
     pub request: Request,
 }
 
-/// Decides what is asked of the state service and written to the archive.
+/// Selects the requests to the state service and the actions on the archive.
 ///
-/// One request is outstanding at a time: [`Recorder::next_request`], then
-/// [`Recorder::on_answer`], whose actions are carried out before the next.
+/// One request is outstanding at a time: the caller takes it from [`Recorder::next_request`],
+/// passes the result to [`Recorder::on_answer`], and applies the returned actions before it takes
+/// the next request.
 #[derive(Debug)]
 pub struct Recorder {
     phase: Phase,
     schedule: Schedule,
     history: RecordedHistory,
-    /// Wall-clock time of the last answer.
+    /// Wall-clock time of the last response.
     last_contact: Micros,
     snapshot: Option<SnapshotRead>,
     snapshots_completed: u64,
 }
 
 impl Recorder {
-    /// A recorder for an archive without a segment.
+    /// Creates a recorder for an archive without a segment.
     #[must_use]
     pub fn new(pacing: Pacing, wall_clock: Micros) -> Self {
         let gap = Gap {
@@ -88,8 +90,8 @@
         Recorder::in_phase(pacing, Phase::StartingSegment { gap })
     }
 
-    /// A recorder that continues an archive's last segment, whose last changes are `recent`.
-    /// Whatever happened since is found out by a comparison first.
+    /// Creates a recorder that continues an archive's last segment, whose last changes are
+    /// `recent`. The recorder first compares the state service's history with these changes.
     #[must_use]
     pub fn resume(pacing: Pacing, segment: &Segment, recent: Vec<Fingerprint>) -> Self {
         let phase = match &segment.ended_by {
@@ -115,18 +117,19 @@
         }
     }
 
-    /// How many snapshots this recorder has completed.
+    /// Returns the number of snapshots that this recorder has completed.
     #[must_use]
     pub fn snapshots_completed(&self) -> u64 {
         self.snapshots_completed
     }
 
-    /// Makes the next snapshot due at this time of the monotonic clock.
+    /// Schedules the next snapshot for a time of the monotonic clock.
     pub fn schedule_snapshot(&mut self, at: Micros) {
         self.schedule.set_next_snapshot(at);
     }
 
-    /// The next request, and the earliest time to send it. `now` is a monotonic clock.
+    /// Returns the next request and the earliest time to send it. `now` is a reading of the
+    /// monotonic clock.
     pub fn next_request(&mut self, now: Micros) -> ScheduledRequest {
         let request = match &self.phase {
             Phase::StartingSegment { .. } => Request::Revision,
@@ -134,19 +137,19 @@
                 from: after.saturating_sub(*depth),
                 wait: 0,
             },
-            Phase::VerifyingHistory => self.comparison(),
+            Phase::VerifyingHistory => self.comparison_request(),
             Phase::Recording => self.recording_request(now),
         };
         ScheduledRequest {
-            not_before: self.schedule.earliest(&request),
+            not_before: self.schedule.earliest_send_time(&request),
             request,
         }
     }
 
-    /// Asks for the recent changes again, and for those after them.
-    fn comparison(&self) -> Request {
+    /// Returns a request for the recent changes and all changes after them.
+    fn comparison_request(&self) -> Request {
         Request::Watch {
-            from: self.history.compare_after(),
+            from: self.history.comparison_start(),
             wait: 0,
         }
     }
@@ -164,12 +167,12 @@
             },
             _ => {
                 self.phase = Phase::VerifyingHistory;
-                self.comparison()
+                self.comparison_request()
             }
         }
     }
 
-    /// Handles how the last request ended; returns what the archive has to do.
+    /// Handles the result of the last request and returns the actions to apply to the archive.
     pub fn on_answer(
         &mut self,
         request: &Request,
@@ -179,7 +182,7 @@
         self.schedule.request_ended(clock.monotonic);
         match (answer, request) {
             (Err(error), _) => {
-                tracing::info!(%error, "no usable answer of the state service");
+                tracing::info!(%error, "no usable response from the state service");
                 self.on_interruption(clock.monotonic, error.retry_after());
                 Vec::new()
             }
--- a/crates/archive/src/recorder/action.rs
+++ b/crates/archive/src/recorder/action.rs
@@ -1,45 +1,46 @@
-//! What the recorder decides.
+//! Actions by which the recorder changes the archive.
 
 use salttiller_records::history::Fingerprint;
 
 use crate::model::{ChangeBatch, Gap, KeyedRecord};
 
-/// A change to the archive. Actions that come together are carried out in their order and in
-/// one transaction.
+/// A change to the archive. Actions that are returned together are applied in order and in one
+/// transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Starts a segment.
     BeginSegment {
-        /// The gap before it.
+        /// The gap before the segment.
         gap: Gap,
-        /// Its changes are complete after this revision.
+        /// The segment covers all changes after this revision.
         after: u64,
     },
     /// Stores the changes just before the new segment.
     SetPrecedingChanges(Vec<Fingerprint>),
-    /// Starts a snapshot; an incomplete one is deleted.
+    /// Starts a snapshot. An incomplete snapshot is deleted first.
     BeginSnapshot {
-        /// Revision of its first page.
+        /// Revision of the snapshot's first page.
         first_page_revision: u64,
     },
     /// Adds records to the snapshot in progress.
     AddRecords(Vec<KeyedRecord>),
-    /// Brings the snapshot in progress to this revision by the archived changes, and
-    /// completes it.
+    /// Applies the archived changes up to a revision to the snapshot in progress, and marks the
+    /// snapshot complete.
     CompleteSnapshot {
-        /// The revision.
+        /// Revision at which the snapshot is consistent.
         revision: u64,
     },
     /// Deletes the snapshot in progress.
     AbandonSnapshot,
-    /// Adds changes to the segment.
+    /// Appends a batch of changes to the segment.
     AddChanges(ChangeBatch),
-    /// Deletes the segment's changes after a revision: they are of another history.
+    /// Deletes the segment's changes after a revision, because they belong to another history.
     DropChangesAfter(u64),
-    /// Ends the segment: whatever comes next doesn't continue it.
+    /// Ends the segment. Later changes belong to a new segment.
     EndSegment(Gap),
-    /// There are no changes up to a revision.
+    /// Extends the segment to a revision up to which there are no further changes.
     AdvanceTo(u64),
-    /// The history was compared and is the segment's up to a revision.
+    /// Records that a comparison found the segment's history at the state service, up to a
+    /// revision.
     MarkVerified(u64),
 }
--- a/crates/archive/src/recorder/answers.rs
+++ b/crates/archive/src/recorder/answers.rs
@@ -1,4 +1,4 @@
-//! What answers of the state service, or their absence, mean for the archive.
+//! Handling of responses of the state service, and of failed requests.
 
 use salttiller_protocol::state_service::{Changes, Page};
 use salttiller_records::history::Fingerprint;
@@ -11,20 +11,22 @@
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::model::{Change, ChangeBatch, Gap, GapCause, InvalidChange, KeyedRecord};
 
-/// How far before a new segment its preceding changes are asked for at first, in revisions.
-/// Enough for the changes that a history is recognised by if every second revision has one.
+/// Number of revisions before a new segment that the first request for its preceding changes
+/// covers. If every second revision has a change, the response has enough changes to identify a
+/// history.
 const PRECEDING_REVISIONS: u64 = 64;
-/// If the state service doesn't keep so many, a part of them is asked for: one in so many.
+/// Divisor of the number of requested revisions if the state service no longer retains them all.
 const PRECEDING_REVISIONS_DIVISOR: u64 = 4;
 
 impl Recorder {
-    /// After a failure the history is compared before anything else is recorded.
+    /// Handles a failed request: backs off, and compares the history before anything else is
+    /// recorded.
     pub(super) fn on_interruption(&mut self, now: Micros, retry_after: Micros) {
         self.schedule.back_off(now, retry_after);
         if self.phase == Phase::Recording {
             self.phase = Phase::VerifyingHistory;
         }
-        // Pages ahead of the archived changes can't be compared.
+        // A comparison covers the archived changes only. Pages ahead of them can't be verified.
         let cursor = self.history.cursor();
         let is_ahead = |snapshot: &mut SnapshotRead| snapshot.last_page_revision() > cursor;
         if !is_disabled(Safeguard::PagesAheadDiscarded) && self.snapshot.take_if(is_ahead).is_some()
@@ -33,10 +35,10 @@
         }
     }
 
-    /// The changes that were asked for are no longer kept.
+    /// Handles a response that the requested changes are no longer retained.
     pub(super) fn on_compacted(&mut self, clock: ClockReading) -> Vec<Action> {
         let Phase::ReadingPrecedingChanges { gap, after, depth } = &mut self.phase else {
-            // What came since the last comparison can no longer be compared.
+            // Changes after the last comparison can no longer be verified.
             let verified_until = self.history.verified_until();
             return self.end_segment(GapCause::ChangesCompacted, verified_until, clock);
         };
@@ -44,7 +46,7 @@
             *depth /= PRECEDING_REVISIONS_DIVISOR;
             return Vec::new();
         }
-        // Without preceding changes the segment is recognised by what it records itself.
+        // Without preceding changes, the segment's own changes identify its history.
         let (gap, after) = (gap.clone(), *after);
         self.begin_segment(gap, after, Vec::new())
     }
@@ -75,7 +77,7 @@
         }
         snapshot.advance(page);
         if page.more && page.pairs.is_empty() {
-            // A page that promises more and shows nothing leads nowhere.
+            // An empty page that announces further pages has no last key to continue from.
             self.on_interruption(clock.monotonic, 0);
             return actions;
         }
@@ -104,7 +106,7 @@
         let (known, new) = match split_changes(answer, from, known_until) {
             Ok(split) => split,
             Err(error) => {
-                tracing::warn!(%error, "invalid change in an answer of the state service");
+                tracing::warn!(%error, "invalid change in a response of the state service");
                 self.on_interruption(clock.monotonic, 0);
                 return Vec::new();
             }
@@ -116,7 +118,7 @@
                 actions
             }
             Phase::VerifyingHistory if !self.history.agrees_with(&known) => {
-                let last_own = self.history.last_revision_before(&known);
+                let last_own = self.history.last_own_revision(&known);
                 self.end_segment(GapCause::HistoryReplaced, last_own, clock)
             }
             Phase::VerifyingHistory => self.on_history_verified(new, revision, clock),
@@ -132,9 +134,9 @@
         after: u64,
         preceding_changes: Vec<Fingerprint>,
     ) -> Vec<Action> {
-        self.history = RecordedHistory::starting(after, preceding_changes);
+        self.history = RecordedHistory::at_segment_start(after, preceding_changes);
         self.phase = Phase::Recording;
-        // A segment can be read from its first snapshot on: that one is due at once.
+        // A segment is readable from its first snapshot on, so the first snapshot is due at once.
         self.schedule.set_next_snapshot(0);
         vec![
             Action::BeginSegment { gap, after },
@@ -142,8 +144,8 @@
         ]
     }
 
-    /// Continuity is lost: the segment ends, with all after `after_revision` dropped. The next
-    /// one starts with a snapshot.
+    /// Ends the segment after a loss of continuity and drops its changes after `after_revision`.
+    /// The next segment starts with a snapshot.
     fn end_segment(
         &mut self,
         cause: GapCause,
@@ -151,7 +153,7 @@
         clock: ClockReading,
     ) -> Vec<Action> {
         if let Phase::ReadingPrecedingChanges { gap, .. } = &self.phase {
-            // The next segment has not begun yet: look for its start again.
+            // The next segment has not begun yet. Request its start revision again.
             self.phase = Phase::StartingSegment { gap: gap.clone() };
             return Vec::new();
         }
@@ -174,15 +176,17 @@
             last_contact: self.last_contact,
             detected: clock.wall_clock,
         };
-        // On disk at once: guards against a process killed here that would go on with the
-        // segment as if nothing had been lost, should the histories agree up to its end.
+        // Guards against a restart that continues the segment as if nothing had been lost: if the
+        // process is killed here and the two histories agree up to the segment's end, the
+        // comparison after the restart finds no difference. The end is therefore stored at once.
         actions.push(Action::EndSegment(gap.clone()));
         self.phase = Phase::StartingSegment { gap };
-        self.history.forget_changes();
+        self.history.clear_changes();
         actions
     }
 
-    /// The state service has the recorded history; `new` changes follow it.
+    /// Handles a successful comparison: the state service has the recorded history, followed by
+    /// the `new` changes.
     fn on_history_verified(
         &mut self,
         new: Vec<Change>,
@@ -190,7 +194,7 @@
         clock: ClockReading,
     ) -> Vec<Action> {
         let mut actions = vec![self.append(new, revision, clock)];
-        self.history.verify();
+        self.history.mark_verified();
         actions.push(Action::MarkVerified(self.history.verified_until()));
         self.phase = Phase::Recording;
         self.schedule.history_verified(clock.monotonic);
@@ -198,7 +202,7 @@
         actions
     }
 
-    /// Completes the snapshot once all its pages are within the verified history.
+    /// Completes the snapshot if all its pages have been read and are within the verified history.
     fn complete_snapshot(&mut self, now: Micros) -> Option<Action> {
         let cursor = self.history.cursor();
         let snapshot = self
@@ -227,7 +231,8 @@
     }
 }
 
-/// Splits an answer into the changes up to a revision, as fingerprints, and those after it.
+/// Splits a response into the fingerprints of the changes up to a revision, and the changes after
+/// that revision.
 fn split_changes(
     answer: &Changes,
     from: u64,
@@ -239,8 +244,8 @@
     Ok((known.iter().map(Change::fingerprint).collect(), new))
 }
 
-/// The changes of an answer in the order of their revisions. All must be within what was
-/// asked for.
+/// Returns the changes of a response in revision order, or an error if a change is outside of the
+/// requested range.
 fn ordered_changes(answer: &Changes, from: u64) -> Result<Vec<Change>, InvalidChange> {
     let read = |event| {
         let change = Change::try_from(event)?;
@@ -258,7 +263,7 @@
         .iter()
         .map(read)
         .collect::<Result<Vec<_>, _>>()?;
-    // Changes of one transaction share a revision and come in no promised order.
+    // Changes of one transaction share a revision; their order in a response is unspecified.
     changes.sort_by(|a, b| (a.version, &a.key).cmp(&(b.version, &b.key)));
     Ok(changes)
 }
--- a/crates/archive/src/recorder/history.rs
+++ b/crates/archive/src/recorder/history.rs
@@ -1,4 +1,4 @@
-//! What the recorder knows of the history that it records, by which it recognises it.
+//! The end of the recorded history, by which the recorder recognises that history.
 
 use salttiller_records::history::{last_whole_revisions, Fingerprint};
 
@@ -8,16 +8,16 @@
 /// The end of the recorded history.
 #[derive(Debug, Default)]
 pub(super) struct RecordedHistory {
-    /// All changes up to this revision are archived, those after the segment's start.
+    /// All changes from the segment's start up to this revision are archived.
     cursor: u64,
-    /// Up to this revision the state service has been seen to have the same history.
+    /// Last revision up to which a comparison found the same history at the state service.
     verified_until: u64,
-    /// The last changes up to `verified_until`, and all after it, in ascending order.
+    /// The last changes up to `verified_until` and all changes after it, in revision order.
     recent: Vec<Fingerprint>,
 }
 
 impl RecordedHistory {
-    /// The end of a segment that is on disk.
+    /// Returns the end of an archived segment.
     pub(super) fn resumed(cursor: u64, verified_until: u64, recent: Vec<Fingerprint>) -> Self {
         RecordedHistory {
             cursor,
@@ -26,8 +26,8 @@
         }
     }
 
-    /// The start of a segment after a revision.
-    pub(super) fn starting(after: u64, preceding_changes: Vec<Fingerprint>) -> Self {
+    /// Returns the history of a new segment that starts after a revision.
+    pub(super) fn at_segment_start(after: u64, preceding_changes: Vec<Fingerprint>) -> Self {
         let recent = if is_disabled(Safeguard::PrecedingChanges) {
             Vec::new()
         } else {
@@ -48,23 +48,23 @@
         &self.recent
     }
 
-    /// The revision after which to ask for changes, so that the answer shows all recent ones.
-    pub(super) fn compare_after(&self) -> u64 {
+    /// Returns the revision after which changes must be requested to receive all recent changes.
+    pub(super) fn comparison_start(&self) -> u64 {
         let oldest = self.recent.first();
         oldest.map_or(self.cursor, |change| change.version.saturating_sub(1))
     }
 
-    /// Whether the changes up to the cursor that the state service shows are the recorded ones.
+    /// Whether the changes up to the cursor that the state service reports equal the recorded ones.
     pub(super) fn agrees_with(&self, shown: &[Fingerprint]) -> bool {
         shown == self.recent || is_disabled(Safeguard::HistoryComparison)
     }
 
-    /// Given the changes of another history, the last revision that is certainly of the
-    /// recorded one.
+    /// Returns the last revision that certainly belongs to the recorded history, given the changes
+    /// of another history.
     ///
-    /// Recorded changes since the last comparison that the other history shows too may have
-    /// come from it, unnoticed; before them are those that it never had.
-    pub(super) fn last_revision_before(&self, other: &[Fingerprint]) -> u64 {
+    /// Changes recorded since the last comparison that the other history also has may come from
+    /// the other history. The changes before them belong to the recorded history alone.
+    pub(super) fn last_own_revision(&self, other: &[Fingerprint]) -> u64 {
         let is_shared = |change: &&Fingerprint| other.contains(change);
         let unverified = |change: &&Fingerprint| change.version > self.verified_until;
         let mut newest_first = self.recent.iter().filter(unverified).rev().peekable();
@@ -75,22 +75,23 @@
         last_own.map_or(self.verified_until, |change| change.version)
     }
 
-    /// Adds archived changes up to a revision.
+    /// Adds archived changes and moves the cursor to a revision.
     pub(super) fn append(&mut self, changes: &[Change], revision: u64) {
         self.recent.extend(changes.iter().map(Change::fingerprint));
         self.cursor = revision;
     }
 
-    /// The history was compared up to the cursor.
-    pub(super) fn verify(&mut self) {
+    /// Marks the history as verified up to the cursor.
+    pub(super) fn mark_verified(&mut self) {
         self.verified_until = self.cursor;
-        // Only here: guards against many changes of another history pushing out all by
-        // which ours is recognised, before they were ever compared.
+        // Guards against the loss of all changes that identify the recorded history: if the list
+        // were shortened before a comparison, many changes of another history could displace
+        // them. The list is therefore shortened only here.
         self.recent = last_whole_revisions(std::mem::take(&mut self.recent));
     }
 
-    /// Nothing is known of the history any more but where its record ended.
-    pub(super) fn forget_changes(&mut self) {
+    /// Removes all recent changes; the cursor stays.
+    pub(super) fn clear_changes(&mut self) {
         self.recent.clear();
     }
 }
--- a/crates/archive/src/recorder/request.rs
+++ b/crates/archive/src/recorder/request.rs
@@ -1,10 +1,10 @@
-//! Requests to the state service, and its answers.
+//! Requests to the state service and their decoded responses.
 
 use salttiller_protocol::state_service::{Changes, Page};
 use salttiller_records::units::{Micros, MILLISECOND};
 use salttiller_records::PREFIX;
 
-/// Records asked for in one page, the most that the state service gives.
+/// Number of records requested per page, the maximum of the state service.
 const PAGE_RECORDS: u32 = 1000;
 
 /// A request to the state service.
@@ -12,22 +12,22 @@
 pub enum Request {
     /// The current revision.
     Revision,
-    /// A page of records in the order of their keys.
+    /// A page of records in key order.
     Page {
-        /// The page starts after this key; `None`: at the first.
+        /// The page starts after this key; `None` requests the first page.
         after: Option<String>,
     },
     /// The changes after a revision.
     Watch {
-        /// The revision.
+        /// The revision after which changes are requested.
         from: u64,
-        /// How long the state service may wait for a change before it answers.
+        /// Maximum time that the state service waits for a change before it responds.
         wait: Micros,
     },
 }
 
 impl Request {
-    /// Path and query of the request, always a `GET`.
+    /// Returns the path and query of the request. The method is always `GET`.
     #[must_use]
     pub fn target(&self) -> String {
         match self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// How long the state service may wait for a change before it answers.
+    /// Returns the maximum time that the state service waits for a change before it responds.
     #[must_use]
     pub fn wait(&self) -> Micros {
         match self {
@@ -53,13 +53,13 @@
     }
 }
 
-/// A usable answer of the state service.
+/// A usable response of the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// A page of records.
     Page(Page),
-    /// Changes.
+    /// The changes after a revision.
     Changes(Changes),
-    /// The changes that were asked for are no longer kept.
+    /// The requested changes are no longer retained.
     Compacted,
 }
--- a/crates/archive/src/recorder/schedule.rs
+++ b/crates/archive/src/recorder/schedule.rs
@@ -1,24 +1,24 @@
-//! When the recorder sends its next request. All times are readings of a monotonic clock.
+//! Timing of the recorder's requests. All times are readings of the monotonic clock.
 
 use salttiller_records::units::{Micros, SECOND};
 
 use super::request::Request;
 
-/// How often the history is compared without an interruption.
+/// Time between two comparisons of the history without an interruption.
 const VERIFICATION_INTERVAL: Micros = 30 * SECOND;
-/// Time to wait after a first failure; it doubles with each further one.
+/// Backoff after the first failure. The backoff doubles with each consecutive failure.
 const MIN_BACKOFF: Micros = SECOND;
-/// Longest time to wait after a failure, without jitter.
+/// Maximum backoff, without jitter.
 const MAX_BACKOFF: Micros = 30 * SECOND;
-/// Greatest jitter, as a fraction of the backoff: one part in so many.
+/// The maximum jitter is the backoff divided by this number.
 const JITTER_DIVISOR: u64 = 4;
 
-/// How fast the recorder goes.
+/// Rates of the recorder's requests and snapshots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pacing {
-    /// Least time between two requests.
+    /// Minimum time between two requests.
     pub request_interval: Micros,
-    /// Least time between two requests for changes that may wait for one.
+    /// Minimum time between two watch requests that may wait for a change.
     pub watch_interval: Micros,
     /// Time from the end of one snapshot to the start of the next.
     pub snapshot_interval: Micros,
@@ -31,12 +31,12 @@
     next_request: Micros,
     next_snapshot: Micros,
     next_verification: Micros,
-    /// The last time waited after a failure; 0 after an answer.
+    /// The last backoff, without jitter; 0 after a usable response.
     backoff: Micros,
 }
 
 impl Schedule {
-    /// Everything is due at once.
+    /// Creates a schedule in which everything is due at once.
     pub(super) fn new(pacing: Pacing) -> Self {
         Schedule {
             pacing,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// The earliest time at which a request may be sent.
-    pub(super) fn earliest(&self, request: &Request) -> Micros {
+    /// Returns the earliest time at which a request may be sent.
+    pub(super) fn earliest_send_time(&self, request: &Request) -> Micros {
         if request.wait() == 0 {
             return self.next_request;
         }
@@ -67,7 +67,8 @@
         self.backoff = 0;
     }
 
-    /// Waits longer with each failure in a row, and no less than the state service asks for.
+    /// Delays the next request by an exponential backoff with jitter, and by no less than the
+    /// state service requests.
     pub(super) fn back_off(&mut self, now: Micros, retry_after: Micros) {
         self.backoff = (self.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
         let jitter = fastrand::u64(0..=self.backoff / JITTER_DIVISOR);
--- a/crates/archive/src/recorder/snapshot_read.rs
+++ b/crates/archive/src/recorder/snapshot_read.rs
@@ -1,23 +1,24 @@
-//! Progress of a snapshot that is being read.
+//! Progress of reading a snapshot page by page.
 
 use salttiller_protocol::state_service::Page;
 
 use super::request::Request;
 
-/// While a snapshot is read, changes are asked for after so many requests for pages, so that
-/// the watch does not fall behind what the state service keeps.
+/// Number of page requests after which changes are requested while a snapshot is read, so that
+/// the watch does not fall behind the changes that the state service retains.
 const PAGES_PER_WATCH: u32 = 8;
 
-/// A snapshot that is being read.
+/// A snapshot in progress.
 #[derive(Debug, Default)]
 pub(super) struct SnapshotRead {
-    /// Key of the last record that was read; `None` before the first.
+    /// Key of the last record read, or `None` before the first record.
     last_key: Option<String>,
-    /// Revision of the last page that was read.
+    /// Revision of the last page read.
     last_page_revision: u64,
-    /// All pages were read; what is left is a comparison of the history up to the last.
+    /// Whether all pages have been read. The history up to the last page must then still be
+    /// compared.
     pages_done: bool,
-    /// Pages asked for since the last request for changes.
+    /// Number of page requests since the last request for changes.
     pages_since_watch: u32,
 }
 
@@ -30,12 +31,12 @@
         self.pages_done
     }
 
-    /// No page with a record was read yet.
+    /// Whether no record has been read yet.
     pub(super) fn is_at_start(&self) -> bool {
         self.last_key.is_none()
     }
 
-    /// The next page, or changes when it is their turn.
+    /// Returns a request for the next page, or for changes after every `PAGES_PER_WATCH` pages.
     pub(super) fn next_request(&mut self, cursor: u64) -> Request {
         if self.pages_since_watch >= PAGES_PER_WATCH {
             self.pages_since_watch = 0;
@@ -50,7 +51,7 @@
         }
     }
 
-    /// A page arrived.
+    /// Updates the progress with a page.
     pub(super) fn advance(&mut self, page: &Page) {
         self.last_page_revision = page.revision;
         self.pages_done = !page.more;
--- a/crates/archive/src/recorder/tests.rs
+++ b/crates/archive/src/recorder/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the recorder with an archive on disk against a model of the state service.
+//! Tests of the recorder with an archive on disk and a model of the state service.
 
 mod model;
 mod run;
@@ -9,32 +9,39 @@
 use salttiller_testkit::TempFolder;
 
 use self::model::History;
-use self::run::{clock_at, play, request_failure, Fault, Run, ALL_FAULTS, PACING};
+use self::run::{clock_at, request_failure, run_with_faults, Fault, Run, ALL_FAULTS, PACING};
 use super::*;
 use crate::database::ArchiveView;
 use crate::fault_injection::{disable, Safeguard};
 use crate::reconstruct::{reconstruct, PointInTime};
 use crate::retention::{prune, RetentionPolicy};
 
+/// Guards against wrong records after any sequence of faults: each revision that the archive
+/// covers must equal the model's records, and everything else must be within a recorded gap.
 #[test]
-fn whatever_happens_the_archive_holds_the_truth_or_says_that_it_has_a_gap() {
+fn archived_records_are_correct_under_faults() {
     for fault in ALL_FAULTS {
         let mut compared = 0;
         for seed in 0..8 {
-            compared +=
-                play(seed, &[fault], 120).unwrap_or_else(|e| panic!("{fault:?}, seed {seed}: {e}"));
+            compared += run_with_faults(seed, &[fault], 120)
+                .unwrap_or_else(|e| panic!("{fault:?}, seed {seed}: {e}"));
         }
-        assert!(compared > 100, "{fault:?}: only {compared} compared");
+        assert!(
+            compared > 100,
+            "{fault:?}: only {compared} revisions compared"
+        );
     }
     for seed in 100..130 {
-        play(seed, &ALL_FAULTS, 150).unwrap_or_else(|e| panic!("all faults, seed {seed}: {e}"));
+        run_with_faults(seed, &ALL_FAULTS, 150)
+            .unwrap_or_else(|e| panic!("all faults, seed {seed}: {e}"));
     }
 }
 
-/// Replaced with no connection breaking, and noticed only by a comparison: what came before
-/// that is kept to its last change, though it was never compared.
+/// Guards against the loss of unverified changes when the store is replaced without a broken
+/// connection. Only the next comparison detects the replacement; all changes recorded before the
+/// replacement must be kept, although they were never compared.
 #[test]
-fn a_silent_replacement_costs_nothing_that_was_recorded_before() {
+fn changes_before_a_silent_replacement_are_kept() {
     let folder = TempFolder::new("silent").unwrap();
     let mut run = Run::new(&folder);
     let mut random = fastrand::Rng::with_seed(11);
@@ -47,12 +54,12 @@
     while run.recorder.history.cursor() < backup.revision + 10 {
         run.step(&mut random, &[]);
     }
-    let lost = run.recorder.history.cursor();
-    assert!(run.recorder.history.verified_until() < lost);
-    let truth = run.history.truth_at(lost);
+    let last_before = run.recorder.history.cursor();
+    assert!(run.recorder.history.verified_until() < last_before);
+    let expected = run.history.records_at(last_before);
     run.history = backup;
     run.history.lineage = 1;
-    while run.history.revision < lost + 30 {
+    while run.history.revision < last_before + 30 {
         run.history.change(&mut random);
     }
     while run.segments().len() == 1 {
@@ -64,51 +71,56 @@
     };
     let kept = run.archive.read(|view| reconstruct(view, end_of_first));
     let kept = kept.unwrap();
-    assert_eq!(kept.revision, lost);
-    assert!(kept.records == truth);
+    assert_eq!(kept.revision, last_before);
+    assert!(kept.records == expected);
 }
 
-/// Each safeguard, disabled, is noticed by the runs above or by one like them.
+/// Guards against safeguards that no run with faults depends on: with a safeguard disabled, at
+/// least one run must fail.
 #[test]
-fn without_a_safeguard_an_archive_is_wrong() {
+fn runs_fail_if_a_safeguard_is_disabled() {
     let cases = [
-        (Safeguard::HistoryComparison, Fault::OlderCopies),
+        (Safeguard::HistoryComparison, Fault::RestoredBackups),
         (Safeguard::RevisionOrder, Fault::Wipes),
         (
             Safeguard::UnverifiedChangesDropped,
             Fault::SilentReplacement,
         ),
-        (Safeguard::SnapshotConsistency, Fault::Failures),
-        (Safeguard::PrecedingChanges, Fault::OlderCopies),
-        (Safeguard::PagesAheadDiscarded, Fault::OlderCopies),
+        (Safeguard::SnapshotConsistency, Fault::RequestFailures),
+        (Safeguard::PrecedingChanges, Fault::RestoredBackups),
+        (Safeguard::PagesAheadDiscarded, Fault::RestoredBackups),
     ];
     for (safeguard, fault) in cases {
         disable(Some(safeguard));
-        let noticed = (0..100).any(|seed| {
-            let run = || play(seed, &[fault], 80);
-            // Without a safeguard the archive may also refuse what contradicts it.
+        let detected = (0..100).any(|seed| {
+            let run = || run_with_faults(seed, &[fault], 80);
+            // Without a safeguard, the archive may also reject inconsistent actions, which panics.
             std::panic::catch_unwind(run).map_or(true, |r| r.is_err())
         });
         disable(None);
-        assert!(noticed, "{safeguard:?} disabled went unnoticed");
+        assert!(
+            detected,
+            "no run failed with the safeguard {safeguard:?} disabled"
+        );
     }
 }
 
+/// Guards against a gap after failed requests and restarts, which lose no changes.
 #[test]
-fn an_undisturbed_recording_is_one_segment() {
-    let folder = TempFolder::new("undisturbed").unwrap();
+fn restarts_and_failed_requests_leave_one_segment() {
+    let folder = TempFolder::new("one-segment").unwrap();
     let mut run = Run::new(&folder);
     let mut random = fastrand::Rng::with_seed(7);
     for _ in 0..200 {
-        run.step(&mut random, &[Fault::Kills, Fault::Failures]);
+        run.step(&mut random, &[Fault::Restarts, Fault::RequestFailures]);
     }
-    run.check(&mut random).unwrap();
+    run.check_archive(&mut random).unwrap();
     let segments = run.segments();
     assert_eq!(segments.len(), 1);
     assert_eq!(segments[0].value.gap.cause, GapCause::FirstRecording);
     let snapshots = run.archive.read(|view| view.complete_snapshots(1));
     let snapshots = snapshots.unwrap();
-    assert!(snapshots.len() > 2, "{} snapshots", snapshots.len());
+    assert!(snapshots.len() > 2, "only {} snapshots", snapshots.len());
 }
 
 fn complete_snapshots(run: &Run) -> usize {
@@ -117,14 +129,15 @@
     complete.count()
 }
 
-/// What retention leaves can still be read at each revision from the oldest snapshot on.
+/// Guards against pruning changes that a retained snapshot needs: each revision from the oldest
+/// retained snapshot on must stay readable.
 #[test]
-fn retention_keeps_what_it_says() {
+fn retention_keeps_all_later_revisions_readable() {
     let folder = TempFolder::new("retention").unwrap();
     let mut run = Run::new(&folder);
     let mut random = fastrand::Rng::with_seed(3);
     for _ in 0..300 {
-        run.step(&mut random, &[Fault::Wipes, Fault::Kills]);
+        run.step(&mut random, &[Fault::Wipes, Fault::Restarts]);
     }
     let before = complete_snapshots(&run);
     assert!(before > 5);
@@ -137,24 +150,24 @@
         (pruned.snapshots, complete_snapshots(&run)),
         (before - 3, 3)
     );
-    run.check(&mut random).unwrap();
-    // By age all but the newest go, which stays however old it is.
+    run.check_archive(&mut random).unwrap();
+    // The age limit expires all snapshots but the newest, which is always retained.
     let by_age = RetentionPolicy {
         max_snapshots: 100,
         max_age: 0,
     };
     prune(&run.archive, by_age, run.now + SECOND).unwrap();
     assert_eq!(complete_snapshots(&run), 1);
-    run.check(&mut random).unwrap();
+    run.check_archive(&mut random).unwrap();
     let snapshots = run.archive.read(ArchiveView::snapshots).unwrap();
     assert!(
         run.segments()[0].id >= snapshots[0].value.segment,
-        "older segments are gone"
+        "segments before the retained snapshot must be deleted"
     );
 }
 
 #[test]
-fn failures_back_off_and_retry_after_is_respected() {
+fn failures_back_off_and_respect_retry_after() {
     let mut recorder = Recorder::new(PACING, 0);
     let mut now = 0;
     let mut waits = Vec::new();
--- a/crates/archive/src/recorder/tests/model.rs
+++ b/crates/archive/src/recorder/tests/model.rs
@@ -1,4 +1,4 @@
-//! A model of the state service: its truth is known at each revision.
+//! A model of the state service that knows the expected records at each revision.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +11,11 @@
 use crate::reconstruct::RecordMap;
 use crate::recorder::{Answer, Request};
 
-/// Records of the model in a page; few, so that snapshots take many.
-const MODEL_PAGE: usize = 3;
-/// Different keys of the model; few, so that changes meet.
+/// Number of records per page of the model. The number is small so that a snapshot takes many
+/// pages.
+const PAGE_RECORDS: usize = 3;
+/// Number of different keys of the model. The number is small so that several changes concern the
+/// same key.
 const MODEL_KEYS: u8 = 12;
 
 /// A record of the model.
@@ -28,23 +30,23 @@
 /// One history of the state service.
 #[derive(Clone, Default)]
 pub(super) struct History {
-    /// Tells one history from another.
+    /// Number that distinguishes this history from the histories it replaced.
     pub(super) lineage: u32,
     pub(super) revision: u64,
     log: Vec<Event>,
-    /// What was true at each revision.
-    truth: BTreeMap<u64, ModelRecords>,
+    /// The records at each revision.
+    records_by_revision: BTreeMap<u64, ModelRecords>,
 }
 
 impl History {
     fn records(&self) -> ModelRecords {
-        let last = self.truth.last_key_value();
+        let last = self.records_by_revision.last_key_value();
         last.map(|(_, records)| records.clone()).unwrap_or_default()
     }
 
-    /// The records at a revision, as an archive has them.
-    pub(super) fn truth_at(&self, revision: u64) -> RecordMap {
-        let last = self.truth.range(..=revision).next_back();
+    /// Returns the records at a revision in their archived form.
+    pub(super) fn records_at(&self, revision: u64) -> RecordMap {
+        let last = self.records_by_revision.range(..=revision).next_back();
         let records = last.map(|(_, records)| records.clone()).unwrap_or_default();
         records
             .into_iter()
@@ -61,12 +63,12 @@
             let Some(event) = change_record(&mut records, key, self.revision, random) else {
                 continue;
             };
-            // Of several changes of a record in one transaction the watch shows the last.
+            // The watch reports only the last of several changes to a record in one transaction.
             self.log
                 .retain(|e| e.version != event.version || key_of(e) != key_of(&event));
             self.log.push(event);
         }
-        self.truth.insert(self.revision, records);
+        self.records_by_revision.insert(self.revision, records);
     }
 
     pub(super) fn change_times(&mut self, times: u8, random: &mut fastrand::Rng) {
@@ -75,12 +77,12 @@
         }
     }
 
-    /// Answers a request; changes of the last `kept` revisions are still known.
-    pub(super) fn answer(&self, request: &Request, kept: u64) -> Answer {
+    /// Answers a request. Only the changes of the last `retained` revisions are available.
+    pub(super) fn answer(&self, request: &Request, retained: u64) -> Answer {
         match request {
             Request::Revision => self.page_after(""),
             Request::Page { after } => self.page_after(after.as_deref().unwrap_or("")),
-            Request::Watch { from, .. } if *from < self.revision.saturating_sub(kept) => {
+            Request::Watch { from, .. } if *from < self.revision.saturating_sub(retained) => {
                 Answer::Compacted
             }
             Request::Watch { from, .. } => {
@@ -98,7 +100,7 @@
         let mut rest = records.iter().filter(|(key, _)| key.as_str() > after);
         let pairs: Vec<Pair> = rest
             .by_ref()
-            .take(MODEL_PAGE)
+            .take(PAGE_RECORDS)
             .map(|(key, record)| Pair {
                 key: key.clone(),
                 value: record.value.clone(),
@@ -112,17 +114,17 @@
         })
     }
 
-    /// What it was like at an earlier revision, as a backup would have it.
-    pub(super) fn earlier(&self, revision: u64) -> History {
+    /// Returns this history as of an earlier revision, like a backup taken at that revision.
+    pub(super) fn backup_at(&self, revision: u64) -> History {
         let mut copy = self.clone();
         copy.revision = revision;
         copy.log.retain(|e| e.version <= revision);
-        copy.truth.retain(|r, _| *r <= revision);
+        copy.records_by_revision.retain(|r, _| *r <= revision);
         copy
     }
 }
 
-/// Puts or deletes a record; `None` if there was none to delete.
+/// Puts or deletes a record at random. Returns `None` if there was no record to delete.
 fn change_record(
     records: &mut ModelRecords,
     key: String,
--- a/crates/archive/src/recorder/tests/run.rs
+++ b/crates/archive/src/recorder/tests/run.rs
@@ -1,4 +1,4 @@
-//! A recorder with an archive on disk, played against the model with faults.
+//! Runs of a recorder with an archive on disk against the model, with injected faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,48 +23,53 @@
     snapshot_interval: 2 * SECOND,
 };
 
-/// Revisions whose changes the model keeps unless a fault makes it forget: all.
-const KEPT_REVISIONS: u64 = 10_000;
-/// Requests in which a recorder comes to rest once there are no faults.
-const REQUESTS_TO_REST: u32 = 40;
-/// How far a store is set back to an older copy at most, in revisions.
+/// Number of revisions whose changes the model retains without `Fault::EarlyCompaction`: more
+/// than a run has.
+const RETAINED_REVISIONS: u64 = 10_000;
+/// Number of requests after which a recorder has caught up once there are no faults.
+const REQUESTS_TO_CATCH_UP: u32 = 40;
+/// Maximum number of revisions by which a restored backup is older than the store.
 const MAX_ROLLBACK: u64 = 30;
 
-/// What happens in a run, besides changes.
+/// Kinds of faults in a run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum Fault {
-    /// Requests fail now and then.
-    Failures,
-    /// The recording process is killed and started again.
-    Kills,
-    /// The state service forgets changes soon.
+    /// Some requests fail.
+    RequestFailures,
+    /// The recording process is killed and restarted.
+    Restarts,
+    /// The state service retains only few changes.
     EarlyCompaction,
-    /// The state service loses its records.
+    /// The state service loses all records.
     Wipes,
-    /// The state service is set back to an older copy, and grows on.
-    OlderCopies,
-    /// The same with no request failing meanwhile.
+    /// The state service is restored from an older backup and then receives further changes.
+    RestoredBackups,
+    /// The state service is restored from an older backup without a failing request.
     SilentReplacement,
 }
 
 pub(super) const ALL_FAULTS: [Fault; 6] = [
-    Fault::Failures,
-    Fault::Kills,
+    Fault::RequestFailures,
+    Fault::Restarts,
     Fault::EarlyCompaction,
     Fault::Wipes,
-    Fault::OlderCopies,
+    Fault::RestoredBackups,
     Fault::SilentReplacement,
 ];
 
 /// Faults that replace the state service's history.
-const REPLACEMENTS: [Fault; 3] = [Fault::Wipes, Fault::OlderCopies, Fault::SilentReplacement];
+const REPLACEMENTS: [Fault; 3] = [
+    Fault::Wipes,
+    Fault::RestoredBackups,
+    Fault::SilentReplacement,
+];
 
 pub(super) fn request_failure() -> RequestError {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     ClientError::Timeout { address }.into()
 }
 
-/// Both clocks at the same reading.
+/// Returns the same reading for both clocks.
 pub(super) fn clock_at(now: Micros) -> ClockReading {
     ClockReading {
         monotonic: now,
@@ -77,15 +82,15 @@
     pub(super) recorder: Recorder,
     pub(super) history: History,
     pub(super) now: Micros,
-    kept_revisions: u64,
-    /// The history that was in force when a segment began, grown on while it is in force.
+    retained_revisions: u64,
+    /// The history that each segment records, including changes made after the segment began.
     history_of_segment: BTreeMap<u64, History>,
-    /// The next request fails.
+    /// Whether the next request fails.
     interrupted: bool,
     replacements: u32,
-    /// The store was replaced silently and the recorder has not compared since. A second
-    /// replacement before it does is beyond what can be told apart.
-    silent_pending: bool,
+    /// Whether the store was replaced silently and the recorder has not compared the history
+    /// since. The recorder can't tell two replacements without a comparison in between apart.
+    undetected_replacement: bool,
 }
 
 impl Run {
@@ -97,11 +102,11 @@
             recorder: Recorder::new(PACING, 0),
             history: History::default(),
             now: 0,
-            kept_revisions: KEPT_REVISIONS,
+            retained_revisions: RETAINED_REVISIONS,
             history_of_segment: BTreeMap::new(),
             interrupted: false,
             replacements: 0,
-            silent_pending: false,
+            undetected_replacement: false,
         }
     }
 
@@ -109,7 +114,7 @@
         self.archive.read(ArchiveView::segments).unwrap()
     }
 
-    /// Starts the recording process again.
+    /// Restarts the recording process.
     fn restart(&mut self) {
         self.archive.delete_incomplete_snapshot().unwrap();
         self.recorder = self
@@ -124,17 +129,17 @@
             .unwrap();
     }
 
-    /// Replaces the state service's history, which then grows on.
-    fn replace(&mut self, random: &mut fastrand::Rng, fault: Fault) {
+    /// Replaces the state service's history and adds changes to the new history.
+    fn replace_history(&mut self, random: &mut fastrand::Rng, fault: Fault) {
         self.replacements += 1;
         if fault == Fault::Wipes {
             self.history = History::default();
         } else {
             let back = random.u64(0..=self.history.revision.min(MAX_ROLLBACK));
-            self.history = self.history.earlier(self.history.revision - back);
+            self.history = self.history.backup_at(self.history.revision - back);
         }
         let before = std::mem::replace(&mut self.history.lineage, self.replacements);
-        // To an archive that is further behind than the copy it is the same history still.
+        // If the archive ends before the backup's revision, the new history continues the segment.
         let phase = &self.recorder.phase;
         let has_segment = matches!(phase, Phase::VerifyingHistory | Phase::Recording);
         if has_segment && self.recorder.history.cursor() <= self.history.revision {
@@ -146,12 +151,13 @@
         }
         let changes = random.u8(0..60);
         self.history.change_times(changes, random);
-        // A replaced state service is another process: its connections broke.
-        self.silent_pending = fault == Fault::SilentReplacement;
-        self.interrupted = !self.silent_pending;
+        // A replaced state service is another process, so open connections break unless the
+        // replacement is silent.
+        self.undetected_replacement = fault == Fault::SilentReplacement;
+        self.interrupted = !self.undetected_replacement;
     }
 
-    /// Some changes and faults, one request, and what follows from its answer.
+    /// Makes some changes, injects faults, answers one request and applies the resulting actions.
     pub(super) fn step(&mut self, random: &mut fastrand::Rng, faults: &[Fault]) {
         let changes = random.u8(0..3);
         self.history.change_times(changes, random);
@@ -161,45 +167,46 @@
             request,
         } = self.recorder.next_request(self.now);
         self.now = self.now.max(not_before) + random.u64(0..100 * MILLISECOND);
-        let may_fail = faults.contains(&Fault::Failures);
+        let may_fail = faults.contains(&Fault::RequestFailures);
         let fails = self.interrupted || (may_fail && random.u8(0..6) == 0);
         self.interrupted = false;
         let answer = if fails {
             Err(request_failure())
         } else {
-            Ok(self.history.answer(&request, self.kept_revisions))
+            Ok(self.history.answer(&request, self.retained_revisions))
         };
         let clock = clock_at(self.now);
         let actions = self.recorder.on_answer(&request, answer, clock);
         self.archive.apply(&actions, self.now).unwrap();
-        self.follow_segments(&actions);
+        self.track_segment_histories(&actions);
     }
 
     fn inject_faults(&mut self, random: &mut fastrand::Rng, faults: &[Fault]) {
         if faults.contains(&Fault::EarlyCompaction) {
-            self.kept_revisions = random.u64(8..80);
+            self.retained_revisions = random.u64(8..80);
         }
-        if faults.contains(&Fault::Kills) && random.u8(0..12) == 0 {
+        if faults.contains(&Fault::Restarts) && random.u8(0..12) == 0 {
             self.restart();
         }
         for fault in REPLACEMENTS {
             let silent = fault == Fault::SilentReplacement;
-            // Without a broken connection that can't be noticed while pages are ahead.
+            // A replacement without a broken connection can't be detected while pages of a
+            // snapshot are ahead of the archived changes.
             let snapshot = self.recorder.snapshot.as_ref();
             let cursor = self.recorder.history.cursor();
             let ahead = snapshot.is_some_and(|s| s.last_page_revision() > cursor);
-            let unnoticeable = self.silent_pending || (silent && ahead);
-            if faults.contains(&fault) && !unnoticeable && random.u8(0..25) == 0 {
-                self.replace(random, fault);
+            let undetectable = self.undetected_replacement || (silent && ahead);
+            if faults.contains(&fault) && !undetectable && random.u8(0..25) == 0 {
+                self.replace_history(random, fault);
             }
         }
     }
 
-    /// Keeps track of the history that each segment records.
-    fn follow_segments(&mut self, actions: &[Action]) {
+    /// Tracks the history that each segment records.
+    fn track_segment_histories(&mut self, actions: &[Action]) {
         let compares = |a: &Action| matches!(a, Action::MarkVerified(_) | Action::EndSegment(_));
         if actions.iter().any(compares) {
-            self.silent_pending = false;
+            self.undetected_replacement = false;
         }
         let begins = |a: &Action| matches!(a, Action::BeginSegment { .. });
         if actions.iter().any(begins) {
@@ -213,12 +220,12 @@
         }
     }
 
-    /// Lets the recorder come to rest without faults, then compares all that is archived with
-    /// the truth; the number of revisions compared.
-    pub(super) fn check(&mut self, random: &mut fastrand::Rng) -> Result<u64, String> {
-        self.kept_revisions = KEPT_REVISIONS;
+    /// Lets the recorder catch up without faults, verifies the archive and compares the archived
+    /// records at each revision with the model. Returns the number of revisions compared.
+    pub(super) fn check_archive(&mut self, random: &mut fastrand::Rng) -> Result<u64, String> {
+        self.retained_revisions = RETAINED_REVISIONS;
         self.restart();
-        for _ in 0..REQUESTS_TO_REST {
+        for _ in 0..REQUESTS_TO_CATCH_UP {
             self.step(random, &[]);
         }
         verify(&self.archive).map_err(|e| e.to_string())?;
@@ -254,7 +261,7 @@
                 segment: Some(segment),
                 revision: Some(revision),
             };
-            if history.truth_at(revision) != reconstruct(view, point)?.records {
+            if history.records_at(revision) != reconstruct(view, point)?.records {
                 return Ok(Some(revision));
             }
         }
@@ -262,8 +269,8 @@
     }
 }
 
-/// Plays one run; the number of revisions that were compared with the truth.
-pub(super) fn play(seed: u64, faults: &[Fault], steps: u32) -> Result<u64, String> {
+/// Executes a run with faults. Returns the number of revisions compared with the model.
+pub(super) fn run_with_faults(seed: u64, faults: &[Fault], steps: u32) -> Result<u64, String> {
     let mut random = fastrand::Rng::with_seed(seed);
     let thread = std::thread::current();
     let test = thread.name().unwrap_or("t").replace(':', "-");
@@ -274,5 +281,5 @@
     for _ in 0..steps {
         run.step(&mut random, faults);
     }
-    run.check(&mut random)
+    run.check_archive(&mut random)
 }
--- a/crates/archive/src/retention.rs
+++ b/crates/archive/src/retention.rs
@@ -1,4 +1,4 @@
-//! Retention: which snapshots and changes are deleted once newer snapshots replace them.
+//! Retention: deletes snapshots and changes that the policy no longer retains.
 
 use salttiller_records::units::Micros;
 
@@ -6,28 +6,29 @@
 use crate::error::ArchiveError;
 use crate::model::CompleteSnapshot;
 
-/// What is retained. The newest complete snapshot and all changes after it always are.
+/// Limits on the retained snapshots. The newest complete snapshot and all changes after it are
+/// always retained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetentionPolicy {
-    /// Greatest number of complete snapshots.
+    /// Maximum number of complete snapshots.
     pub max_snapshots: usize,
-    /// Greatest age of a snapshot, by the time at which it was started.
+    /// Maximum age of a snapshot, counted from the time at which it was started.
     pub max_age: Micros,
 }
 
-/// What a pass deleted.
+/// Numbers of items that a pruning pass deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PrunedCounts {
-    /// Snapshots.
+    /// Number of deleted snapshots.
     pub snapshots: usize,
-    /// Whole segments.
+    /// Number of deleted segments.
     pub segments: usize,
 }
 
-/// Deletes what the policy no longer retains, in one transaction.
+/// Deletes, in one transaction, the snapshots and changes that the policy does not retain.
 ///
 /// # Errors
-/// Those of reading and writing; nothing is deleted then.
+/// The archive can't be read or written. In this case, nothing is deleted.
 pub fn prune(
     archive: &Archive,
     policy: RetentionPolicy,
@@ -51,7 +52,7 @@
     })
 }
 
-/// Splits the complete snapshots, oldest first, into those to delete and those to retain.
+/// Splits the complete snapshots, given oldest first, into expired and retained ones.
 fn split_expired(
     snapshots: Vec<CompleteSnapshot>,
     policy: RetentionPolicy,
@@ -59,15 +60,15 @@
 ) -> (Vec<CompleteSnapshot>, Vec<CompleteSnapshot>) {
     let count = snapshots.len();
     let first_by_count = count.saturating_sub(policy.max_snapshots.max(1));
-    let is_expired = |place: usize, snapshot: &CompleteSnapshot| {
-        let is_newest = place + 1 == count;
+    let is_expired = |index: usize, snapshot: &CompleteSnapshot| {
+        let is_newest = index + 1 == count;
         let too_old = snapshot.snapshot.started.saturating_add(policy.max_age) < wall_clock;
-        !is_newest && (place < first_by_count || too_old)
+        !is_newest && (index < first_by_count || too_old)
     };
     let mut expired = Vec::new();
     let mut retained = Vec::new();
-    for (place, snapshot) in snapshots.into_iter().enumerate() {
-        if is_expired(place, &snapshot) {
+    for (index, snapshot) in snapshots.into_iter().enumerate() {
+        if is_expired(index, &snapshot) {
             expired.push(snapshot);
         } else {
             retained.push(snapshot);
@@ -76,8 +77,9 @@
     (expired, retained)
 }
 
-/// Deletes the segments before the one of the oldest retained snapshot; returns their number.
-/// The last segment stays, as it is being recorded, whether it has a snapshot yet or not.
+/// Deletes the segments before the segment of the oldest retained snapshot and returns their
+/// number. The last segment is always kept, because it is being recorded and may not have a
+/// snapshot yet.
 fn prune_segments(
     transaction: &mut ArchiveTransaction<'_>,
     oldest_retained: u64,
--- a/crates/archive/src/session.rs
+++ b/crates/archive/src/session.rs
@@ -1,4 +1,4 @@
-//! A recording session: joins the recorder, the archive and a blocking client.
+//! A recording session: runs a recorder with an archive and a blocking client.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,19 +15,19 @@
 use crate::recorder::{Answer, Pacing, Recorder, Request, ScheduledRequest};
 use crate::retention::{prune, RetentionPolicy};
 
-/// Time for an answer, beyond what a watch waits for a change.
+/// Timeout of a request, in addition to the time that a watch waits for a change.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest sleep before looking whether to stop.
+/// Maximum time between two checks of the stop flag.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// When a session ends by itself; `None`: never for that reason.
+/// Limits after which a session ends. `None` means no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SessionLimits {
-    /// After so many complete snapshots.
+    /// Number of complete snapshots.
     pub snapshots: Option<u64>,
-    /// After this time.
+    /// Duration of the session.
     pub duration: Option<Duration>,
-    /// With an error, after no usable answer for so long.
+    /// Time without a usable response, after which the session ends with an error.
     pub unavailability: Option<Duration>,
 }
 
@@ -38,31 +38,31 @@
             || self.duration.is_some_and(|limit| elapsed >= limit)
     }
 
-    fn is_unavailable_for(&self, elapsed: Duration) -> bool {
+    fn is_unavailability_reached(&self, elapsed: Duration) -> bool {
         self.unavailability.is_some_and(|limit| elapsed >= limit)
     }
 }
 
-/// What a session did.
+/// Counters of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SessionSummary {
-    /// Requests that were sent.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Snapshots that were completed.
+    /// Number of snapshots completed.
     pub snapshots: u64,
 }
 
-/// A state service, the archive that its records go to, and how.
+/// Parameters of a session that records a state service into an archive.
 pub struct Session<'a> {
     /// Address of the state service.
     pub state_service: SocketAddr,
-    /// The archive.
+    /// Archive to record into.
     pub archive: &'a Archive,
-    /// How fast to go.
+    /// Rates of requests and snapshots.
     pub pacing: Pacing,
-    /// What is retained after each snapshot.
+    /// Retention policy, applied after each snapshot.
     pub retention: RetentionPolicy,
-    /// Set to end the session after the current request.
+    /// Flag that ends the session after the current request.
     pub stop: &'a AtomicBool,
 }
 
@@ -70,7 +70,8 @@
     /// Records until a limit is reached or [`Session::stop`] is set.
     ///
     /// # Errors
-    /// The archive can't be written, or the state service was unavailable for too long.
+    /// The archive can't be read or written, or the state service was unavailable for longer than
+    /// the limit.
     pub fn run(&self, limits: SessionLimits) -> Result<SessionSummary, ArchiveError> {
         let started = Instant::now();
         let mut client = Client::new(self.state_service);
@@ -90,26 +91,26 @@
                 continue;
             }
             summary.requests += 1;
-            let answer = self.ask(&mut client, &request);
+            let answer = self.send(&mut client, &request);
             let clock = ClockReading {
                 monotonic: monotonic_since(started),
                 wall_clock: wall_clock(),
             };
             match answer {
                 Ok(_) => last_usable = Instant::now(),
-                Err(error) if limits.is_unavailable_for(last_usable.elapsed()) => {
+                Err(error) if limits.is_unavailability_reached(last_usable.elapsed()) => {
                     return Err(ArchiveError::StateService(error));
                 }
                 Err(_) => {}
             }
-            self.record(&mut recorder, &request, answer, clock)?;
+            self.apply_answer(&mut recorder, &request, answer, clock)?;
             summary.snapshots = recorder.snapshots_completed();
         }
         Ok(summary)
     }
 
-    /// Continues where the archive ends. A snapshot that is due by the age of the last one is
-    /// taken at once.
+    /// Creates a recorder that continues at the archive's end. The next snapshot is due when the
+    /// age of the last snapshot reaches the snapshot interval, which may be at once.
     fn resume_recorder(&self) -> Result<Recorder, ArchiveError> {
         self.archive.delete_incomplete_snapshot()?;
         self.archive.read(|view| {
@@ -127,7 +128,7 @@
         })
     }
 
-    fn ask(&self, client: &mut Client, request: &Request) -> Result<Answer, RequestError> {
+    fn send(&self, client: &mut Client, request: &Request) -> Result<Answer, RequestError> {
         let timeout = ANSWER_TIMEOUT + Duration::from_micros(request.wait());
         let response = client.call("GET", &request.target(), &[], timeout)?;
         match (response.status, request) {
@@ -146,8 +147,9 @@
         }
     }
 
-    /// Writes what follows from an answer; after a snapshot what need not be retained goes.
-    fn record(
+    /// Applies the recorder's actions for a response to the archive, and prunes the archive after
+    /// a completed snapshot.
+    fn apply_answer(
         &self,
         recorder: &mut Recorder,
         request: &Request,
--- a/crates/archive/src/store_panic.rs
+++ b/crates/archive/src/store_panic.rs
@@ -1,7 +1,7 @@
 //! Converts panics of the embedded store into errors.
 //!
-//! The embedded store checks most of what it reads, but asserts some of it. Such an assertion
-//! says that the file is damaged, and must not end the process.
+//! The embedded store returns errors for most invalid data that it reads, but panics on some. Such
+//! a panic means that the file is damaged; it must not end the process.
 
 use std::cell::Cell;
 use std::panic::{catch_unwind, set_hook, take_hook, AssertUnwindSafe};
@@ -10,21 +10,22 @@
 
 use crate::error::{ArchiveError, Damage};
 
-// Assertions can be caught only where they unwind.
+// A panic can be caught only if it unwinds.
 #[cfg(panic = "abort")]
 compile_error!("the archive is built with `--profile tools`, where a panic unwinds");
 
 thread_local! {
-    /// Whether this thread is within [`catch_store_panic`], where a panic is not printed.
+    /// Whether this thread is within [`catch_store_panic`], where panics are not printed.
     static CATCHING: Cell<bool> = const { Cell::new(false) };
 }
 
 static HOOK: Once = Once::new();
 
-/// Runs an access to the embedded store.
+/// Runs `access`, which uses the embedded store, and converts a panic into an error. The panic is
+/// not printed.
 ///
 /// # Errors
-/// Those of `access`, or [`Damage::StoreAssertion`] if it panics; nothing is printed then.
+/// Errors of `access`, or [`Damage::StoreAssertion`] if `access` panics.
 pub(crate) fn catch_store_panic<T>(
     path: &Path,
     access: impl FnOnce() -> Result<T, ArchiveError>,
@@ -36,7 +37,7 @@
     result.unwrap_or_else(|_| Err(Damage::StoreAssertion.in_file(path)))
 }
 
-/// Replaces the panic hook by one that prints only panics that are not caught here.
+/// Replaces the panic hook with one that does not print panics caught by [`catch_store_panic`].
 fn silence_caught_panics() {
     let default_hook = take_hook();
     set_hook(Box::new(move |info| {
--- a/crates/archive/src/verify.rs
+++ b/crates/archive/src/verify.rs
@@ -1,5 +1,5 @@
-//! Verification of an archive: checksums, numbering, and each snapshot against the one before
-//! it with the changes between.
+//! Verification of an archive: checks checksums and batch numbers, and compares each snapshot with
+//! the result of applying the changes to the previous snapshot.
 
 use serde::Serialize;
 
@@ -9,27 +9,27 @@
 use crate::model::{ChangeBatch, CompleteSnapshot, Row, Segment};
 use crate::reconstruct::{apply_changes, load_snapshot, RecordMap, RevisionRange};
 
-/// What was checked and found intact. Printed as JSON; the names are part of that form.
+/// Numbers of verified items. The counts are printed as JSON; the names are part of that format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub struct VerifiedCounts {
-    /// Segments.
+    /// Number of segments.
     pub segments: u64,
-    /// Complete snapshots, each against its digest.
+    /// Number of complete snapshots, each verified against its digest.
     #[serde(rename = "images")]
     pub snapshots: u64,
-    /// Snapshots that equal the one before them with the changes between.
+    /// Number of snapshots that equal the previous snapshot with the changes applied.
     #[serde(rename = "images_from_changes")]
     pub snapshots_from_changes: u64,
-    /// Change batches.
+    /// Number of change batches.
     pub batches: u64,
-    /// Changes.
+    /// Number of changes.
     pub changes: u64,
 }
 
 /// Verifies an archive.
 ///
 /// # Errors
-/// The first damage that was found, or why the file can't be read.
+/// The first damage found, or the file can't be read.
 pub fn verify(archive: &Archive) -> Result<VerifiedCounts, ArchiveError> {
     archive.check_integrity()?;
     archive.read(|view| {
@@ -43,7 +43,7 @@
     })
 }
 
-/// Checks that batches are numbered without a gap and their changes are in order.
+/// Checks that batches are numbered without gaps and that their changes are in order.
 fn verify_batches(
     view: &ArchiveView,
     segment: &Row<Segment>,
@@ -76,7 +76,7 @@
     Ok(())
 }
 
-/// Checks that a batch's changes ascend within its range of revisions.
+/// Checks that a batch's changes are in revision order and within the batch's range.
 fn verify_change_order(batch: &ChangeBatch, name: EntryName) -> Result<(), Damage> {
     let mut last = batch.after;
     for change in &batch.changes {
@@ -91,7 +91,8 @@
     Ok(())
 }
 
-/// Checks each snapshot against its digest and against the one before it.
+/// Checks each snapshot against its digest and against the previous snapshot with the changes
+/// applied.
 fn verify_snapshots(
     view: &ArchiveView,
     segment: &Row<Segment>,
