--- a/crates/archive/src/session.rs
+++ b/crates/archive/src/session.rs
@@ -16,7 +16,7 @@
 use crate::retention::{prune, RetentionPolicy};
 
 /// Timeout of a request, in addition to the time that a watch waits for a change.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum time between two checks of the stop flag.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -129,7 +129,7 @@
     }
 
     fn send(&self, client: &mut Client, request: &Request) -> Result<Answer, RequestError> {
-        let timeout = ANSWER_TIMEOUT + Duration::from_micros(request.wait());
+        let timeout = REQUEST_TIMEOUT + Duration::from_micros(request.wait());
         let response = client.call("GET", &request.target(), &[], timeout)?;
         match (response.status, request) {
             (200, Request::Revision | Request::Page { .. }) => decode(&response.body)
--- a/crates/salttillerctl/src/archive.rs
+++ b/crates/salttillerctl/src/archive.rs
@@ -1,6 +1,6 @@
-//! `salttillerctl archive`: the command line, and which function carries out a command.
+//! `salttillerctl archive`: defines the command line and dispatches the commands.
 //!
-//! Doc comments of the command line are its help text.
+//! The doc comments of the command-line types are printed as help text.
 
 mod export;
 mod inspect;
@@ -98,10 +98,10 @@
     ArchiveList,
 }
 
-/// Runs a command.
+/// Runs a command of `salttillerctl archive`.
 ///
 /// # Errors
-/// Why the command failed.
+/// The command failed.
 pub(crate) fn run(command: &Command) -> Result<(), Failure> {
     match command {
         Command::Run { source, max_s } => {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Prints the schema of a document.
+/// Prints the JSON schema of a document.
 ///
 /// # Errors
 /// Standard output can't be written.
--- a/crates/salttillerctl/src/archive/export.rs
+++ b/crates/salttillerctl/src/archive/export.rs
@@ -1,4 +1,4 @@
-//! `archive export`.
+//! The command `archive export`.
 
 use std::io;
 use std::path::Path;
--- a/crates/salttillerctl/src/archive/inspect.rs
+++ b/crates/salttillerctl/src/archive/inspect.rs
@@ -1,4 +1,4 @@
-//! `archive verify` and `archive list`.
+//! The commands `archive verify` and `archive list`.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 use crate::failure::Failure;
 use crate::output::print_json;
 
-/// Checks that an archive is whole, and prints what was checked.
+/// Verifies an archive and prints the numbers of verified items.
 pub(super) fn verify_archive(path: &Path, json: bool) -> Result<(), Failure> {
     let counts = verify(&Archive::open(path, None)?)?;
     if json {
@@ -33,7 +33,7 @@
     );
 }
 
-/// Prints what an archive holds.
+/// Prints an archive's segments, gaps and snapshots.
 pub(super) fn list_archive(path: &Path, json: bool) -> Result<(), Failure> {
     let document = list(&Archive::open(path, None)?)?;
     if json {
--- a/crates/salttillerctl/src/archive/record.rs
+++ b/crates/salttillerctl/src/archive/record.rs
@@ -1,4 +1,4 @@
-//! `archive run` and `archive snapshot`.
+//! The commands `archive run` and `archive snapshot`.
 
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     let archive = Archive::open_or_create(&source.archive, &deployment)?;
     let mut pacing = pacing(&settings, platform.store_request_rate);
     if limits.snapshots.is_some() {
-        // A snapshot was asked for: it is due now, however young the last one is.
+        // `archive snapshot` takes a snapshot at once, whatever the age of the last one.
         pacing.snapshot_interval = 0;
     }
     let session = Session {
--- a/crates/salttillerctl/src/archive_settings.rs
+++ b/crates/salttillerctl/src/archive_settings.rs
@@ -1,25 +1,26 @@
-//! Operators' settings of the archive, an INI file with the section `archive`.
+//! Operators' settings of the archive, read from the section `archive` of an INI file.
 
 use std::ops::RangeInclusive;
 use std::path::Path;
 
 use salttiller::settings::{parse_number, FieldError, SettingsError};
 
-/// Seconds of a day.
+/// Number of seconds per day.
 const DAY_S: f64 = 86_400.0;
 
-/// How the archive is kept.
+/// Settings for recording and retention.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct ArchiveSettings {
-    /// Share of the state service's requests a second that the recorder uses at most.
+    /// Maximum share of the state service's request rate that the recorder uses.
     pub request_share: f64,
-    /// Least time between two requests for changes, in seconds.
+    /// Minimum time between two requests for changes, in seconds.
     pub watch_s: f64,
-    /// Time from one snapshot to the next, in seconds (key `image_every_s`).
+    /// Time from the end of one snapshot to the start of the next, in seconds (key
+    /// `image_every_s`).
     pub snapshot_every_s: f64,
-    /// Greatest number of snapshots that are retained (key `keep_images`).
+    /// Maximum number of retained snapshots (key `keep_images`).
     pub keep_snapshots: usize,
-    /// Greatest age of a snapshot that is retained, in seconds.
+    /// Maximum age of a retained snapshot, in seconds.
     pub keep_s: f64,
 }
 
@@ -35,10 +36,10 @@
     }
 }
 
-/// Reads the archive's settings from an INI file; without one they are the defaults.
+/// Reads the archive's settings from an INI file. Returns the defaults if `path` is `None`.
 ///
 /// # Errors
-/// The file can't be read, has an unknown section or key, or a value out of its range.
+/// The file can't be read, has an unknown section or key, or has a value that is out of range.
 pub(crate) fn read_archive_settings(path: Option<&Path>) -> Result<ArchiveSettings, SettingsError> {
     let Some(path) = path else {
         return Ok(ArchiveSettings::default());
@@ -69,7 +70,7 @@
     Ok(settings)
 }
 
-/// A key of the INI with its value.
+/// A key of the INI file with its value.
 struct Property<'a> {
     file: &'a str,
     /// Section and key, joined by a dot.
@@ -79,10 +80,11 @@
 
 impl Property<'_> {
     fn number_in(&self, range: RangeInclusive<f64>) -> Result<f64, SettingsError> {
-        parse_number(self.value, *range.start(), *range.end()).map_err(|cause| self.refuse(cause))
+        parse_number(self.value, *range.start(), *range.end())
+            .map_err(|cause| self.field_error(cause))
     }
 
-    fn refuse(&self, cause: FieldError) -> SettingsError {
+    fn field_error(&self, cause: FieldError) -> SettingsError {
         SettingsError::Field {
             file: self.file.to_owned(),
             field: self.field.clone(),
@@ -100,7 +102,7 @@
             settings.keep_snapshots = property.number_in(1.0..=1e5)? as usize;
         }
         "archive.keep_s" => settings.keep_s = property.number_in(1.0..=1e9)?,
-        _ => return Err(property.refuse(FieldError::UnknownKey)),
+        _ => return Err(property.field_error(FieldError::UnknownKey)),
     }
     Ok(())
 }
--- a/crates/salttillerctl/src/archive_settings/tests.rs
+++ b/crates/salttillerctl/src/archive_settings/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn settings_good_and_bad() {
+fn valid_settings_are_read_and_invalid_settings_are_refused() {
     let cases: [(&str, Result<f64, &str>); 7] = [
         ("", Ok(0.05)),
         ("[archive]\nrequest_share = 0.1\n", Ok(0.1)),
@@ -16,11 +16,11 @@
         ("[archive]\nkeep = 3\n", Err("unknown key")),
         ("[other]\nkeep_s = 3\n", Err("other.keep_s")),
     ];
-    for (text, want) in cases {
-        match (parse_archive_settings("a.ini", text), want) {
+    for (text, expected) in cases {
+        match (parse_archive_settings("a.ini", text), expected) {
             (Ok(got), Ok(share)) => assert_eq!(got.request_share, share, "{text}"),
             (Err(e), Err(part)) => assert!(e.to_string().contains(part), "{text}: {e}"),
-            (got, want) => panic!("{text}: {got:?}, wanted {want:?}"),
+            (got, expected) => panic!("{text}: {got:?}, expected {expected:?}"),
         }
     }
 }
--- a/crates/salttillerctl/src/failure.rs
+++ b/crates/salttillerctl/src/failure.rs
@@ -10,26 +10,26 @@
 
 use crate::state_service::StateServiceError;
 
-/// Why a command failed; the message is one line.
+/// Why a command failed. The message is a single line.
 #[derive(Debug, Error)]
 pub(crate) enum Failure {
-    /// The platform's settings or the INI can't be used.
+    /// The platform's settings or the INI file can't be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The archive can't be used.
     #[error(transparent)]
     Archive(#[from] ArchiveError),
-    /// An output file exists and `--yes` is not given.
-    #[error("{}: is there already; --yes overwrites it", .0.display())]
+    /// The output file exists and `--yes` is not given.
+    #[error("{}: file exists; --yes overwrites it", .0.display())]
     WouldOverwrite(PathBuf),
-    /// The state service gave no usable answer.
+    /// The state service gave no usable response.
     #[error("state service: {0}")]
     StateService(#[from] StateServiceError),
-    /// Controllers do not hold, so there is nothing to decide.
-    #[error("no hold: there is nothing to decide")]
-    NotHeld,
-    /// Another decision, or a further loss, came in between.
-    #[error("the hold's record changed in between; look again")]
+    /// There is no data-loss hold that waits for a decision.
+    #[error("no data-loss hold waits for a decision")]
+    NoPendingHold,
+    /// Another decision or a further data loss changed the hold's record after it was read.
+    #[error("the hold's record changed after it was read; run `recover status` again")]
     HoldChanged,
     /// Standard output can't be written.
     #[error("standard output: {0}")]
@@ -37,8 +37,8 @@
 }
 
 impl Failure {
-    /// The exit code, by which scripts tell failures apart; docs/operators/recovery.md lists
-    /// them. 2 is clap's, for a wrong call.
+    /// Returns the exit code, by which scripts distinguish failures. docs/operators/recovery.md
+    /// lists the exit codes. Exit code 2 is reserved for clap's usage errors.
     #[must_use]
     pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
@@ -47,7 +47,7 @@
             Failure::WouldOverwrite(_) => 4,
             Failure::Archive(error) => archive_exit_code(error),
             Failure::StateService(_) => 18,
-            Failure::NotHeld => 20,
+            Failure::NoPendingHold => 20,
             Failure::HoldChanged => 21,
         })
     }
--- a/crates/salttillerctl/src/main.rs
+++ b/crates/salttillerctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line. Each kind of failure has an exit code of its own, see
+//! The operators' command-line tool. Each kind of failure has its own exit code, see
 //! docs/operators/recovery.md.
 
 #![deny(unsafe_code)]
@@ -16,7 +16,7 @@
 use clap::{Parser, Subcommand};
 use tracing_subscriber::EnvFilter;
 
-/// Environment variable that sets which log lines are printed.
+/// Environment variable that sets the log level.
 const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
 /// Operators' tools for the salttiller scheduler.
@@ -58,7 +58,7 @@
     }
 }
 
-/// Log lines go to standard error; standard output is for results.
+/// Initializes logging to standard error. Standard output is reserved for results.
 fn start_logging() {
     let filter =
         EnvFilter::try_from_env(LOG_LEVEL_VARIABLE).unwrap_or_else(|_| EnvFilter::new("info"));
--- a/crates/salttillerctl/src/output.rs
+++ b/crates/salttillerctl/src/output.rs
@@ -1,4 +1,4 @@
-//! What commands print and write.
+//! Output of commands: atomically written files, and JSON on standard output.
 
 use std::fs::{remove_file, rename, File};
 use std::io::{self, Write};
@@ -8,17 +8,17 @@
 
 use crate::failure::Failure;
 
-/// Writes a file whole or not at all: a reader sees the former content or all of the new.
+/// Writes a file atomically: a reader sees either the previous or the complete new content.
 ///
 /// # Errors
-/// The file, or the temporary one next to it, can't be written.
+/// The file, or the temporary file next to it, can't be written.
 pub(crate) fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut temporary_name = path.as_os_str().to_owned();
     temporary_name.push(format!(".new-{}", std::process::id()));
     let temporary = PathBuf::from(temporary_name);
     let result = write_synced(&temporary, bytes).and_then(|()| rename(&temporary, path));
     if result.is_err() {
-        // The first error counts; a file that stays behind is harmless.
+        // The first error is returned. A remaining temporary file is harmless.
         let _ = remove_file(&temporary);
     }
     result
--- a/crates/salttillerctl/src/recover.rs
+++ b/crates/salttillerctl/src/recover.rs
@@ -1,10 +1,10 @@
-//! `salttillerctl recover`: shows a data-loss hold, and records operators' decision.
+//! `salttillerctl recover`: shows a data-loss hold and records the operators' decision.
 //!
-//! Controllers that find that the state service lost records command nothing from then on,
-//! which is called a hold, until an operator decides. The hold and the decision are one record
-//! of the state service.
+//! When controllers detect that the state service lost records, they send no commands until an
+//! operator decides how to proceed. This state is called a data-loss hold. One record of the state
+//! service contains the hold and the decision.
 //!
-//! Doc comments of the command line are its help text.
+//! The doc comments of the command-line types are printed as help text.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -50,26 +50,26 @@
     },
 }
 
-/// What `recover status --json` prints; the names are part of that form.
+/// Document that `recover status --json` prints. The names are part of its format.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 struct StatusDocument {
-    /// Whether controllers hold.
+    /// Whether a hold is in force.
     held: bool,
-    /// The record of the last hold, if there ever was one.
+    /// Record of the last hold, or `None` if there has never been a hold.
     record: Option<DataLossHoldRecord>,
 }
 
 impl StatusDocument {
     fn new(record: Option<DataLossHoldRecord>) -> Self {
-        let held = record.as_ref().is_some_and(is_undecided);
+        let held = record.as_ref().is_some_and(is_in_force);
         StatusDocument { held, record }
     }
 }
 
-/// Runs a command.
+/// Runs a command of `salttillerctl recover`.
 ///
 /// # Errors
-/// Why the command failed.
+/// The command failed.
 pub(crate) fn run(command: &Command) -> Result<(), Failure> {
     match command {
         Command::Status { config, json } => {
@@ -93,8 +93,8 @@
     }
 }
 
-/// Whether the hold is in force by this record: operators have not decided yet.
-fn is_undecided(record: &DataLossHoldRecord) -> bool {
+/// Whether the hold is in force, which it is until an operator accepts the loss.
+fn is_in_force(record: &DataLossHoldRecord) -> bool {
     record.accepted.is_none()
 }
 
@@ -121,17 +121,17 @@
     }
 }
 
-/// Puts the decision on record, or only says what that would do.
+/// Records the decision if it is confirmed; otherwise only prints its effect.
 fn accept_loss(
     state_service: SocketAddr,
     decision: AcceptedLoss,
     confirmed: bool,
 ) -> Result<(), Failure> {
-    let hold = read_hold(state_service)?.filter(|hold| is_undecided(&hold.record));
+    let hold = read_hold(state_service)?.filter(|hold| is_in_force(&hold.record));
     let VersionedHold {
         mut record,
         version,
-    } = hold.ok_or(Failure::NotHeld)?;
+    } = hold.ok_or(Failure::NoPendingHold)?;
     let incident = record.incident;
     if !confirmed {
         println!(
--- a/crates/salttillerctl/src/state_service.rs
+++ b/crates/salttillerctl/src/state_service.rs
@@ -1,4 +1,4 @@
-//! Single requests to the state service.
+//! Blocking requests to the state service that read and replace the record of a data-loss hold.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,49 +11,49 @@
 use serde_json::json;
 use thiserror::Error;
 
-/// Time for an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why the state service gave no usable answer.
+/// Why the state service gave no usable response.
 #[derive(Debug, Error)]
 pub(crate) enum StateServiceError {
-    /// There was no answer.
+    /// The request got no response.
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// The answer's status is not one of those expected.
+    /// The response has an unexpected status.
     #[error("status {0}")]
     Status(u16),
-    /// The answer can't be decoded.
-    #[error("an answer can't be read: {0}")]
-    InvalidAnswer(#[source] rmp_serde::decode::Error),
-    /// The record of the hold is not of the expected form.
-    #[error("the hold's record: {0}")]
+    /// The response can't be decoded.
+    #[error("response can't be decoded: {0}")]
+    InvalidResponse(#[source] rmp_serde::decode::Error),
+    /// The record of the hold does not have the expected form.
+    #[error("the hold's record can't be decoded: {0}")]
     InvalidHoldRecord(#[source] serde_json::Error),
 }
 
-/// The record of a hold, with its version for conditional changes.
+/// The record of a hold with its version, which a compare-and-swap needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct VersionedHold {
-    /// The record.
+    /// Record of the hold.
     pub record: DataLossHoldRecord,
-    /// Revision of its last change.
+    /// Revision of the record's last change.
     pub version: u64,
 }
 
-/// How a conditional change ended.
+/// Outcome of a compare-and-swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 pub(crate) enum CompareAndSwap {
-    /// The change is committed.
+    /// The change was committed.
     Committed,
-    /// The record had changed in between; nothing was written.
+    /// The record had changed since it was read; nothing was written.
     Conflict,
 }
 
-/// Reads the record of a hold; `None` if there is none.
+/// Reads the record of a hold. Returns `None` if there is no record.
 ///
 /// # Errors
-/// There was no usable answer, or the record is not a hold's.
+/// There was no usable response, or the record can't be decoded.
 pub(crate) fn read_hold(
     state_service: SocketAddr,
 ) -> Result<Option<VersionedHold>, StateServiceError> {
@@ -62,7 +62,7 @@
     match response.status {
         404 => Ok(None),
         200 => {
-            let pair: Pair = decode(&response.body).map_err(StateServiceError::InvalidAnswer)?;
+            let pair: Pair = decode(&response.body).map_err(StateServiceError::InvalidResponse)?;
             let record =
                 serde_json::from_value(pair.value).map_err(StateServiceError::InvalidHoldRecord)?;
             Ok(Some(VersionedHold {
@@ -74,10 +74,10 @@
     }
 }
 
-/// Replaces the record of a hold unless it changed since it was read.
+/// Replaces the record of a hold unless the record has changed since it was read.
 ///
 /// # Errors
-/// There was no usable answer: the change may be committed or not.
+/// There was no usable response. The change may or may not have been committed.
 pub(crate) fn replace_hold(
     state_service: SocketAddr,
     hold: &VersionedHold,
@@ -101,5 +101,5 @@
     target: &str,
     body: &[u8],
 ) -> Result<Response, ClientError> {
-    Client::new(state_service).call(method, target, body, ANSWER_TIMEOUT)
+    Client::new(state_service).call(method, target, body, REQUEST_TIMEOUT)
 }
--- a/crates/salttillerctl/tests/archive_measurement.rs
+++ b/crates/salttillerctl/tests/archive_measurement.rs
@@ -1,7 +1,7 @@
-//! Measures an archive of a large store; long, so left out of CI:
+//! Measures the archive of a large store. The test takes minutes and is not part of CI:
 //! `cargo test --release --profile tools -p salttillerctl --test archive_measurement -- --ignored --nocapture`
 
-// Set-up of tests outside of test functions, which clippy.toml does not cover.
+// clippy.toml permits these lints in test functions only, not in their helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::indexing_slicing)]
 
 use std::path::Path;
@@ -18,15 +18,16 @@
 const MACHINES: usize = 4_000;
 const MACHINES_PER_BATCH: usize = 50;
 const JOBS: usize = 100_000;
-/// One job in so many is not done.
+/// One job per this number of jobs is open; the others are done.
 const OPEN_JOB_INTERVAL: usize = 20;
 const REQUESTS_PER_SECOND: f64 = 80.0;
 const REQUEST_SHARE: f64 = 0.05;
-/// Requests a second that may come on top of the share, from the one at the start.
+/// Tolerated requests per second above the share, because the first request is sent at once.
 const RATE_TOLERANCE: f64 = 0.1;
 const CHANGES_PER_SECOND: u64 = 25;
 const RECORDING_SECONDS: u64 = 90;
-/// A prime: changes go round all jobs in no order.
+/// Step between the job numbers of successive changes. The step is a prime, so that changes cover
+/// all jobs in an irregular order.
 const JOB_STRIDE: u64 = 7919;
 const BYTES_PER_MIB: f64 = 1024.0 * 1024.0;
 
@@ -45,7 +46,7 @@
         "r": "1", "s": 1_200_000, "t": "dispatch-03", "u": 2_000_000, "f": true}})
 }
 
-fn fill(service: &StateService) {
+fn fill_store(service: &StateService) {
     for batch in 0..MACHINES / MACHINES_PER_BATCH {
         let key = format!("st/lot/tiller-0-4-{batch}");
         service.commit(&[(&key, Some(machine_batch(batch)))]);
@@ -63,8 +64,8 @@
     command
 }
 
-/// Runs a command that must succeed and prints how long it took; its standard output.
-fn timed(subcommand: &str, archive: &Path) -> String {
+/// Runs a command that must succeed, prints its duration and returns its standard output.
+fn run_timed(subcommand: &str, archive: &Path) -> String {
     let start = Instant::now();
     let output = archive_command(subcommand, archive).output().unwrap();
     let errors = String::from_utf8_lossy(&output.stderr);
@@ -73,7 +74,7 @@
     String::from_utf8(output.stdout).unwrap()
 }
 
-/// Greatest resident size of a process so far, in MiB.
+/// Returns the peak resident memory of a process in MiB.
 fn peak_memory_mib(pid: u32) -> Option<f64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find(|l| l.starts_with("VmHWM:"))?;
@@ -88,14 +89,14 @@
         .is_ok_and(|list| list.segments.iter().any(|s| !s.snapshots.is_empty()))
 }
 
-/// What was measured while a process recorded.
+/// Measurements of a recording process.
 struct RecordingMeasurement {
     first_snapshot_s: Option<f64>,
     requests_per_second: f64,
     peak_memory_mib: f64,
 }
 
-/// Records while the store changes.
+/// Runs a recording process while the store changes, and measures it.
 fn measure_recording(
     service: &StateService,
     mut command: Command,
@@ -130,7 +131,7 @@
 #[ignore = "takes minutes"]
 fn a_store_of_4000_machines_and_100000_jobs() {
     let service = StateService::start().unwrap();
-    fill(&service);
+    fill_store(&service);
     let folder = TempFolder::new("measure").unwrap();
     let settings = PlatformSettings::new(service.address());
     let settings = settings.requests_per_second(REQUESTS_PER_SECOND).to_json();
@@ -152,9 +153,12 @@
     let bytes = std::fs::metadata(&archive).unwrap().len();
     println!("file {:.1} MiB", bytes as f64 / BYTES_PER_MIB);
     assert!(measured.first_snapshot_s.is_some());
-    let most = REQUESTS_PER_SECOND * REQUEST_SHARE + RATE_TOLERANCE;
-    assert!(rate <= most, "{rate}");
-    timed("verify", &archive);
-    let export: ExportDocument = serde_json::from_str(&timed("export", &archive)).unwrap();
+    let max_rate = REQUESTS_PER_SECOND * REQUEST_SHARE + RATE_TOLERANCE;
+    assert!(
+        rate <= max_rate,
+        "{rate} requests per second, expected at most {max_rate}"
+    );
+    run_timed("verify", &archive);
+    let export: ExportDocument = serde_json::from_str(&run_timed("export", &archive)).unwrap();
     assert_eq!(export.records.len(), JOBS + MACHINES / MACHINES_PER_BATCH);
 }
--- a/crates/salttillerctl/tests/cli/archive_documents.rs
+++ b/crates/salttillerctl/tests/cli/archive_documents.rs
@@ -1,4 +1,4 @@
-//! Documents have the forms that are published.
+//! Tests that printed documents and schemas match the published schemas.
 
 use std::path::Path;
 
@@ -7,8 +7,10 @@
 use crate::common::{ctl, succeed};
 use crate::deployment::Deployment;
 
+/// Guards against a change to a document or its schema without the same change to the published
+/// schema.
 #[test]
-fn documents_have_their_published_schemas() {
+fn documents_match_their_published_schemas() {
     let deployment = Deployment::new("schemas", 20);
     succeed(&mut deployment.snapshot_command());
     let published = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/schemas");
@@ -25,9 +27,12 @@
             "{name}: `salttillerctl schema {name}` differs"
         );
         let schema = jsonschema::validator_for(&schema).unwrap();
-        assert!(schema.is_valid(&document), "{name}");
+        assert!(schema.is_valid(&document), "{name} must match its schema");
         let mut wrong = document.clone();
         wrong["version"] = json!("one");
-        assert!(!schema.is_valid(&wrong), "{name}");
+        assert!(
+            !schema.is_valid(&wrong),
+            "{name} with an invalid version must not match its schema"
+        );
     }
 }
--- a/crates/salttillerctl/tests/cli/archive_failures.rs
+++ b/crates/salttillerctl/tests/cli/archive_failures.rs
@@ -1,4 +1,5 @@
-//! Failures of `archive`: what can't be used is one clear line and an exit code of its own.
+//! Tests of failing `archive` commands: each kind of failure is one line of error text and its own
+//! exit code.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -9,10 +10,10 @@
 use crate::common::{arg, ctl, fail, succeed, CTL};
 use crate::deployment::Deployment;
 
-/// Exit code of a wrong call, whose message has several lines.
+/// Exit code of a usage error. Its message has several lines.
 const USAGE: i32 = 2;
 
-/// A command that must fail.
+/// A command that must fail, and the expected exit code.
 struct FailureCase {
     name: &'static str,
     command: Command,
@@ -44,8 +45,8 @@
     command
 }
 
-/// A snapshot by a process that may write files of 64 blocks only.
-fn snapshot_on_a_full_disk(deployment: &Deployment) -> Command {
+/// Returns a snapshot command whose process can write files of at most 64 blocks.
+fn snapshot_with_file_size_limit(deployment: &Deployment) -> Command {
     let script = format!(
         "trap '' XFSZ; ulimit -f 64; exec {CTL} archive snapshot {} --config {}",
         arg(&deployment.folder.file("limited.archive")),
@@ -56,7 +57,7 @@
     command
 }
 
-/// Files that are no usable archives.
+/// Returns commands on files that are not usable archives.
 fn unusable_archives(deployment: &Deployment) -> Vec<FailureCase> {
     let folder = &deployment.folder;
     let whole = std::fs::read(&deployment.archive).unwrap();
@@ -66,8 +67,8 @@
     let empty = folder.write("empty.archive", b"").unwrap();
     let foreign = folder.write("foreign.archive", b"some other file, and a long one");
     let foreign = foreign.unwrap();
-    let cut = folder.write("cut.archive", &whole[..whole.len() / 3]);
-    let cut = cut.unwrap();
+    let truncated = folder.write("truncated.archive", &whole[..whole.len() / 3]);
+    let truncated = truncated.unwrap();
     let damaged = folder.write("damaged.archive", bytes).unwrap();
     let mut other = snapshot(deployment, &deployment.archive);
     other.args(["--deployment", "another"]);
@@ -77,31 +78,31 @@
         case("empty, to write", snapshot(deployment, &empty), 11),
         case("foreign", verify(&foreign), 11),
         case("foreign, to write", snapshot(deployment, &foreign), 11),
-        case("another deployment's", other, 13),
-        case("cut off", verify(&cut), 14),
-        case("cut off, to write", snapshot(deployment, &cut), 14),
+        case("another deployment", other, 13),
+        case("truncated", verify(&truncated), 14),
+        case("truncated, to write", snapshot(deployment, &truncated), 14),
         case("damaged", verify(&damaged), 14),
     ]
 }
 
-/// Requests that can't be carried out with a good archive.
-fn impossible_requests(deployment: &Deployment, existing: &Path) -> Vec<FailureCase> {
+/// Returns commands that can't be carried out although the archive is valid.
+fn invalid_requests(deployment: &Deployment, existing: &Path) -> Vec<FailureCase> {
     let mut no_settings = deployment.archive_command("snapshot");
     no_settings.args(["--config", arg(&deployment.folder.file("missing.json"))]);
-    let to_come = export(deployment, &["--revision", "99999"]);
+    let future_revision = export(deployment, &["--revision", "99999"]);
     let no_segment = export(deployment, &["--segment", "9"]);
     let overwriting = export(deployment, &["--output", arg(existing)]);
     vec![
-        case("no space", snapshot_on_a_full_disk(deployment), 16),
-        case("a revision to come", to_come, 17),
+        case("no space", snapshot_with_file_size_limit(deployment), 16),
+        case("future revision", future_revision, 17),
         case("no such segment", no_segment, 17),
-        case("settings", no_settings, 3),
+        case("missing settings", no_settings, 3),
         case("overwriting", overwriting, 4),
         case("usage", ctl(&["archive", "frobnicate"]), USAGE),
     ]
 }
 
-/// All files of a folder with their contents.
+/// Returns all files of a folder with their contents.
 fn files_of(folder: &TempFolder) -> Vec<(PathBuf, Vec<u8>)> {
     let entries = std::fs::read_dir(folder.path()).unwrap();
     let paths = entries.map(|entry| entry.unwrap().path());
@@ -112,13 +113,15 @@
     files
 }
 
+/// Guards against failures without a clear error line or exit code, and against failing commands
+/// that write files.
 #[test]
-fn bad_input_has_one_line_and_a_code_of_its_own() {
+fn each_failure_prints_one_line_and_has_its_exit_code() {
     let deployment = Deployment::new("bad", 200);
     succeed(&mut snapshot(&deployment, &deployment.archive));
     let existing = deployment.folder.write("there.json", b"keep me").unwrap();
     let mut cases = unusable_archives(&deployment);
-    cases.extend(impossible_requests(&deployment, &existing));
+    cases.extend(invalid_requests(&deployment, &existing));
     assert_eq!(cases.len(), 15);
     for case in cases {
         let FailureCase {
@@ -133,15 +136,15 @@
             assert!(errors.starts_with("salttillerctl: "), "{name}: {errors}");
         }
         let unchanged = files_of(&deployment.folder) == before;
-        assert!(unchanged, "{name}: something was written");
+        assert!(unchanged, "{name}: a failing command must not write files");
     }
-    let mut export_over = export(&deployment, &["--output", arg(&existing), "--yes"]);
-    succeed(&mut export_over);
+    let mut confirmed_export = export(&deployment, &["--output", arg(&existing), "--yes"]);
+    succeed(&mut confirmed_export);
     assert!(std::fs::read(&existing).unwrap().starts_with(b"{"));
 }
 
 #[test]
-fn a_state_service_that_refuses_has_a_code_of_its_own() {
+fn refusal_by_the_state_service_has_its_exit_code() {
     let deployment = Deployment::new("refusing", 1);
     let fault = Some(RequestFault::Status(503));
     deployment.service.inject_fault(fault);
--- a/crates/salttillerctl/tests/cli/archive_recording.rs
+++ b/crates/salttillerctl/tests/cli/archive_recording.rs
@@ -1,4 +1,4 @@
-//! `archive run`: what a recorder keeps through faults, and its share of requests.
+//! Tests of `archive run`: the archive's content after faults, and the recorder's request rate.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
@@ -11,18 +11,18 @@
 use crate::common::{succeed, wait_for};
 use crate::deployment::{records_of, Deployment};
 
-/// How long a recorder may take to notice what happened.
-const NOTICE_LIMIT: Duration = Duration::from_secs(30);
+/// Time within which a recorder must detect an event.
+const DETECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Killed again and again in the midst of its work, the recorder goes on without a gap, and
-/// the records can be had as they were at each revision.
+/// Guards against gaps and wrong records when the recorder is killed: after repeated kills at
+/// random times, the archive has one segment, and each revision can be exported as it was.
 #[test]
-fn killed_at_any_moment_it_goes_on_without_a_gap() {
+fn killed_recorder_continues_without_a_gap() {
     let deployment = Deployment::new("kills", 300);
     deployment.service.keep_history();
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
-        scope.spawn(|| deployment.write_steadily(&stop, 1));
+        scope.spawn(|| deployment.commit_changes_until(&stop, 1));
         let mut random = fastrand::Rng::with_seed(2);
         for _ in 0..12 {
             let recorder = deployment.start_recording();
@@ -49,18 +49,18 @@
     }
 }
 
-/// Waits until the archive has so many segments, the last of them with a snapshot and all up
-/// to a revision.
+/// Waits until the archive has a number of segments, and the last segment has a snapshot and
+/// covers a revision.
 fn wait_for_segment(deployment: &Deployment, what: &str, segments: usize, revision: u64) {
-    wait_for(what, NOTICE_LIMIT, || {
+    wait_for(what, DETECTION_TIMEOUT, || {
         let list = deployment.list().segments;
         let last = list.last().unwrap();
         list.len() == segments && last.until_revision >= revision && !last.snapshots.is_empty()
     });
 }
 
-/// Replaces the store's contents, as the connections of a store that is restarted break, with
-/// changes before it answers again.
+/// Replaces the store's contents and commits changes. Requests get no response meanwhile, as if
+/// the store were being restarted.
 fn restore(deployment: &Deployment, contents: Contents, changes: u32) {
     let service = &deployment.service;
     service.inject_fault(Some(RequestFault::NoAnswer));
@@ -71,10 +71,11 @@
     service.inject_fault(None);
 }
 
-/// A wiped store and one set back to an older copy that has grown past the archive since: a
-/// new segment with the cause, and the lost history stays readable to its end.
+/// Guards against mixing two histories when the store is wiped, or is restored from an older backup
+/// and has grown past the archive since. Each replacement must start a new segment with its cause,
+/// and the replaced history must stay readable to its end.
 #[test]
-fn a_lost_history_is_marked_and_kept() {
+fn replaced_history_ends_the_segment_and_stays_readable() {
     let deployment = Deployment::new("lost", 200);
     let recorder = deployment.start_recording();
     deployment.wait_for_snapshot();
@@ -85,7 +86,7 @@
     restore(&deployment, backup, 120);
     let other = deployment.service.contents();
     assert!(other.revision > lost.revision);
-    wait_for_segment(&deployment, "the older copy", 2, other.revision);
+    wait_for_segment(&deployment, "the restored backup", 2, other.revision);
     restore(&deployment, Contents::default(), 0);
     wait_for_segment(&deployment, "the wipe", 3, 0);
     recorder.kill();
@@ -107,9 +108,10 @@
     }
 }
 
-/// A watch that is asked too late gives a gap; refusals and silence for a while don't.
+/// Guards against a gap after a short outage, and against a missing gap when the state service no
+/// longer retains the changes that the recorder requests.
 #[test]
-fn changes_no_longer_kept_are_a_gap_and_an_outage_is_none() {
+fn compacted_changes_cause_a_gap_but_an_outage_does_not() {
     let deployment = Deployment::new("outage", 100);
     let service = &deployment.service;
     let recorder = deployment.start_recording();
@@ -124,7 +126,7 @@
         deployment.commit_jobs(30);
         service.inject_fault(None);
         let revision = service.revision();
-        wait_for("going on", NOTICE_LIMIT, || {
+        wait_for("the changes after an outage", DETECTION_TIMEOUT, || {
             deployment.list().segments[0].until_revision >= revision
         });
     }
@@ -134,7 +136,7 @@
     service.set_kept_changes(10);
     deployment.commit_jobs(30);
     service.inject_fault(None);
-    wait_for("the gap", NOTICE_LIMIT, || {
+    wait_for("the gap", DETECTION_TIMEOUT, || {
         deployment.list().segments.len() == 2
     });
     recorder.kill();
@@ -144,27 +146,31 @@
     deployment.verify();
 }
 
-/// In any span of this length the recorder sends no more than its share, and one at its start.
-const SHARE_SPAN: Duration = Duration::from_secs(2);
+/// Time window for the request rate. Within any window of this length, the recorder may send its
+/// share of requests and one request at the start.
+const RATE_WINDOW: Duration = Duration::from_secs(2);
 
-/// The tool keeps to its share of the state service's requests.
+/// Guards against a recorder that exceeds its share of the state service's request rate.
 #[test]
-fn requests_keep_to_their_share() {
+fn request_rate_stays_within_the_share() {
     let deployment = Deployment::new("share", 8000);
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
-        scope.spawn(|| deployment.write_steadily(&stop, 3));
+        scope.spawn(|| deployment.commit_changes_until(&stop, 3));
         let ini = "[archive]\nrequest_share = 0.02\nwatch_s = 0.05\n";
         succeed(deployment.run_command(ini).args(["--max-s", "6"]));
         stop.store(true, Ordering::Relaxed);
     });
     let times = deployment.service.request_times();
     let share = PlatformSettings::REQUESTS_PER_SECOND * 0.02;
-    let most = SHARE_SPAN.as_secs_f64() * share + 1.0;
-    assert!(times.len() > 8, "{}", times.len());
+    let max_requests = RATE_WINDOW.as_secs_f64() * share + 1.0;
+    assert!(times.len() > 8, "only {} requests", times.len());
     for (n, start) in times.iter().enumerate() {
-        let is_within = |time: &&Instant| **time < *start + SHARE_SPAN;
+        let is_within = |time: &&Instant| **time < *start + RATE_WINDOW;
         let within = times[n..].iter().take_while(is_within);
-        assert!(within.count() as f64 <= most, "more than {most} in 2 s");
+        assert!(
+            within.count() as f64 <= max_requests,
+            "more than {max_requests} requests in 2 s"
+        );
     }
 }
--- a/crates/salttillerctl/tests/cli/common.rs
+++ b/crates/salttillerctl/tests/cli/common.rs
@@ -1,4 +1,4 @@
-//! Running `salttillerctl`.
+//! Helpers that run `salttillerctl` and wait for conditions.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -6,7 +6,7 @@
 
 pub(crate) const CTL: &str = env!("CARGO_BIN_EXE_salttillerctl");
 
-/// Time between two looks at a condition that is waited for.
+/// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(crate) fn ctl(args: &[&str]) -> Command {
@@ -15,7 +15,7 @@
     command
 }
 
-/// A path as an argument.
+/// Returns a path as a command-line argument.
 pub(crate) fn arg(path: &Path) -> &str {
     path.to_str().unwrap()
 }
@@ -24,7 +24,7 @@
     command.output().unwrap()
 }
 
-/// Runs a command that must succeed; its standard output.
+/// Runs a command that must succeed and returns its standard output.
 pub(crate) fn succeed(command: &mut Command) -> String {
     let done = output(command);
     let errors = String::from_utf8_lossy(&done.stderr);
@@ -36,7 +36,7 @@
     String::from_utf8(done.stdout).unwrap()
 }
 
-/// Runs a command that must fail with this exit code; its standard error.
+/// Runs a command that must fail with the given exit code and returns its standard error.
 pub(crate) fn fail(name: &str, command: &mut Command, exit_code: i32) -> String {
     let done = output(command);
     let errors = String::from_utf8_lossy(&done.stderr).into_owned();
@@ -44,10 +44,14 @@
     errors
 }
 
-pub(crate) fn wait_for(what: &str, limit: Duration, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition is true. `what` names the awaited event in the failure message.
+pub(crate) fn wait_for(what: &str, timeout: Duration, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < limit, "not within {limit:?}: {what}");
+    while !condition() {
+        assert!(
+            start.elapsed() < timeout,
+            "timed out after {timeout:?} waiting for {what}"
+        );
         std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/salttillerctl/tests/cli/deployment.rs
+++ b/crates/salttillerctl/tests/cli/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment for a test: a state service, settings, and an archive.
+//! A test deployment with a state service, settings and an archive.
 
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -13,10 +13,12 @@
 
 use crate::common::{arg, ctl, succeed, wait_for};
 
-/// Settings with which a recorder does in seconds what takes hours otherwise.
-const FAST: &str = "[archive]\nrequest_share = 0.25\nwatch_s = 0.05\nimage_every_s = 1\n";
-/// How long the first snapshot may take.
-const FIRST_SNAPSHOT_LIMIT: Duration = Duration::from_secs(20);
+/// Archive settings with short intervals, for a recorder that takes a snapshot every second
+/// instead of every hour.
+const FAST_RECORDING_INI: &str =
+    "[archive]\nrequest_share = 0.25\nwatch_s = 0.05\nimage_every_s = 1\n";
+/// Time within which the first snapshot must be complete.
+const FIRST_SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) struct Deployment {
     pub folder: TempFolder,
@@ -26,7 +28,7 @@
 }
 
 impl Deployment {
-    /// A deployment whose state service has records of so many jobs. `name` must be unique
+    /// Creates a deployment whose state service has records of `jobs` jobs. `name` must be unique
     /// among the tests.
     pub(crate) fn new(name: &str, jobs: u32) -> Self {
         let folder = TempFolder::new(name).unwrap();
@@ -44,7 +46,7 @@
         deployment
     }
 
-    /// Commits one transaction for each job.
+    /// Commits one transaction per job.
     pub(crate) fn commit_jobs(&self, jobs: u32) {
         for n in 0..jobs {
             let key = format!("st/job/req-{n}");
@@ -52,8 +54,8 @@
         }
     }
 
-    /// Commits small changes until told to stop.
-    pub(crate) fn write_steadily(&self, stop: &AtomicBool, seed: u64) {
+    /// Commits small changes at random intervals until `stop` is set.
+    pub(crate) fn commit_changes_until(&self, stop: &AtomicBool, seed: u64) {
         let mut random = fastrand::Rng::with_seed(seed);
         while !stop.load(Ordering::Relaxed) {
             let key = format!("st/job/req-{}", random.u32(0..400));
@@ -64,7 +66,7 @@
         }
     }
 
-    /// `salttillerctl archive SUBCOMMAND ARCHIVE`.
+    /// Returns the command `salttillerctl archive SUBCOMMAND ARCHIVE`.
     pub(crate) fn archive_command(&self, subcommand: &str) -> Command {
         ctl(&["archive", subcommand, arg(&self.archive)])
     }
@@ -73,7 +75,7 @@
         self.with_config(self.archive_command("snapshot"))
     }
 
-    /// `archive run` with settings of the archive.
+    /// Returns the command `archive run` with the given archive settings.
     pub(crate) fn run_command(&self, ini: &str) -> Command {
         let ini = self.folder.write("archive.ini", ini).unwrap();
         let mut command = self.with_config(self.archive_command("run"));
@@ -81,21 +83,21 @@
         command
     }
 
-    /// Adds the platform's settings to a command.
+    /// Adds the `--config` option with the platform's settings to a command.
     pub(crate) fn with_config(&self, mut command: Command) -> Command {
         command.args(["--config", arg(&self.config)]);
         command
     }
 
-    /// Starts a process that records fast.
+    /// Starts a recording process with short intervals.
     pub(crate) fn start_recording(&self) -> RecordingProcess {
-        let mut command = self.run_command(FAST);
+        let mut command = self.run_command(FAST_RECORDING_INI);
         command.stdout(Stdio::null()).stderr(Stdio::null());
         RecordingProcess(command.spawn().unwrap())
     }
 
     pub(crate) fn wait_for_snapshot(&self) {
-        wait_for("the first snapshot", FIRST_SNAPSHOT_LIMIT, || {
+        wait_for("the first snapshot", FIRST_SNAPSHOT_TIMEOUT, || {
             self.archive.exists() && !self.snapshot_revisions().is_empty()
         });
     }
@@ -127,7 +129,7 @@
         serde_json::from_str(&succeed(&mut command)).unwrap()
     }
 
-    /// Revisions of all snapshots, oldest first.
+    /// Returns the revisions of all snapshots, oldest first.
     pub(crate) fn snapshot_revisions(&self) -> Vec<u64> {
         let segments = self.list().segments.into_iter();
         let snapshots = segments.flat_map(|segment| segment.snapshots);
@@ -135,7 +137,7 @@
     }
 }
 
-/// The records of an export, as the stand-in has them.
+/// Returns the records of an export in the form of the stand-in state service.
 pub(crate) fn records_of(export: ExportDocument) -> Records {
     let records = export.records.into_iter();
     records
@@ -146,7 +148,7 @@
         .collect()
 }
 
-/// A recording process; it is killed when the test ends.
+/// A recording process, which is killed when the value is dropped.
 pub(crate) struct RecordingProcess(Child);
 
 impl RecordingProcess {
@@ -158,7 +160,7 @@
 
 impl Drop for RecordingProcess {
     fn drop(&mut self) {
-        // After a kill both fail, which is as well.
+        // Both calls may fail if the process has already been killed.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
--- a/crates/salttillerctl/tests/cli/main.rs
+++ b/crates/salttillerctl/tests/cli/main.rs
@@ -1,6 +1,6 @@
-//! `salttillerctl` as a process, against stand-ins on loopback.
+//! Tests that run `salttillerctl` as a process against a stand-in state service on loopback.
 
-// Set-up of tests outside of test functions, which clippy.toml does not cover.
+// clippy.toml permits these lints in test functions only, not in their helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::indexing_slicing)]
 
 mod archive_documents;
--- a/crates/salttillerctl/tests/cli/recover.rs
+++ b/crates/salttillerctl/tests/cli/recover.rs
@@ -1,4 +1,4 @@
-//! `salttillerctl recover`.
+//! Tests of `salttillerctl recover`.
 
 use std::process::Command;
 
@@ -8,9 +8,9 @@
 use crate::common::{ctl, fail, output, succeed};
 use crate::deployment::Deployment;
 
-const DECIDE: [&str; 6] = ["recover", "accept-loss", "--by", "yard", "--why", "a test"];
+const ACCEPT_LOSS_ARGS: [&str; 6] = ["recover", "accept-loss", "--by", "yard", "--why", "a test"];
 
-/// The record of a hold as controllers write it.
+/// Returns the record of a hold in the form that controllers write.
 fn hold() -> Value {
     json!({"incident": 7, "by": "t-1", "at": 5, "seen": "revision 0 after 308 had been seen"})
 }
@@ -28,36 +28,41 @@
     records["st/hold"].value.clone()
 }
 
+/// Guards against a decision without `--yes`, without a hold, or after another decision.
 #[test]
-fn a_decision_is_put_on_record_once() {
+fn decision_is_recorded_once() {
     let deployment = Deployment::new("recover", 0);
     let without_hold = succeed(&mut status(&deployment));
     assert!(without_hold.contains("no records are known to be lost"));
-    fail("no hold", &mut command(&deployment, &DECIDE), 20);
+    fail("no hold", &mut command(&deployment, &ACCEPT_LOSS_ARGS), 20);
     deployment.service.commit(&[("st/hold", Some(hold()))]);
     assert!(succeed(&mut status(&deployment)).contains("controllers hold"));
-    let shown = succeed(&mut command(&deployment, &DECIDE));
+    let shown = succeed(&mut command(&deployment, &ACCEPT_LOSS_ARGS));
     assert!(shown.contains("--yes does it"));
-    assert_eq!(hold_record(&deployment), hold(), "nothing was written");
-    succeed(command(&deployment, &DECIDE).arg("--yes"));
+    assert_eq!(
+        hold_record(&deployment),
+        hold(),
+        "without --yes the record must stay unchanged"
+    );
+    succeed(command(&deployment, &ACCEPT_LOSS_ARGS).arg("--yes"));
     let record = hold_record(&deployment);
     assert_eq!(record["accepted"]["by"], json!("yard"));
     assert_eq!(record["incident"], json!(7));
     let document = succeed(status(&deployment).arg("--json").env("LOG_LEVEL", "off"));
     let document: Value = serde_json::from_str(&document).unwrap();
     assert_eq!(document["held"], json!(false));
-    let mut second = command(&deployment, &DECIDE);
-    fail("a second operator", second.arg("--yes"), 20);
+    let mut second = command(&deployment, &ACCEPT_LOSS_ARGS);
+    fail("second decision", second.arg("--yes"), 20);
 }
 
 #[test]
-fn a_state_service_without_a_usable_answer_is_named() {
+fn unusable_response_of_the_state_service_has_its_exit_code() {
     let deployment = Deployment::new("recover-unusable", 0);
     let nonsense = Some(json!("nonsense"));
     deployment.service.commit(&[("st/hold", nonsense)]);
-    let odd = output(&mut status(&deployment));
-    assert_eq!(odd.status.code(), Some(18));
-    assert_eq!(String::from_utf8_lossy(&odd.stderr).lines().count(), 1);
+    let invalid = output(&mut status(&deployment));
+    assert_eq!(invalid.status.code(), Some(18));
+    assert_eq!(String::from_utf8_lossy(&invalid.stderr).lines().count(), 1);
     let fault = Some(RequestFault::Status(503));
     deployment.service.inject_fault(fault);
     let refused = output(&mut status(&deployment));
