--- a/src/simulation/days/compound_failures.rs
+++ b/src/simulation/days/compound_failures.rs
@@ -1,4 +1,4 @@
-//! Compound failures: each day is made so that one combination of faults happens.
+//! Days with compound failures. Each day injects one combination of faults.
 
 use super::{at, connection_failure, Day};
 use crate::simulation::controllers::ConnectionFailure;
@@ -6,14 +6,14 @@
 use crate::simulation::workload::Workload;
 use salttiller_records::units::{Micros, SECOND};
 
-/// All days of compound failures.
+/// Returns all days with compound failures.
 pub(crate) fn days() -> impl Iterator<Item = &'static Day> {
     let tables = [CANCELLATIONS, LEADER_CHANGES, NETWORK, CAPACITY, PIPELINES];
     tables.into_iter().flatten()
 }
 
-/// The state service refuses the leader alone; others confirm cancellations; then it is
-/// unreachable for all, for longer than `cancel_s`.
+/// Plans a state service that refuses only the leader while other controllers confirm
+/// cancellations, and then an outage of the state service that lasts longer than `cancel_s`.
 fn store_refusal_then_outage(rng: &mut fastrand::Rng, machine_pause: Micros) -> Vec<PlannedFault> {
     let start = 30.0 + rng.f64() * 20.0;
     let outage_after = 0.5 + rng.f64() * 9.5;
@@ -27,16 +27,16 @@
     ]
 }
 
-/// Cancellations that meet refusals, outages and ends.
+/// Cancellations during refusals and outages of the state service, and as jobs complete.
 const CANCELLATIONS: &[Day] = &[
     Day {
         name: "the gap",
         faults: |rng| store_refusal_then_outage(rng, 0),
         workload: Workload::Mixed,
-        occurred: |seen| {
-            seen.cancels_confirmed_in_refusal > 0
-                && seen.running_tasks_cancelled > 0
-                && seen.heartbeats_accepted_without_store > 0
+        occurred: |observations| {
+            observations.cancels_confirmed_in_refusal > 0
+                && observations.running_tasks_cancelled > 0
+                && observations.heartbeats_accepted_without_store > 0
         },
     },
     Day {
@@ -46,14 +46,18 @@
             store_refusal_then_outage(rng, machine_pause)
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.cancels_confirmed_in_refusal > 0 && seen.running_tasks_cancelled > 0,
+        occurred: |observations| {
+            observations.cancels_confirmed_in_refusal > 0
+                && observations.running_tasks_cancelled > 0
+        },
     },
     Day {
         name: "a cancellation meets the end",
         faults: |_| vec![at(5.0, Fault::CancelOnCompletion(150 * SECOND))],
         workload: Workload::Mixed,
-        occurred: |seen| {
-            seen.late_cancels_answered_done > 0 && seen.late_cancels_answered_cancelled > 0
+        occurred: |observations| {
+            observations.late_cancels_answered_done > 0
+                && observations.late_cancels_answered_cancelled > 0
         },
     },
     Day {
@@ -65,11 +69,15 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.late_cancels_answered_done + seen.late_cancels_answered_cancelled > 0,
+        occurred: |observations| {
+            observations.late_cancels_answered_done + observations.late_cancels_answered_cancelled
+                > 0
+        },
     },
 ];
 
-/// Changes of leader and owner while machines or controllers are away.
+/// Changes of the leader and of region owners while machines or controllers are unreachable or
+/// down.
 const LEADER_CHANGES: &[Day] = &[
     Day {
         name: "machines reach no controller while the leader changes",
@@ -82,7 +90,9 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.leader_elections > 1 && seen.leases_expired_with_tasks > 0,
+        occurred: |observations| {
+            observations.leader_elections > 1 && observations.leases_expired_with_tasks > 0
+        },
     },
     Day {
         name: "all controllers are away for longer than a lease",
@@ -96,7 +106,9 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.leases_expired_with_tasks > 0 && seen.region_acquisitions >= 6,
+        occurred: |observations| {
+            observations.leases_expired_with_tasks > 0 && observations.region_acquisitions >= 6
+        },
     },
     Day {
         name: "the leader is cut off with its workers, jobs are cancelled elsewhere",
@@ -116,7 +128,7 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.running_tasks_cancelled > 0,
+        occurred: |observations| observations.running_tasks_cancelled > 0,
     },
     Day {
         name: "transactions are carried out late, after newer ones",
@@ -132,7 +144,7 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.delayed_commits > 10,
+        occurred: |observations| observations.delayed_commits > 10,
     },
     Day {
         name: "ten leaders in two minutes, also inside an outage",
@@ -150,7 +162,7 @@
             faults
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.leader_elections >= 8,
+        occurred: |observations| observations.leader_elections >= 8,
     },
     Day {
         name: "the leader ends while machines are cut off or deaf",
@@ -166,11 +178,13 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.leader_elections > 1 && seen.region_acquisitions > 3,
+        occurred: |observations| {
+            observations.leader_elections > 1 && observations.region_acquisitions > 3
+        },
     },
 ];
 
-/// A slow state service, late messages, partitioned zones.
+/// A slow state service, delayed messages and partitioned zones.
 const NETWORK: &[Day] = &[
     Day {
         name: "the state service is slow, refuses the leader, and is out",
@@ -184,8 +198,9 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| {
-            seen.running_tasks_cancelled > 0 && seen.heartbeats_accepted_without_store > 0
+        occurred: |observations| {
+            observations.running_tasks_cancelled > 0
+                && observations.heartbeats_accepted_without_store > 0
         },
     },
     Day {
@@ -203,7 +218,7 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.region_acquisitions > 3,
+        occurred: |observations| observations.region_acquisitions > 3,
     },
     Day {
         name: "answers are held up for seconds while jobs are cancelled",
@@ -218,7 +233,9 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.late_responses > 10 && seen.running_tasks_cancelled > 0,
+        occurred: |observations| {
+            observations.late_responses > 10 && observations.running_tasks_cancelled > 0
+        },
     },
     Day {
         name: "a zone with workers and a controller is cut off for longer than a lease",
@@ -233,11 +250,13 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.running_tasks_cancelled > 0 && seen.leases_expired_with_tasks > 0,
+        occurred: |observations| {
+            observations.running_tasks_cancelled > 0 && observations.leases_expired_with_tasks > 0
+        },
     },
 ];
 
-/// Teams at their limits, jobs of uneven tasks, more work than capacity.
+/// Teams at their quota limits, jobs with tasks of uneven length, and more work than capacity.
 const CAPACITY: &[Day] = &[
     Day {
         name: "a team at its limit, a new leader, machines that can't be asked",
@@ -253,10 +272,10 @@
             faults
         },
         workload: Workload::Overload,
-        occurred: |seen| {
-            seen.peak_quota_use > 0.99
-                && seen.region_acquisitions > 3
-                && seen.running_tasks_cancelled > 0
+        occurred: |observations| {
+            observations.peak_quota_use > 0.99
+                && observations.region_acquisitions > 3
+                && observations.running_tasks_cancelled > 0
         },
     },
     Day {
@@ -278,7 +297,9 @@
             faults
         },
         workload: Workload::UnevenTasks,
-        occurred: |seen| seen.results_across_elections > 2 && seen.leader_elections > 3,
+        occurred: |observations| {
+            observations.results_across_elections > 2 && observations.leader_elections > 3
+        },
     },
     Day {
         name: "more work than room, urgent and not",
@@ -292,7 +313,7 @@
             ]
         },
         workload: Workload::Overload,
-        occurred: |seen| seen.capacity_shortages > 5,
+        occurred: |observations| observations.capacity_shortages > 5,
     },
     Day {
         name: "controllers hand over and back, all end, and one returns within a second",
@@ -312,17 +333,19 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.region_acquisitions > 5,
+        occurred: |observations| observations.region_acquisitions > 5,
     },
 ];
 
-/// Jobs that need others, and gangs that lose machines.
+/// Jobs with dependencies, and gangs that lose machines.
 const PIPELINES: &[Day] = &[
     Day {
         name: "pipelines on a quiet day",
         faults: |_| Vec::new(),
         workload: Workload::Pipelines,
-        occurred: |seen| seen.dependent_starts > 10 && seen.cascaded_cancellations > 0,
+        occurred: |observations| {
+            observations.dependent_starts > 10 && observations.cascaded_cancellations > 0
+        },
     },
     Day {
         name: "pipelines: ends and cancellations across new leaders",
@@ -343,20 +366,20 @@
             faults
         },
         workload: Workload::Pipelines,
-        occurred: |seen| {
-            seen.dependent_starts > 5
-                && seen.cascaded_cancellations > 0
-                && seen.leader_elections > 3
+        occurred: |observations| {
+            observations.dependent_starts > 5
+                && observations.cascaded_cancellations > 0
+                && observations.leader_elections > 3
         },
     },
     Day {
         name: "pipelines: the gap, and an outage",
         faults: |rng| store_refusal_then_outage(rng, 0),
         workload: Workload::Pipelines,
-        occurred: |seen| {
-            seen.dependent_starts > 5
-                && seen.cascaded_cancellations > 0
-                && seen.heartbeats_accepted_without_store > 0
+        occurred: |observations| {
+            observations.dependent_starts > 5
+                && observations.cascaded_cancellations > 0
+                && observations.heartbeats_accepted_without_store > 0
         },
     },
     Day {
@@ -372,13 +395,15 @@
                     95.0 + rng.f64() * 20.0,
                     Fault::AllControllersDown(20 * SECOND),
                 ),
-                // In the middle of the takeovers.
+                // During the takeovers.
                 at(116.0, Fault::LowerStoreLimits),
                 at(40.0, Fault::DuplicateHeartbeats(80 * SECOND)),
             ]
         },
         workload: Workload::Pipelines,
-        occurred: |seen| seen.dependent_starts > 5 && seen.delayed_commits > 5,
+        occurred: |observations| {
+            observations.dependent_starts > 5 && observations.delayed_commits > 5
+        },
     },
     Day {
         name: "gangs and arrays lose machines",
@@ -392,6 +417,6 @@
             faults
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.leader_elections > 1,
+        occurred: |observations| observations.leader_elections > 1,
     },
 ];
--- a/src/simulation/days/partial_failures.rs
+++ b/src/simulation/days/partial_failures.rs
@@ -1,19 +1,19 @@
-//! Partial failures: controllers that are paused or lose a part of the network, machines that
-//! come up late or never, jobs that fail wherever they run.
+//! Days with partial failures: paused controllers, partial network partitions, machines that boot
+//! late or never, and jobs that fail on every machine.
 
 use super::{at, Day};
 use crate::simulation::faults::Fault;
 use crate::simulation::workload::Workload;
 use salttiller_records::units::SECOND;
 
-/// All days of partial failures.
+/// Returns all days with partial failures.
 pub(crate) fn days() -> impl Iterator<Item = &'static Day> {
     [PARTITIONS, PAUSES, PROVISIONING_AND_JOBS]
         .into_iter()
         .flatten()
 }
 
-/// A controller is partitioned from some of its surroundings.
+/// A controller is partitioned from workers, peers, users or the state service, but not from all.
 const PARTITIONS: &[Day] = &[
     Day {
         name: "a controller is cut off from its workers alone",
@@ -25,7 +25,7 @@
             )]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.regions_released > 0,
+        occurred: |observations| observations.regions_released > 0,
     },
     Day {
         name: "cut off from workers alone, and the state service goes out in the release",
@@ -42,7 +42,9 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.regions_released > 0 && seen.heartbeats_accepted_without_store > 0,
+        occurred: |observations| {
+            observations.regions_released > 0 && observations.heartbeats_accepted_without_store > 0
+        },
     },
     Day {
         name: "one controller after the other is cut off from workers",
@@ -59,7 +61,7 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.regions_released > 1,
+        occurred: |observations| observations.regions_released > 1,
     },
     Day {
         name: "partial cuts in pairs",
@@ -83,11 +85,11 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.running_tasks_cancelled > 0,
+        occurred: |observations| observations.running_tasks_cancelled > 0,
     },
 ];
 
-/// Controllers are paused.
+/// Paused controllers.
 const PAUSES: &[Day] = &[
     Day {
         name: "controllers stand still for one to forty seconds",
@@ -105,10 +107,10 @@
             faults
         },
         workload: Workload::Mixed,
-        occurred: |seen| {
-            seen.events_delayed_by_pause > 100
-                && seen.leader_elections > 1
-                && seen.running_tasks_cancelled > 0
+        occurred: |observations| {
+            observations.events_delayed_by_pause > 100
+                && observations.leader_elections > 1
+                && observations.running_tasks_cancelled > 0
         },
     },
     Day {
@@ -124,11 +126,13 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.events_delayed_by_pause > 50 && seen.leader_elections > 1,
+        occurred: |observations| {
+            observations.events_delayed_by_pause > 50 && observations.leader_elections > 1
+        },
     },
 ];
 
-/// Bursts of queries, machines and jobs that fail.
+/// Bursts of status queries, degraded provisioning, and failing machines and jobs.
 const PROVISIONING_AND_JOBS: &[Day] = &[
     Day {
         name: "questions thirty times as often, also in a takeover",
@@ -143,7 +147,9 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.burst_queries > 500 && seen.region_acquisitions > 3,
+        occurred: |observations| {
+            observations.burst_queries > 500 && observations.region_acquisitions > 3
+        },
     },
     Day {
         name: "machines come up late or never, and the leader ends",
@@ -155,7 +161,9 @@
             ]
         },
         workload: Workload::Mixed,
-        occurred: |seen| seen.impaired_boots > 3 && seen.leader_elections > 1,
+        occurred: |observations| {
+            observations.impaired_boots > 3 && observations.leader_elections > 1
+        },
     },
     Day {
         name: "jobs fail wherever they run, teams at their limits, an owner ends",
@@ -170,6 +178,8 @@
             ]
         },
         workload: Workload::FailingJobs,
-        occurred: |seen| seen.task_failures > 10 && seen.region_acquisitions > 3,
+        occurred: |observations| {
+            observations.task_failures > 10 && observations.region_acquisitions > 3
+        },
     },
 ];
--- a/src/simulation/days/record_losses.rs
+++ b/src/simulation/days/record_losses.rs
@@ -1,28 +1,28 @@
-//! Days on which the state service loses records while workers run.
+//! Days on which the state service loses records while workers run tasks.
 
 use super::Plan;
 use crate::simulation::faults::{Fault, PlannedFault, RecordLoss};
 use crate::simulation::CONTROLLERS;
 use salttiller_records::units::{Micros, SECOND};
 
-/// When the records are backed up.
+/// Time at which the state service's records are backed up.
 pub(crate) const BACKUP_AT: Micros = 75 * SECOND;
-/// When they are lost.
+/// Time at which records are lost.
 pub(crate) const LOSS_AT: Micros = 90 * SECOND;
 
-/// Mixed into a seed for the draws of a day's faults.
+/// Combined with the day's seed by XOR to seed the draws of the day's faults.
 const FAULTS_SEED: u64 = 0x105e;
 
-/// A day on which records are lost at [`LOSS_AT`].
+/// A day on which the state service loses records at [`LOSS_AT`].
 pub(crate) struct LossDay {
     pub name: &'static str,
     pub loss: RecordLoss,
-    /// Draws the other faults.
+    /// Draws the faults other than the loss.
     faults: fn(&mut fastrand::Rng) -> Vec<PlannedFault>,
 }
 
 impl LossDay {
-    /// The day of one seed.
+    /// Draws the plan of this day for one seed.
     pub(crate) fn plan(&self, seed: u64) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed ^ FAULTS_SEED);
         let mut faults = vec![
@@ -30,7 +30,7 @@
                 at: BACKUP_AT,
                 fault: Fault::BackUpStore,
             },
-            from_loss(0.0, Fault::LoseRecords(self.loss)),
+            relative_to_loss(0.0, Fault::LoseRecords(self.loss)),
         ];
         faults.extend((self.faults)(&mut rng));
         Plan {
@@ -41,20 +41,22 @@
         }
     }
 
-    /// Whether no controller remembers what was lost before the loss can be noticed.
-    pub(crate) fn forgets_everything(&self) -> bool {
+    /// Whether all controllers restart before any of them can detect the loss, so that none
+    /// remembers the lost records.
+    pub(crate) fn restarts_all_controllers_at_loss(&self) -> bool {
         self.name.contains("all restart")
     }
 
-    /// Whether cancellations since the backup are known to nobody any more: neither on record
-    /// nor to a controller that was there. They can't be kept, see docs/recovery.md.
-    pub(crate) fn forgets_cancellations(&self) -> bool {
-        self.forgets_everything() || self.name.contains("all end later")
+    /// Whether the cancellations confirmed since the backup are lost for good, because neither the
+    /// records nor any running controller has them. Such cancellations cannot be preserved, see
+    /// docs/recovery.md.
+    pub(crate) fn loses_cancellations(&self) -> bool {
+        self.restarts_all_controllers_at_loss() || self.name.contains("all end later")
     }
 }
 
-/// Plans a fault at a time in seconds before or after the loss.
-fn from_loss(seconds: f64, fault: Fault) -> PlannedFault {
+/// Plans a fault `seconds` after the loss, or before it if `seconds` is negative.
+fn relative_to_loss(seconds: f64, fault: Fault) -> PlannedFault {
     PlannedFault {
         at: (LOSS_AT as f64 + seconds * SECOND as f64) as Micros,
         fault,
@@ -67,35 +69,35 @@
 
 fn all_restart(rng: &mut fastrand::Rng) -> Vec<PlannedFault> {
     let seconds = rng.f64() * 0.2 - 0.1;
-    vec![from_loss(seconds, Fault::AllControllersDown(SECOND))]
+    vec![relative_to_loss(seconds, Fault::AllControllersDown(SECOND))]
 }
 
 fn one_restarts(rng: &mut fastrand::Rng) -> Vec<PlannedFault> {
     let seconds = rng.f64() * 4.0 - 2.0;
     let index = rng.usize(0..CONTROLLERS);
-    vec![from_loss(seconds, Fault::RestartController(index))]
+    vec![relative_to_loss(seconds, Fault::RestartController(index))]
 }
 
-/// All days of lost records.
+/// Returns all days with a loss of records.
 pub(crate) fn days() -> impl Iterator<Item = &'static LossDay> {
-    [AT_THE_LOSS, AFTER_THE_LOSS, BESIDE_THE_LOSS]
+    [RESTARTS_AT_LOSS, FAULTS_AFTER_LOSS, FAULTS_NEAR_LOSS]
         .into_iter()
         .flatten()
 }
 
-/// The days on which the records are set back to the backup.
-pub(crate) fn set_back_days() -> impl Iterator<Item = &'static LossDay> {
+/// Returns the days on which the records are restored from the backup.
+pub(crate) fn backup_restore_days() -> impl Iterator<Item = &'static LossDay> {
     days().filter(|day| day.loss == RecordLoss::SinceBackup)
 }
 
-/// The day of that name.
+/// Returns the day with this name.
 pub(crate) fn named(name: &str) -> &'static LossDay {
     let found = days().find(|day| day.name == name);
     found.unwrap_or_else(|| panic!("no day is named {name}"))
 }
 
-/// No other fault, or controllers that restart at the same moment.
-const AT_THE_LOSS: &[LossDay] = &[
+/// Losses without other faults, or with controllers that restart at the time of the loss.
+const RESTARTS_AT_LOSS: &[LossDay] = &[
     LossDay {
         name: "wiped",
         loss: RecordLoss::All,
@@ -143,12 +145,17 @@
     },
 ];
 
-/// Controllers restart later, or records are lost once more.
-const AFTER_THE_LOSS: &[LossDay] = &[
+/// Losses during an outage, before later restarts of controllers, or before a second loss.
+const FAULTS_AFTER_LOSS: &[LossDay] = &[
     LossDay {
         name: "wiped, the leader ends later",
         loss: RecordLoss::All,
-        faults: |rng| vec![from_loss(5.0 + rng.f64() * 20.0, Fault::RestartLeader)],
+        faults: |rng| {
+            vec![relative_to_loss(
+                5.0 + rng.f64() * 20.0,
+                Fault::RestartLeader,
+            )]
+        },
     },
     LossDay {
         name: "wiped, all end later",
@@ -156,7 +163,10 @@
         faults: |rng| {
             let seconds = 5.0 + rng.f64() * 20.0;
             let duration = rng.u64(1..5) * SECOND;
-            vec![from_loss(seconds, Fault::AllControllersDown(duration))]
+            vec![relative_to_loss(
+                seconds,
+                Fault::AllControllersDown(duration),
+            )]
         },
     },
     LossDay {
@@ -164,7 +174,7 @@
         loss: RecordLoss::All,
         faults: |rng| {
             let duration = rng.u64(2..10) * SECOND;
-            vec![from_loss(-1.0, Fault::StoreOutage(duration))]
+            vec![relative_to_loss(-1.0, Fault::StoreOutage(duration))]
         },
     },
     LossDay {
@@ -172,13 +182,13 @@
         loss: RecordLoss::All,
         faults: |rng| {
             let again = Fault::LoseRecords(RecordLoss::All);
-            vec![from_loss(rng.f64() * 30.0, again)]
+            vec![relative_to_loss(rng.f64() * 30.0, again)]
         },
     },
 ];
 
-/// Faults of machines, of the network and of users near the loss.
-const BESIDE_THE_LOSS: &[LossDay] = &[
+/// Losses close to machine faults, network faults or users' cancellations.
+const FAULTS_NEAR_LOSS: &[LossDay] = &[
     LossDay {
         name: "wiped, machines hang and die",
         loss: RecordLoss::All,
@@ -186,20 +196,25 @@
             let paused_at = rng.f64() * 5.0;
             let pause = Fault::PauseMachine(rng.u64(5..40) * SECOND);
             vec![
-                from_loss(paused_at, pause),
-                from_loss(rng.f64() * 20.0, Fault::FailMachine),
+                relative_to_loss(paused_at, pause),
+                relative_to_loss(rng.f64() * 20.0, Fault::FailMachine),
             ]
         },
     },
     LossDay {
         name: "wiped, old reports come",
         loss: RecordLoss::All,
-        faults: |_| vec![from_loss(-20.0, Fault::DuplicateHeartbeats(60 * SECOND))],
+        faults: |_| {
+            vec![relative_to_loss(
+                -20.0,
+                Fault::DuplicateHeartbeats(60 * SECOND),
+            )]
+        },
     },
     LossDay {
         name: "wiped right after cancellations",
         loss: RecordLoss::All,
-        faults: |_| vec![from_loss(-1.5, Fault::cancel_running(4))],
+        faults: |_| vec![relative_to_loss(-1.5, Fault::cancel_running(4))],
     },
     LossDay {
         name: "wiped, workers cut off from one for a while",
@@ -208,7 +223,7 @@
             let seconds = rng.f64() * 10.0;
             let index = rng.usize(0..CONTROLLERS);
             let partition = Fault::PartitionFromWorkers(index, 9 * SECOND);
-            vec![from_loss(seconds, partition)]
+            vec![relative_to_loss(seconds, partition)]
         },
     },
 ];
--- a/src/simulation/days/seeded.rs
+++ b/src/simulation/days/seeded.rs
@@ -1,4 +1,4 @@
-//! Days whose faults are all drawn from their seed.
+//! Days whose faults are all drawn from the seed.
 
 use super::Plan;
 use crate::simulation::controllers::ConnectionFailure;
@@ -8,10 +8,10 @@
 
 use super::connection_failure;
 
-/// Mixed into the seed for the draws of [`with_more_faults`].
+/// Combined with the seed by XOR to seed the draws of [`with_more_faults`].
 const MORE_FAULTS_SEED: u64 = 0x5eed;
 
-/// A day with crashes, outages, partitions and machines that fail or are paused.
+/// Returns a day with crashed controllers, outages, partitions, and failed or paused machines.
 pub(crate) fn with_faults(seed: u64) -> Plan {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut faults = Vec::new();
@@ -43,8 +43,8 @@
     }
 }
 
-/// The same day with lost and duplicated messages, reboots, isolated controllers and quick
-/// restarts on top.
+/// Returns the day of [`with_faults`] with additional faults: lost and duplicated messages,
+/// machine reboots, isolated controllers and fast controller restarts.
 pub(crate) fn with_more_faults(seed: u64) -> Plan {
     let mut plan = with_faults(seed);
     let mut rng = fastrand::Rng::with_seed(seed ^ MORE_FAULTS_SEED);
@@ -62,7 +62,7 @@
         };
         plan.faults.push(PlannedFault { at, fault });
         let is_restart = matches!(fault, Fault::RestartController(_) | Fault::RestartLeader);
-        // Twice in a row, the second time in the middle of the election.
+        // Restarts a second time during the election that the first restart causes.
         if is_restart && rng.bool() {
             let at = at + rng.u64(300..2500) * MILLISECOND;
             plan.faults.push(PlannedFault { at, fault });
@@ -71,7 +71,8 @@
     plan
 }
 
-/// The same day, with duplicates of heartbeats and an isolated controller for a long time.
+/// Returns the day of [`with_more_faults`] with two additional long faults: 100 s of duplicated
+/// heartbeats and a controller that is isolated for 60 s.
 pub(crate) fn with_long_isolation(seed: u64) -> Plan {
     let mut plan = with_more_faults(seed);
     let isolation = Fault::IsolateController(0, 60 * SECOND, ConnectionFailure::Reset);
--- a/src/simulation/tests/failures.rs
+++ b/src/simulation/tests/failures.rs
@@ -1,4 +1,5 @@
-//! The days of both tables of failures keep the rules, and need the safeguards to do so.
+//! Tests of the days with compound and partial failures: the rules hold with all safeguards, and
+//! are violated when a safeguard is disabled.
 
 use crate::fault_injection::Safeguard;
 use crate::simulation::days::{self, Day};
@@ -6,61 +7,73 @@
 use crate::simulation::runner::{environment_number, play, play_without, seeds};
 use crate::simulation::world::World;
 
-/// Seeds of each day, at least.
-const SEEDS_EACH: usize = 8;
+/// Minimum number of seeds of each day.
+const MIN_SEEDS_PER_DAY: usize = 8;
 
 const TEAM_AT_ITS_LIMIT: &str = "a team at its limit, a new leader, machines that can't be asked";
 
-/// What went wrong on a day of which all work must end without a violation.
-fn failure(day: &Day, seed: u64, world: &World) -> Option<String> {
+/// Describes the failure of a day, if any: a violation of a rule, an unfinished job, a start after
+/// a confirmed cancellation, or an oversized transaction.
+fn describe_failure(day: &Day, seed: u64, world: &World) -> Option<String> {
     let unfinished = world.unfinished_jobs();
     let late_starts = world.observations.starts_after_cancel;
-    let too_large = world.observations.oversized_transactions > 0;
+    let oversized = world.observations.oversized_transactions > 0;
     let finished = world.violations.is_empty() && unfinished.is_empty();
-    if finished && late_starts == 0 && !too_large {
+    if finished && late_starts == 0 && !oversized {
         return None;
     }
     for (key, record) in world.store.records() {
-        log::info!("left on record: {key} {} {}", record.version, record.value);
+        log::info!(
+            "remaining record: {key} {} {}",
+            record.version,
+            record.value
+        );
     }
     Some(format!(
-        "{}, seed {seed}: {:?}, unfinished {unfinished:?}, {late_starts} starts after a cancel, too large {too_large}",
+        "{}, seed {seed}: violations {:?}, unfinished jobs {unfinished:?}, \
+         {late_starts} starts after a cancellation, oversized transactions: {oversized}",
         day.name, world.violations
     ))
 }
 
-/// Every failure occurs on some of the seeds, and whenever it does the rules hold and all work
-/// ends. `SALTTILLER_SCENARIO` plays the days whose name contains it, `SALTTILLER_SEED` one seed.
+/// Guards against combinations of faults that violate a rule or leave jobs unfinished. Every day of
+/// the tables is played on several seeds, and its faults must have their intended effect on at
+/// least one of them. `SALTTILLER_SCENARIO` selects the days whose names contain its value,
+/// `SALTTILLER_SEED` selects one seed.
 #[test]
 fn days_of_failures_keep_the_rules() {
-    let only = std::env::var("SALTTILLER_SCENARIO").unwrap_or_default();
-    let one_seed = environment_number("SALTTILLER_SEED");
-    let each = SEEDS_EACH.max(*seeds().end() as usize / 4);
-    let mut failed = Vec::new();
-    for day in days::all().filter(|day| day.name.contains(&only)) {
+    let name_filter = std::env::var("SALTTILLER_SCENARIO").unwrap_or_default();
+    let selected_seed = environment_number("SALTTILLER_SEED");
+    let seeds_per_day = MIN_SEEDS_PER_DAY.max(*seeds().end() as usize / 4);
+    let mut failures = Vec::new();
+    for day in days::all().filter(|day| day.name.contains(&name_filter)) {
         let mut occurred = false;
-        let seeds: Vec<u64> = match one_seed {
+        let seeds: Vec<u64> = match selected_seed {
             Some(seed) => vec![seed],
-            None => seeds().take(each).collect(),
+            None => seeds().take(seeds_per_day).collect(),
         };
         for seed in seeds {
             let world = play(&day.plan(seed));
             occurred |= (day.occurred)(&world.observations);
-            failed.extend(failure(day, seed, &world));
+            failures.extend(describe_failure(day, seed, &world));
         }
-        if !occurred && one_seed.is_none() {
-            failed.push(format!("{}: didn't occur on any seed", day.name));
+        if !occurred && selected_seed.is_none() {
+            failures.push(format!(
+                "{}: the intended effect occurred on no seed",
+                day.name
+            ));
         }
     }
-    assert!(failed.is_empty(), "{failed:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// Seeds of "a team at its limit" on which jobs once waited for a gang that lacked its share
-/// (21, 39), or do without [`Safeguard::ShareHoldLimit`]. Since regions that their workers don't
-/// reach are released, machines that can't be asked are rarely in the way for so long.
-const SEEDS_OF_A_GANG_SHORT_OF_ITS_SHARE: [u64; 5] = [21, 39, 358, 371, 382];
+/// Seeds of [`TEAM_AT_ITS_LIMIT`] on which jobs waited for a gang that lacked its quota share: on
+/// 21 and 39 with an earlier version, on the others without [`Safeguard::ShareHoldLimit`]. Such
+/// seeds are rare because an owner that its workers cannot reach releases its region, so
+/// unreachable machines seldom block quota for that long.
+const SEEDS_WITH_GANG_SHORT_OF_QUOTA: [u64; 5] = [21, 39, 358, 371, 382];
 
-/// Days that violate a rule without a safeguard.
+/// Days that violate a rule while the safeguard is disabled.
 const SAFEGUARDS_OF_DAYS: [(&str, Safeguard); 19] = [
     ("the gap", Safeguard::AuthorityDeadline),
     (
@@ -125,43 +138,61 @@
     ),
 ];
 
-/// Whether a day goes wrong on some seed without a safeguard.
-fn is_noticed(name: &str, safeguard: Safeguard, is_wrong: fn(&World) -> bool) -> bool {
+/// Whether a day fails on at least one seed while the safeguard is disabled.
+fn fails_without(name: &str, safeguard: Safeguard, has_failed: fn(&World) -> bool) -> bool {
     let day = days::named(name);
-    let mut seeds = (1..=60).chain(SEEDS_OF_A_GANG_SHORT_OF_ITS_SHARE);
-    seeds.any(|seed| is_wrong(&play_without(safeguard, &day.plan(seed))))
+    let mut seeds = (1..=60).chain(SEEDS_WITH_GANG_SHORT_OF_QUOTA);
+    seeds.any(|seed| has_failed(&play_without(safeguard, &day.plan(seed))))
 }
 
-/// The safeguards against a compound failure are needed: without them its day goes wrong.
+/// Guards against a safeguard that has no effect or that no test covers. Each safeguard is disabled
+/// on the day that needs it, and the violation must be detected on at least one seed.
 #[test]
-fn without_its_safeguard_a_compound_failure_violates_a_rule() {
-    let late_start = |world: &World| world.observations.starts_after_cancel > 0;
-    let noticed = is_noticed("the gap", Safeguard::StartDeadline, late_start);
-    assert!(noticed, "the gap: no start deadline isn't noticed");
+fn disabled_compound_failure_safeguards_are_detected() {
+    let has_late_start = |world: &World| world.observations.starts_after_cancel > 0;
+    let detected = fails_without("the gap", Safeguard::StartDeadline, has_late_start);
+    assert!(
+        detected,
+        "the gap: expected a late start with StartDeadline disabled"
+    );
     for (name, safeguard) in SAFEGUARDS_OF_DAYS {
-        let violation = |world: &World| !world.violations.is_empty();
-        let noticed = is_noticed(name, safeguard, violation);
-        assert!(noticed, "{name}: {safeguard:?} disabled isn't noticed");
+        let has_violation = |world: &World| !world.violations.is_empty();
+        let detected = fails_without(name, safeguard, has_violation);
+        assert!(
+            detected,
+            "{name}: expected a violation with {safeguard:?} disabled"
+        );
     }
     let quiet = days::named("pipelines on a quiet day");
     for seed in 1..=4 {
         let world = play_without(Safeguard::DependencyCheck, &quiet.plan(seed));
-        assert!(world.has_violated(Rule::TooEarly), "seed {seed}");
+        assert!(
+            world.has_violated(Rule::TooEarly),
+            "seed {seed}: expected a task to start before its dependencies were done"
+        );
     }
-    assert!((1..=30).any(|seed| {
+    let orphaned = (1..=30).any(|seed| {
         let world = play_without(Safeguard::UpstreamCancellation, &quiet.plan(seed));
         world.has_violated(Rule::Orphaned)
-    }));
+    });
+    assert!(
+        orphaned,
+        "expected a dependent that is not cancelled with its dependency"
+    );
 }
 
-/// Days on which a job once waited for 90 s beside free machines, because a gang of its
-/// team gathered the team's share from another region.
+/// Guards against starvation by a gang that waits for its quota share: a job waited for 90 s
+/// although machines were free, because a gang of the same team was collecting the team's share
+/// from another region.
 #[test]
-fn no_job_waits_long_for_a_gang_that_lacks_its_share() {
+fn gang_short_of_quota_does_not_starve_other_jobs() {
     let day = days::named(TEAM_AT_ITS_LIMIT);
-    for seed in SEEDS_OF_A_GANG_SHORT_OF_ITS_SHARE {
+    for seed in SEEDS_WITH_GANG_SHORT_OF_QUOTA {
         let world = play(&day.plan(seed));
         let violations = &world.violations;
-        assert!(violations.is_empty(), "seed {seed}: {violations:?}");
+        assert!(
+            violations.is_empty(),
+            "seed {seed}: expected no violations, got {violations:?}"
+        );
     }
 }
--- a/src/simulation/tests/lost_records.rs
+++ b/src/simulation/tests/lost_records.rs
@@ -1,5 +1,5 @@
-//! The state service loses records while workers run: controllers notice, hold, and leave
-//! running work alone until operators decide.
+//! Tests of the loss of records by the state service while workers run tasks: controllers detect
+//! the loss, begin a data-loss hold, and keep running tasks until operators decide.
 
 use crate::controller::Controller;
 use crate::fault_injection::{with_disabled, Safeguard};
@@ -15,22 +15,22 @@
 use salttiller_records::units::{Micros, SECOND};
 use serde_json::{json, Value};
 
-/// By then every controller must hold.
-const NOTICED_WITHIN: Micros = 15 * SECOND;
-/// How long a loss is observed.
+/// Time after the loss by which every controller must have begun the hold.
+const DETECTION_DEADLINE: Micros = 15 * SECOND;
+/// Time until which a day with a loss is observed.
 const OBSERVED_UNTIL: Micros = LOSS_AT + 100 * SECOND;
 
-/// Seeds of each day, at least.
-const SEEDS_EACH: u64 = 6;
+/// Minimum number of seeds of each day.
+const MIN_SEEDS_PER_DAY: u64 = 6;
 
-/// The record of a hold.
-const HOLD: &str = "st/hold";
+/// Key of the record of a data-loss hold.
+const HOLD_KEY: &str = "st/hold";
 
-fn seeds_each() -> u64 {
-    SEEDS_EACH.max(seeds().end() / 7)
+fn seeds_per_day() -> u64 {
+    MIN_SEEDS_PER_DAY.max(seeds().end() / 7)
 }
 
-/// A world in which controllers look for lost records.
+/// Returns a world whose controllers detect lost records.
 fn detecting_world(plan: &Plan) -> World {
     log_if_requested();
     fastrand::seed(plan.seed);
@@ -42,8 +42,8 @@
 }
 
 impl World {
-    /// Whether a worker's report contradicts the records as they are. Once no controller
-    /// remembers more, nothing else can show a loss.
+    /// Whether a worker's heartbeat contradicts the current records. After all controllers have
+    /// restarted, nothing else is evidence of a loss.
     fn has_evidence(&self) -> bool {
         let token = self.store.value("st/token");
         let token = token.and_then(Value::as_u64).unwrap_or(0);
@@ -55,7 +55,7 @@
             .any(|(_, w)| w.token > token || w.tasks.keys().any(is_unknown))
     }
 
-    /// How many controllers hold.
+    /// Number of controllers with an active hold.
     fn holding_controllers(&self) -> usize {
         let processes = self.controllers.iter().filter_map(|c| c.process());
         processes.filter(|p| Controller::is_hold_active(p)).count()
@@ -65,16 +65,17 @@
         self.holding_controllers() == CONTROLLERS
     }
 
-    /// Machines and the tasks on them that users have not cancelled.
-    fn wanted_on_machines(&self) -> Vec<(String, String)> {
+    /// Returns the tasks on live machines whose cancellation no user has requested, as pairs of
+    /// machine and task.
+    fn uncancelled_tasks_on_machines(&self) -> Vec<(String, String)> {
         let live = self.live_workers();
         let tasks = live.flat_map(|(m, w)| w.tasks.keys().map(move |t| (m.clone(), t.clone())));
-        let is_wanted = |task: &str| !self.users.jobs[task_id(task).0].cancel_requested;
-        tasks.filter(|(_, task)| is_wanted(task)).collect()
+        let is_uncancelled = |task: &str| !self.users.jobs[task_id(task).0].cancel_requested;
+        tasks.filter(|(_, task)| is_uncancelled(task)).collect()
     }
 
-    /// Those of the tasks that are no longer on their machine, though they have no result.
-    fn missing_of(&self, tasks: &[(String, String)]) -> Vec<String> {
+    /// Returns those of `tasks` that are no longer on their machine although they have no result.
+    fn missing_tasks(&self, tasks: &[(String, String)]) -> Vec<String> {
         let is_missing = |machine: &str, task: &str| {
             let worker = self.workers.get(machine);
             let on_machine = worker.is_some_and(|w| w.tasks.contains_key(task));
@@ -88,57 +89,57 @@
             .collect()
     }
 
-    /// Puts a value on record under the condition that nobody else has changed it.
-    fn commit_hold(&mut self, hold: &Value) {
-        let version = self.store.version(HOLD);
-        let commit = json!({"when": [{"k": HOLD, "mark": version}],
-            "apply": [{"put": HOLD, "value": hold}]});
+    /// Writes the record of the hold with a compare-and-set on the record's current version.
+    fn commit_hold_record(&mut self, hold: &Value) {
+        let version = self.store.version(HOLD_KEY);
+        let commit = json!({"when": [{"k": HOLD_KEY, "mark": version}],
+            "apply": [{"put": HOLD_KEY, "value": hold}]});
         assert_eq!(self.commit(&commit).status, 200);
     }
 
-    /// Operators decide to go on with the records as they are.
-    fn accept_records(&mut self) {
-        let mut hold = self.store.value(HOLD).unwrap().clone();
+    /// Records the operators' decision to continue with the current records.
+    fn record_decision_to_continue(&mut self) {
+        let mut hold = self.store.value(HOLD_KEY).unwrap().clone();
         let wall = WALL_CLOCK_EPOCH + self.now;
         hold["accepted"] = json!({"by": "yard", "at": wall, "why": "a test"});
-        self.commit_hold(&hold);
+        self.commit_hold_record(&hold);
     }
 }
 
-/// What a day of a loss showed.
+/// Outcome of a day with a loss of records.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Detection {
-    /// The loss was noticed.
-    Noticed,
-    /// Nobody is left who could show it.
+    /// All controllers detected the loss.
+    Detected,
+    /// No evidence of the loss remains in any controller or worker.
     NoEvidence,
 }
 
-/// What was so before a loss, and when it was noticed.
+/// State before a loss, and when the loss was detected.
 struct LossObservation {
-    wanted: Vec<(String, String)>,
+    uncancelled_tasks_before: Vec<(String, String)>,
     leases_expired_before: u32,
-    /// When all controllers held, and how many tasks had been started by then.
-    held: Option<(Micros, u32)>,
+    /// Time at which all controllers had begun the hold, and the number of tasks started by then.
+    all_hold_since: Option<(Micros, u32)>,
 }
 
-/// Plays a loss; what went wrong, if anything did.
+/// Plays a day with a loss of records. Returns a description of the failure, if any.
 pub(crate) fn play_loss(day: &LossDay, seed: u64) -> Result<Detection, String> {
     let plan = day.plan(seed);
     let mut world = detecting_world(&plan);
-    // In a hold queries go unanswered for good: only what must not happen is checked.
+    // Status queries stay unanswered during a hold, so only safety is checked, not progress.
     world.faults_end = u64::MAX / 2;
     world.run(LOSS_AT - 1);
-    if day.forgets_cancellations() {
-        forget_cancellations_since_backup(&mut world);
+    if day.loses_cancellations() {
+        clear_cancellations_since_backup(&mut world);
     }
     let mut observation = LossObservation {
-        wanted: world.wanted_on_machines(),
+        uncancelled_tasks_before: world.uncancelled_tasks_on_machines(),
         leases_expired_before: world.observations.leases_expired_with_tasks,
-        held: None,
+        all_hold_since: None,
     };
     world.run(LOSS_AT);
-    if day.forgets_everything() && !world.has_evidence() {
+    if day.restarts_all_controllers_at_loss() && !world.has_evidence() {
         return Ok(Detection::NoEvidence);
     }
     let mut until = LOSS_AT;
@@ -146,40 +147,42 @@
         until += SECOND / 2;
         world.run(until);
         world.check_cancelled();
-        if observation.held.is_none() && world.all_hold() {
-            observation.held = Some((until, world.starts));
+        if observation.all_hold_since.is_none() && world.all_hold() {
+            observation.all_hold_since = Some((until, world.starts));
         }
     }
-    match observation.failure(&plan, &world) {
+    match observation.describe_failure(&plan, &world) {
         Some(failure) => Err(failure),
-        None => Ok(Detection::Noticed),
+        None => Ok(Detection::Detected),
     }
 }
 
-fn forget_cancellations_since_backup(world: &mut World) {
+fn clear_cancellations_since_backup(world: &mut World) {
     let jobs = world.users.jobs.values_mut();
     let lost = jobs.filter(|job| job.cancel_confirmed_at.is_some_and(|at| at > BACKUP_AT));
     lost.for_each(|job| job.cancel_confirmed_at = None);
 }
 
 impl LossObservation {
-    /// What went wrong in the time after a loss.
-    fn failure(&self, plan: &Plan, world: &World) -> Option<String> {
+    /// Describes what failed after the loss, if anything.
+    fn describe_failure(&self, plan: &Plan, world: &World) -> Option<String> {
         if !world.violations.is_empty() {
             return Some(format!("{:?}", world.violations));
         }
-        let Some((held_at, starts)) = self.held else {
-            return Some("not noticed by all".to_owned());
+        let Some((detected_at, starts)) = self.all_hold_since else {
+            return Some("not all controllers detected the loss".to_owned());
         };
-        if held_at > LOSS_AT + NOTICED_WITHIN {
-            let seconds = (held_at - LOSS_AT) / SECOND;
-            return Some(format!("noticed by all after {seconds} s"));
+        if detected_at > LOSS_AT + DETECTION_DEADLINE {
+            let seconds = (detected_at - LOSS_AT) / SECOND;
+            return Some(format!(
+                "all controllers detected the loss only after {seconds} s"
+            ));
         }
         if world.starts > starts {
-            return Some("tasks were started in the hold".to_owned());
+            return Some("tasks were started during the hold".to_owned());
         }
         if !world.all_hold() {
-            return Some("a controller holds no more".to_owned());
+            return Some("a controller ended its hold without a decision".to_owned());
         }
         let is_machine_fault = |f: &Fault| matches!(f, Fault::PauseMachine(_) | Fault::FailMachine);
         if plan.faults.iter().any(|f| is_machine_fault(&f.fault)) {
@@ -187,38 +190,44 @@
         }
         let expired = world.observations.leases_expired_with_tasks - self.leases_expired_before;
         if expired > 0 {
-            return Some(format!("{expired} leases expired"));
+            return Some(format!("{expired} worker leases expired after the loss"));
         }
-        let missing = world.missing_of(&self.wanted);
-        (!missing.is_empty()).then(|| format!("gone: {missing:?}"))
+        let missing = world.missing_tasks(&self.uncancelled_tasks_before);
+        (!missing.is_empty()).then(|| format!("tasks missing from their machines: {missing:?}"))
     }
 }
 
-/// A loss is noticed by every controller, and running work is left alone.
-/// `SALTTILLER_SCENARIO` plays the days whose name contains it.
+/// Guards against a loss of records that makes controllers start or stop tasks on the basis of
+/// incomplete records. Every controller must detect the loss in time, and running tasks must
+/// continue.
+/// `SALTTILLER_SCENARIO` selects the days whose names contain its value.
 #[test]
-fn lost_records_are_noticed_and_running_work_is_left_alone() {
-    let only = std::env::var("SALTTILLER_SCENARIO").unwrap_or_default();
-    let mut failed = Vec::new();
-    let each = seeds_each();
-    for day in record_losses::days().filter(|day| day.name.contains(&only)) {
-        let mut noticed = 0;
-        for seed in 1..=each {
+fn record_loss_is_detected_and_running_tasks_continue() {
+    let name_filter = std::env::var("SALTTILLER_SCENARIO").unwrap_or_default();
+    let mut failures = Vec::new();
+    let seeds_per_day = seeds_per_day();
+    for day in record_losses::days().filter(|day| day.name.contains(&name_filter)) {
+        let mut detected = 0;
+        for seed in 1..=seeds_per_day {
             match play_loss(day, seed) {
-                Ok(detection) => noticed += u64::from(detection == Detection::Noticed),
-                Err(what) => failed.push(format!("{}, seed {seed}: {what}", day.name)),
+                Ok(detection) => detected += u64::from(detection == Detection::Detected),
+                Err(failure) => failures.push(format!("{}, seed {seed}: {failure}", day.name)),
             }
         }
-        if noticed < each / 2 {
+        if detected < seeds_per_day / 2 {
             let name = day.name;
-            failed.push(format!("{name}: noticed on {noticed} of {each} seeds"));
+            failures.push(format!(
+                "{name}: detected on only {detected} of {seeds_per_day} seeds"
+            ));
         }
     }
-    assert!(failed.is_empty(), "{}", failed.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
+/// Guards against a safeguard for lost records that has no effect or that no test covers. Each
+/// safeguard is disabled on the day that needs it, and that day must fail on at least one seed.
 #[test]
-fn without_its_safeguard_a_loss_does_harm() {
+fn disabled_record_loss_safeguards_are_detected() {
     let cases = [
         (Safeguard::KnownHistory, "set back, grown past"),
         (Safeguard::ReportEvidence, "set back, all restart"),
@@ -227,18 +236,22 @@
     ];
     for (safeguard, name) in cases {
         let day = record_losses::named(name);
-        let noticed = with_disabled(safeguard, || {
+        let detected = with_disabled(safeguard, || {
             (1..=10).any(|seed| play_loss(day, seed).is_err())
         });
-        assert!(noticed, "{safeguard:?} disabled isn't noticed");
+        assert!(
+            detected,
+            "{name}: expected a failure with {safeguard:?} disabled"
+        );
     }
 }
 
-/// Where nothing is lost nothing is found: first starts, outages, partitions, takeovers, late
-/// transactions. And all work ends as without the detection.
+/// Guards against a hold although no records were lost: first starts, outages, partitions,
+/// takeovers and delayed transactions must not look like a loss. All jobs finish as they do without
+/// the detection.
 #[test]
-pub(crate) fn faults_without_a_loss_are_not_taken_for_one() {
-    let mut failed = Vec::new();
+pub(crate) fn faults_without_record_loss_cause_no_hold() {
+    let mut failures = Vec::new();
     for day in days::all() {
         for seed in 1..=2 {
             let plan = day.plan(seed);
@@ -246,17 +259,18 @@
             let holding = world.holding_controllers();
             let unfinished = world.unfinished_jobs();
             if holding > 0 || !world.violations.is_empty() || !unfinished.is_empty() {
-                failed.push(format!(
-                    "{}, seed {seed}: {holding} hold, {:?}, unfinished {unfinished:?}",
+                failures.push(format!(
+                    "{}, seed {seed}: {holding} controllers hold, violations {:?}, \
+                     unfinished jobs {unfinished:?}",
                     day.name, world.violations
                 ));
             }
         }
     }
-    assert!(failed.is_empty(), "{}", failed.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Whether users cancel again what they had cancelled and the backup shows as open.
+/// Whether users repeat the cancellation of jobs that are open again in the backup.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CancelAgain {
     Yes,
@@ -264,10 +278,11 @@
 }
 
 impl World {
-    /// Users give up on jobs that the records don't know, or that are open again though they were
-    /// told otherwise; what they had cancelled they cancel again after the decision.
-    fn give_up_lost_jobs(&mut self, again: CancelAgain) {
-        let mut cancel_again = Vec::new();
+    /// Makes users abandon the jobs that the records no longer contain, and those that are open
+    /// again although a final stage was reported. With [`CancelAgain::Yes`], users cancel their
+    /// cancelled jobs again after the decision instead of abandoning them.
+    fn abandon_lost_jobs(&mut self, cancel_again: CancelAgain) {
+        let mut to_cancel = Vec::new();
         for (id, job) in &mut self.users.jobs {
             let record = self.store.value(&format!("st/job/{id}"));
             let is_open = record.is_some_and(|value| value["st"] == "o");
@@ -277,89 +292,109 @@
                 continue;
             }
             let was_cancelled = is_open && job.cancel_confirmed_at.is_some();
-            let cancelled = was_cancelled && again == CancelAgain::Yes;
+            let cancelled = was_cancelled && cancel_again == CancelAgain::Yes;
             (job.abandoned, job.accepted) = (!cancelled, cancelled);
             job.completion_confirmed = false;
             job.cancel_confirmed_at = None;
             job.final_stage_at = 0;
-            cancel_again.extend(cancelled.then(|| id.clone()));
+            to_cancel.extend(cancelled.then(|| id.clone()));
         }
-        for id in cancel_again {
+        for id in to_cancel {
             self.schedule_user(LOSS_AT + 45 * SECOND, &id, UserAction::Cancel);
         }
     }
 
-    /// What is known of a job that did not end.
+    /// Describes the state of an unfinished job.
     fn describe_job(&self, id: &str) -> String {
         let job = &self.users.jobs[id];
         let record = self.store.value(&format!("st/job/{id}"));
         let stage = record.map(|value| &value["st"]);
         let (done, cancelled) = (job.completion_confirmed, job.cancel_confirmed_at);
         format!(
-            "{id}: accepted {}, told {done}/{cancelled:?}, cancel requested {}, {} of {} done, record {stage:?}, {:?} {}",
-            job.accepted, job.cancel_requested, job.results.len(), job.tasks, job.kind, job.team
+            "{id}: accepted {}, reported done {done}, reported cancelled {cancelled:?}, \
+             cancel requested {}, {} of {} tasks done, stage on record {stage:?}, {:?} {}",
+            job.accepted,
+            job.cancel_requested,
+            job.results.len(),
+            job.tasks,
+            job.kind,
+            job.team
         )
     }
 }
 
-/// Operators go on with the backup after a real loss: what runs twice, beyond a limit or in a
-/// wrong place is checked as on any day, and what the backup holds is served to its end.
-pub(crate) fn play_decision(day: &LossDay, seed: u64, again: CancelAgain) -> Result<(), String> {
+/// Plays a day on which operators continue with the backup after a loss. The rules on duplicate
+/// runs, quota limits and placement are checked as on every day, and all jobs in the backup must
+/// finish.
+pub(crate) fn play_decision(
+    day: &LossDay,
+    seed: u64,
+    cancel_again: CancelAgain,
+) -> Result<(), String> {
     let plan = day.plan(seed);
     let mut world = detecting_world(&plan);
     world.faults_end = 200 * SECOND;
     world.run(LOSS_AT);
-    world.give_up_lost_jobs(again);
+    world.abandon_lost_jobs(cancel_again);
     world.run(LOSS_AT + 40 * SECOND);
     if !world.all_hold() {
         return Ok(());
     }
-    // Some were told a final stage in the moment before the loss was noticed.
-    world.give_up_lost_jobs(again);
-    world.accept_records();
+    // Some final stages were reported shortly before the loss was detected.
+    world.abandon_lost_jobs(cancel_again);
+    world.record_decision_to_continue();
     let world = play_on(&plan, world);
-    let is_wanted = |id: &&String| !world.users.jobs[*id].abandoned;
-    let unfinished = world.unfinished_jobs().into_iter().filter(is_wanted);
+    let is_expected_to_finish = |id: &&String| !world.users.jobs[*id].abandoned;
+    let unfinished = world
+        .unfinished_jobs()
+        .into_iter()
+        .filter(is_expected_to_finish);
     let unfinished: Vec<String> = unfinished.map(|id| world.describe_job(id)).collect();
     if world.violations.is_empty() && unfinished.is_empty() {
         return Ok(());
     }
     let violations = &world.violations;
     Err(format!(
-        "{violations:?}, unfinished {}",
+        "violations {violations:?}, unfinished jobs {}",
         unfinished.join("; ")
     ))
 }
 
+/// Guards against violated rules and unfinished jobs after operators continue with records that
+/// were restored from a backup.
 #[test]
-fn after_a_real_loss_the_rules_hold_for_what_there_is() {
-    let mut failed = Vec::new();
-    for day in record_losses::set_back_days() {
-        for seed in 1..=seeds_each() {
-            if let Err(what) = play_decision(day, seed, CancelAgain::Yes) {
-                failed.push(format!("{}, seed {seed}: {what}", day.name));
+fn rules_hold_after_operators_accept_the_backup() {
+    let mut failures = Vec::new();
+    for day in record_losses::backup_restore_days() {
+        for seed in 1..=seeds_per_day() {
+            if let Err(failure) = play_decision(day, seed, CancelAgain::Yes) {
+                failures.push(format!("{}, seed {seed}: {failure}", day.name));
             }
         }
     }
-    assert!(failed.is_empty(), "{}", failed.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
+/// Guards against tests that do not cover [`Safeguard::UnrecordedMachines`]: a machine without a
+/// record still runs a task, and the task runs twice if it is restarted before the machine's lease
+/// expires.
 #[test]
-fn without_the_wait_after_a_decision_a_task_runs_twice() {
-    let noticed = with_disabled(Safeguard::UnrecordedMachines, || {
-        let days = record_losses::set_back_days();
+fn task_runs_twice_without_the_lease_wait_after_a_decision() {
+    let detected = with_disabled(Safeguard::UnrecordedMachines, || {
+        let days = record_losses::backup_restore_days();
         let mut results =
             days.flat_map(|day| (1..=8).map(|seed| play_decision(day, seed, CancelAgain::No)));
-        results.any(|result| result.is_err_and(|what| what.contains("ran_twice")))
+        results.any(|result| result.is_err_and(|failure| failure.contains("ran_twice")))
     });
-    assert!(noticed);
+    assert!(detected, "expected a task to run twice on some seed");
 }
 
-/// Operators decide to go on with what there is: service resumes, all work ends, no rule is
-/// violated. The hold itself is put on record by hand, so that nothing is really lost.
+/// Guards against a hold that does not end after the operators' decision. Scheduling must resume,
+/// all jobs finish, and no rule is violated. The test writes the record of the hold itself, so no
+/// records are lost.
 #[test]
-pub(crate) fn a_decision_ends_the_hold() {
-    for seed in 1..=SEEDS_EACH {
+pub(crate) fn operator_decision_ends_the_hold() {
+    for seed in 1..=MIN_SEEDS_PER_DAY {
         let plan = Plan {
             faults: vec![at(130.0, Fault::RestartLeader)],
             ..Plan::quiet(seed)
@@ -369,26 +404,38 @@
         world.run(100 * SECOND);
         let mut hold =
             json!({"incident": 7, "by": "yard", "at": 1, "seen": "a test", "accepted": null});
-        world.commit_hold(&hold);
+        world.commit_hold_record(&hold);
         world.run(110 * SECOND);
-        assert!(world.all_hold(), "seed {seed}");
+        assert!(
+            world.all_hold(),
+            "seed {seed}: expected all controllers to hold"
+        );
         let starts = world.starts;
         let expired = world.observations.leases_expired_with_tasks;
         world.run(150 * SECOND);
         let wall = WALL_CLOCK_EPOCH + 150 * SECOND;
         hold["accepted"] = json!({"by": "yard", "at": wall, "why": "a test"});
-        world.commit_hold(&hold);
+        world.commit_hold_record(&hold);
         let expired_in_hold = world.observations.leases_expired_with_tasks;
         assert_eq!(
             (world.starts, expired_in_hold),
             (starts, expired),
-            "seed {seed}"
+            "seed {seed}: expected no starts and no expired leases during the hold"
         );
         let world = play_on(&plan, world);
         let violations = &world.violations;
-        assert!(violations.is_empty(), "seed {seed}: {violations:?}");
-        assert!(world.starts > starts, "seed {seed}");
+        assert!(
+            violations.is_empty(),
+            "seed {seed}: expected no violations, got {violations:?}"
+        );
+        assert!(
+            world.starts > starts,
+            "seed {seed}: expected starts after the decision"
+        );
         let unfinished = world.unfinished_jobs();
-        assert!(unfinished.is_empty(), "seed {seed}: {unfinished:?}");
+        assert!(
+            unfinished.is_empty(),
+            "seed {seed}: expected all jobs to finish, unfinished {unfinished:?}"
+        );
     }
 }
--- a/src/simulation/tests/partial_failures.rs
+++ b/src/simulation/tests/partial_failures.rs
@@ -1,4 +1,4 @@
-//! What the safeguards against partial failures are worth, and what they cost on other days.
+//! Tests of the effect of the safeguards against partial failures, and of their cost on other days.
 
 use crate::fault_injection::Safeguard;
 use crate::simulation::days::{self, at, Plan};
@@ -8,10 +8,12 @@
 use crate::simulation::world::World;
 use salttiller_records::units::{Micros, SECOND};
 
-/// Tasks go on running on a region whose owner loses its workers: fewer leases expire than
-/// without the release. It is released once, not back and forth.
+/// Guards against tasks that stop because the owner of their region has lost the connection to its
+/// workers while it still reaches the state service and its peers. The owner must release the
+/// region, so that fewer than half as many worker leases expire as without the release. The region
+/// must not move back and forth between owners.
 #[test]
-fn a_region_that_its_workers_do_not_reach_is_released() {
+fn region_unreachable_by_its_workers_is_released() {
     let day = days::named("a controller is cut off from its workers alone");
     let (mut with_release, mut without_release) = (0, 0);
     for seed in 1..=20 {
@@ -23,25 +25,29 @@
     }
     assert!(
         with_release * 2 < without_release,
-        "leases that expired with tasks: {with_release} with the release, {without_release} without"
+        "expected less than half as many expired leases of machines with tasks: \
+         {with_release} with the release, {without_release} without"
     );
 }
 
-/// Leases that expired with tasks on a day with no violation and at most so many releases.
-fn expired_leases(world: &World, seed: u64, most_releases: u32) -> u32 {
+/// Returns the number of worker leases that expired with tasks on the machine. Asserts that the day
+/// has no violation and at most `max_releases` releases of regions.
+fn expired_leases(world: &World, seed: u64, max_releases: u32) -> u32 {
     let violations = &world.violations;
     assert!(violations.is_empty(), "seed {seed}: {violations:?}");
     let releases = world.observations.regions_released;
     assert!(
-        releases <= most_releases,
-        "seed {seed}: {releases} releases"
+        releases <= max_releases,
+        "seed {seed}: expected at most {max_releases} releases, got {releases}"
     );
     world.observations.leases_expired_with_tasks
 }
 
-/// No region is released on a quiet day, nor when controllers end, nor in an outage.
+/// Guards against needless releases: no region is released on a day without faults, when
+/// controllers crash or restart, during an outage of the state service, or while a controller is
+/// paused for 3 s or partitioned from its peers.
 #[test]
-pub(crate) fn nothing_is_released_without_need() {
+pub(crate) fn no_region_is_released_needlessly() {
     for faults in [
         vec![],
         vec![
@@ -61,18 +67,22 @@
             let violations = &world.violations;
             assert!(
                 violations.is_empty(),
-                "{faults:?}, seed {seed}: {violations:?}"
+                "{faults:?}, seed {seed}: expected no violations, got {violations:?}"
             );
             let released = world.observations.regions_released;
-            assert_eq!(released, 0, "{faults:?}, seed {seed}");
+            assert_eq!(
+                released, 0,
+                "{faults:?}, seed {seed}: expected no released regions"
+            );
         }
     }
 }
 
-/// While machines come up late or never, what is rented beyond the work is bounded, and all
-/// work still ends.
+/// Guards against unbounded scale-out while new machines boot late or never. Probe rentals must
+/// keep the number of rented machines below 90 % of the number without them, and all jobs must
+/// finish.
 #[test]
-fn machines_that_come_up_badly_are_rented_by_probes() {
+fn degraded_provisioning_rents_probes() {
     let (mut with_probes, mut without_probes) = (0, 0);
     for seed in 1..=12 {
         let plan = Plan {
@@ -85,26 +95,32 @@
     }
     assert!(
         with_probes * 10 < without_probes * 9,
-        "rented: {with_probes} with probes, {without_probes} without"
+        "expected fewer than 90 % as many rented machines: \
+         {with_probes} with probes, {without_probes} without"
     );
 }
 
-/// Machines rented on a day on which some came up badly and all work ended.
+/// Returns the number of machines rented on a day. Asserts that some machines booted late or never
+/// and that all jobs finished without a violation.
 fn machines_rented(world: &World, seed: u64) -> usize {
     let violations = &world.violations;
     assert!(violations.is_empty(), "seed {seed}: {violations:?}");
     let impaired = world.observations.impaired_boots;
-    assert!(impaired > 0, "seed {seed}: none came up badly");
+    assert!(
+        impaired > 0,
+        "seed {seed}: expected machines that boot late or never"
+    );
     let unfinished = world.unfinished_jobs();
     assert!(unfinished.is_empty(), "seed {seed}: {unfinished:?}");
     world.cloud.machines_rented()
 }
 
-/// A flood of one-task jobs of a team without guarantee and limit: all are served, and each
-/// costs three changes of records: accepted, bound, done. A few are moved to another region
-/// once, which is a fourth.
+/// Guards against additional writes for each job, which would lower the rate of jobs that the state
+/// service can sustain. Submits a burst of one-task jobs of a team without guarantee and limit. All
+/// jobs must finish, and each may cost three changes of records: accepted, bound and done. Fewer
+/// than a tenth of the jobs may be rebound to another region once, which is a fourth change.
 #[test]
-pub(crate) fn a_one_task_job_costs_three_changes() {
+pub(crate) fn one_task_job_costs_three_record_changes() {
     let plan = Plan {
         jobs: 0,
         end: 60 * SECOND,
@@ -133,13 +149,20 @@
     assert!(unfinished.is_empty(), "{unfinished:?}");
     let changes = world.store.changes().iter();
     let keys: Vec<&str> = changes.map(|change| change.key.as_str()).collect();
-    let mut moved = 0;
+    let mut rebound = 0;
     for id in &jobs {
-        let own = keys.iter().filter(|key| key.contains(id.as_str())).count();
-        assert!((3..=4).contains(&own), "{id}: {own} changes");
-        moved += own - 3;
+        let job_changes = keys.iter().filter(|key| key.contains(id.as_str())).count();
+        assert!(
+            (3..=4).contains(&job_changes),
+            "{id}: expected 3 or 4 changes, got {job_changes}"
+        );
+        rebound += job_changes - 3;
     }
-    assert!(moved * 10 < jobs.len(), "{moved} of {} moved", jobs.len());
-    let of_quotas = keys.iter().filter(|key| key.contains("quota")).count();
-    assert_eq!(of_quotas, 0);
+    assert!(
+        rebound * 10 < jobs.len(),
+        "expected fewer than a tenth of the jobs to be rebound, got {rebound} of {}",
+        jobs.len()
+    );
+    let quota_changes = keys.iter().filter(|key| key.contains("quota")).count();
+    assert_eq!(quota_changes, 0, "expected no changes of quota records");
 }
--- a/src/simulation/tests/pipelines/script.rs
+++ b/src/simulation/tests/pipelines/script.rs
@@ -1,5 +1,5 @@
-//! What scripted days are written in: jobs that need each other, steps of time, requests of the
-//! test's own, and questions to the records.
+//! Helpers of scripted days: submission of jobs with dependencies, advance of simulated time,
+//! requests sent by the test itself, and queries of the records.
 
 use crate::simulation::days::Plan;
 use crate::simulation::events::{Event, Requester};
@@ -11,13 +11,14 @@
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 use serde_json::Value;
 
-/// Jobs of the scripts. The second needs the first, the third the second, the fourth both.
+/// Ids of the four jobs of [`world_with_four_jobs`]. The second depends on the first, the third on
+/// the second, and the fourth on the first and the second.
 pub(super) const FIRST: &str = "req-000001";
 pub(super) const SECOND_JOB: &str = "req-000002";
 pub(super) const THIRD: &str = "req-000003";
 pub(super) const FOURTH: &str = "req-000004";
-/// Submitted by scripts of their own.
-pub(super) const LATE: &str = "req-000009";
+/// Id of a job that single tests submit in addition.
+pub(super) const EXTRA_JOB: &str = "req-000009";
 
 fn submission(id: &str, tasks: u32, run_seconds: u64, dependencies: &[&str]) -> Submission {
     let dependencies = dependencies.iter().map(|id| (*id).to_owned()).collect();
@@ -30,8 +31,8 @@
 }
 
 impl World {
-    /// A world on a day with no jobs and no faults of its own.
-    pub(crate) fn empty(seed: u64) -> World {
+    /// Returns a world without jobs or faults, 5 s after its start.
+    pub(crate) fn without_jobs(seed: u64) -> World {
         log_if_requested();
         fastrand::seed(seed);
         let mut world = World::new(&Plan {
@@ -44,18 +45,18 @@
         world
     }
 
-    /// A user submits a job now.
+    /// Makes a user submit a job now.
     pub(crate) fn submit(&mut self, id: &str, tasks: u32, run_seconds: u64, dependencies: &[&str]) {
         let submission = submission(id, tasks, run_seconds, dependencies);
         self.submit_job(self.now, &submission, run_seconds * SECOND);
     }
 
-    /// A user cancels a job now.
+    /// Makes a user cancel a job now.
     pub(crate) fn cancel(&mut self, id: &str) {
         self.schedule_user(self.now, id, UserAction::Cancel);
     }
 
-    /// Goes on for so long, checking what is checked on every day.
+    /// Runs the world for `span` and checks the invariants. Stops at the first violation.
     pub(crate) fn run_for(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end && self.violations.is_empty() {
@@ -66,7 +67,9 @@
         }
     }
 
-    /// Goes on until a condition holds; whether it does within a time.
+    /// Runs the world until the condition holds. Returns `false` if the condition does not hold
+    /// within
+    /// `limit` or a rule is violated before.
     pub(crate) fn run_until(&mut self, limit: Micros, condition: impl Fn(&World) -> bool) -> bool {
         let end = self.now + limit;
         while !condition(self) {
@@ -80,7 +83,8 @@
         true
     }
 
-    /// Sends a request of the test's own to one controller; status and stage of the response.
+    /// Sends a request of the test itself to one controller. Returns the status and the stage of
+    /// the response.
     pub(crate) fn probe(
         &mut self,
         controller: usize,
@@ -97,7 +101,10 @@
         };
         self.schedule(self.now, event);
         let is_answered = |world: &World| world.users.probe_responses.contains_key(&number);
-        assert!(self.run_until(10 * SECOND, is_answered));
+        assert!(
+            self.run_until(10 * SECOND, is_answered),
+            "expected a response to {method} {path} within 10 s"
+        );
         let (status, body) = &self.users.probe_responses[&number];
         let stage = body["stage"].as_str().unwrap_or("").to_owned();
         (*status, stage)
@@ -107,13 +114,13 @@
         &mut self,
         controller: usize,
         id: &str,
-        needs: &[&str],
+        dependencies: &[&str],
     ) -> (u16, String) {
-        let body = submission(id, 1, 5, needs).body();
+        let body = submission(id, 1, 5, dependencies).body();
         self.probe(controller, "POST", "/work", &body)
     }
 
-    /// Whether a job's user was told that it is cancelled.
+    /// Whether a controller has confirmed the cancellation of a job to its user.
     pub(crate) fn is_cancel_confirmed(&self, id: &str) -> bool {
         self.users.jobs[id].cancel_confirmed_at.is_some()
     }
@@ -123,7 +130,7 @@
         record["st"].as_str().unwrap().to_owned()
     }
 
-    /// A controller that owns a part of a job.
+    /// Returns the index of the controller that owns the region of a job's first part.
     pub(crate) fn owner_of(&self, id: &str) -> usize {
         let job = self.store.value(&format!("st/job/{id}")).unwrap();
         let region = job["b"][0][2].as_str().unwrap();
@@ -133,32 +140,33 @@
         names.position(|name| Some(name) == owner).unwrap()
     }
 
-    /// Whether the users know of every job that it is done or cancelled.
+    /// Whether the final stage of every job has been confirmed to its user.
     pub(crate) fn are_all_jobs_final(&self) -> bool {
         self.unfinished_jobs().is_empty()
     }
 }
 
-/// A world with the four jobs accepted and the first running, for `run_seconds`.
-pub(super) fn four_jobs(seed: u64, run_seconds: u64) -> World {
-    let mut world = World::empty(seed);
+/// Returns a world in which all four jobs are accepted and the first job runs. Tasks of the first
+/// job take `run_seconds`.
+pub(super) fn world_with_four_jobs(seed: u64, run_seconds: u64) -> World {
+    let mut world = World::without_jobs(seed);
     let jobs: [(&str, u64, &[&str]); 4] = [
         (FIRST, run_seconds, &[]),
         (SECOND_JOB, 5, &[FIRST]),
         (THIRD, 5, &[SECOND_JOB]),
         (FOURTH, 5, &[FIRST, SECOND_JOB]),
     ];
-    for (id, run_seconds, needs) in jobs {
-        world.submit(id, 2, run_seconds, needs);
+    for (id, run_seconds, dependencies) in jobs {
+        world.submit(id, 2, run_seconds, dependencies);
         assert!(
             world.run_until(20 * SECOND, |world| world.users.jobs[id].accepted),
-            "{id}"
+            "seed {seed}: expected {id} to be accepted within 20 s"
         );
     }
     let running = |world: &World| world.users.jobs[FIRST].starts == 2;
     assert!(
         world.run_until(60 * SECOND, running),
-        "seed {seed}: not begun"
+        "seed {seed}: expected both tasks of the first job to start within 60 s"
     );
     world
 }
--- a/src/simulation/tests/scale.rs
+++ b/src/simulation/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Thousands of machines: rented in the first minutes, worked on, and taken over.
+//! Test with thousands of machines that are rented in the first minutes, run tasks, and change
+//! owners.
 
 use crate::simulation::days::{at, Plan};
 use crate::simulation::faults::Fault;
@@ -9,10 +10,10 @@
 
 const MACHINES: usize = 4_000;
 const JOBS: u32 = 40;
-/// By then all work must have ended.
+/// Time by which all jobs must have finished and all machines must have been released.
 const DEADLINE: Micros = 600 * SECOND;
 
-/// What a day with so many machines came to.
+/// Result of the day.
 struct ScaleResult {
     world: World,
     peak_machines: usize,
@@ -34,8 +35,8 @@
     }
 }
 
-/// A world without limits, and with enough sockets and calls for so many machines.
-fn world_of_scale(plan: &Plan) -> World {
+/// Returns a world without quota limits, and with enough sockets and cloud calls for [`MACHINES`].
+fn world_with_large_capacity(plan: &Plan) -> World {
     let mut world = World::new(plan);
     world.cloud.set_capacity(MACHINES);
     for settings in &mut world.settings {
@@ -48,7 +49,7 @@
     world
 }
 
-/// Submits enough work for all machines in the first minute, and steady work after it.
+/// Submits enough jobs for all machines after 1 s, and then one job every 2 s from 44 s on.
 fn submit_jobs(world: &mut World, seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     for index in 0..JOBS {
@@ -72,7 +73,7 @@
 fn play_at_scale() -> ScaleResult {
     let plan = plan();
     fastrand::seed(plan.seed);
-    let mut world = world_of_scale(&plan);
+    let mut world = world_with_large_capacity(&plan);
     submit_jobs(&mut world, plan.seed);
     let mut peak_machines = 0;
     let mut until = CHECK_INTERVAL;
@@ -93,23 +94,41 @@
     }
 }
 
-/// Machines by the thousand: the leader ends, then two controllers, then all; the rules
-/// hold, all work ends, and every machine is on record, used and returned.
+/// Guards against limits of scale, such as oversized transactions, lost machines and takeovers that
+/// do not complete. The leader restarts, then two controllers crash, then all three. The rules
+/// hold, all jobs finish, and every machine is recorded, used and released.
 #[test]
-fn four_thousand_machines_are_rented_used_and_returned() {
+fn four_thousand_machines_are_rented_used_and_released() {
     let ScaleResult {
         world,
         peak_machines,
     } = play_at_scale();
-    assert!(world.violations.is_empty(), "{:?}", world.violations);
+    assert!(
+        world.violations.is_empty(),
+        "expected no violations, got {:?}",
+        world.violations
+    );
     assert!(
         peak_machines >= MACHINES,
-        "{peak_machines} machines at the most"
+        "expected at least {MACHINES} machines at the peak, got {peak_machines}"
     );
     let unfinished = world.unfinished_jobs();
-    assert!(unfinished.is_empty(), "{unfinished:?}");
-    let seen = &world.observations;
-    assert!(seen.region_acquisitions >= 9, "{seen:?}");
-    assert_eq!(seen.oversized_transactions, 0);
-    assert!(world.workers.is_empty(), "{} left", world.workers.len());
+    assert!(
+        unfinished.is_empty(),
+        "expected all jobs to finish, unfinished {unfinished:?}"
+    );
+    let observations = &world.observations;
+    assert!(
+        observations.region_acquisitions >= 9,
+        "expected at least 9 acquisitions of regions: {observations:?}"
+    );
+    assert_eq!(
+        observations.oversized_transactions, 0,
+        "expected no oversized transactions"
+    );
+    assert!(
+        world.workers.is_empty(),
+        "expected all machines to be released, {} remain",
+        world.workers.len()
+    );
 }
--- a/src/simulation/tests/seeded.rs
+++ b/src/simulation/tests/seeded.rs
@@ -1,4 +1,4 @@
-//! Seeded days with faults of all kinds.
+//! Tests of days whose faults are drawn from the seed.
 
 use crate::fault_injection::Safeguard;
 use crate::simulation::days::{seeded, Plan};
@@ -11,23 +11,27 @@
 use salttiller_records::units::SECOND;
 use serde_json::json;
 
-/// Plays a day; every rule must hold, and every job be done or cancelled in the end. Returns the
-/// number of starts.
-fn check(plan: &Plan) -> u32 {
+/// Plays a day and asserts that every rule holds and that every job is done or cancelled at the
+/// end. Returns the number of task starts.
+fn play_and_check(plan: &Plan) -> u32 {
     let seed = plan.seed;
     let world = play(plan);
-    let seen = &world.observations;
-    assert!(seen.oversized_transactions == 0, "seed {seed}: {seen:?}");
+    let observations = &world.observations;
+    assert!(
+        observations.oversized_transactions == 0,
+        "seed {seed}: expected no oversized transactions: {observations:?}"
+    );
     assert!(
         world.violations.is_empty(),
-        "seed {seed}: {:?}, faults {:?}",
+        "seed {seed}: expected no violations, got {:?}, faults {:?}",
         world.violations,
         plan.faults
     );
     for (id, job) in &world.users.jobs {
         assert!(
             job.accepted && job.is_final(),
-            "seed {seed}: {id} unfinished, {} of {} done, {}, records {:?}, faults {:?}",
+            "seed {seed}: expected {id} to finish, {} of {} tasks done, {}, records {:?}, \
+             faults {:?}",
             job.results.len(),
             job.tasks,
             job.submission,
@@ -38,7 +42,7 @@
     world.starts
 }
 
-/// The records that say why a job was not finished.
+/// Returns the records that show why a job is unfinished.
 fn records_about(world: &World, job: &str) -> Vec<String> {
     let parts = [job, "region", "/lot/", "/roll/", "quota"];
     let is_relevant = |key: &str| parts.iter().any(|part| key.contains(part));
@@ -49,30 +53,36 @@
         .collect()
 }
 
-/// Days with faults of all kinds keep every rule, and when the faults are over the work gets
-/// done.
+/// Guards against combinations of faults that violate a rule, or after which jobs do not finish.
+/// The faults are crashes, outages, partitions, and failed or paused machines.
 #[test]
 fn days_with_faults_keep_the_rules() {
-    let starts: u32 = seeds().map(|seed| check(&seeded::with_faults(seed))).sum();
-    let least = 50 * seeds().end();
-    assert!(u64::from(starts) > least, "only {starts} starts");
+    let starts: u32 = seeds()
+        .map(|seed| play_and_check(&seeded::with_faults(seed)))
+        .sum();
+    let min_starts = 50 * seeds().end();
+    assert!(
+        u64::from(starts) > min_starts,
+        "expected more than {min_starts} task starts, got {starts}"
+    );
 }
 
-/// Lost responses, reboots, late duplicates, controllers isolated with their workers or restarted
-/// at once: the rules hold, and every job ends.
+/// Guards against violated rules and unfinished jobs with additional faults: lost responses,
+/// machine reboots, late duplicates of heartbeats, controllers that are isolated with their
+/// workers, and controllers that restart immediately.
 #[test]
 fn days_with_more_faults_keep_the_rules() {
     for seed in seeds() {
-        check(&seeded::with_more_faults(seed));
+        play_and_check(&seeded::with_more_faults(seed));
     }
 }
 
-/// Each part of the safety argument is needed: without it, some day violates the rule that it
-/// is there for.
+/// Guards against a safeguard that has no effect or that no test covers. With the safeguard
+/// disabled, at least one of 200 seeds must violate a rule that the safeguard protects.
 #[test]
-fn disabled_safeguards_are_noticed() {
-    type DayOfSeed = fn(u64) -> Plan;
-    let cases: [(Safeguard, DayOfSeed, &[Rule]); 3] = [
+fn disabled_safeguards_are_detected() {
+    type PlanForSeed = fn(u64) -> Plan;
+    let cases: [(Safeguard, PlanForSeed, &[Rule]); 3] = [
         (
             Safeguard::Recovery,
             seeded::with_more_faults,
@@ -90,16 +100,20 @@
         ),
     ];
     for (safeguard, day, rules) in cases {
-        let noticed = (1..=200).any(|seed| {
+        let detected = (1..=200).any(|seed| {
             let world = play_without(safeguard, &day(seed));
             rules.iter().any(|rule| world.has_violated(*rule))
         });
-        assert!(noticed, "{safeguard:?}");
+        assert!(
+            detected,
+            "expected a violation of {rules:?} with {safeguard:?} disabled"
+        );
     }
 }
 
-/// Records as an earlier version left them: a machine of its own with a running task, a bound
-/// job, shares. They are taken over, nothing runs twice or is lost.
+/// Guards against an upgrade that loses tasks or runs them twice. The records are in the form of an
+/// earlier version: a machine with its own record and a running task, a bound job, and quota
+/// shares.
 #[test]
 pub(crate) fn records_of_an_earlier_version() {
     let plan = Plan::quiet(3);
@@ -120,9 +134,16 @@
     add_worker_of_an_earlier_version(&mut world, &id);
     world.schedule_user(2 * SECOND, &id, UserAction::Query);
     let world = play_on(&plan, world);
-    assert!(world.violations.is_empty(), "{:?}", world.violations);
+    assert!(
+        world.violations.is_empty(),
+        "expected no violations, got {:?}",
+        world.violations
+    );
     let jobs = &world.users.jobs;
-    assert!(jobs.values().all(Job::is_final) && jobs[&id].results.len() == 3);
+    assert!(
+        jobs.values().all(Job::is_final) && jobs[&id].results.len() == 3,
+        "expected all jobs to finish, and 3 results of {id}"
+    );
 }
 
 fn seed_records_of_an_earlier_version(world: &mut World, job: &str) {
@@ -166,8 +187,8 @@
     world.schedule(ends_at, tasks_due);
 }
 
-/// One day, to look at: `SALTTILLER_SEED=16 SALTTILLER_LOG=debug`, and with
-/// `SALTTILLER_HARDER=1` the day with more faults.
+/// Plays a single day for debugging, for example with `SALTTILLER_SEED=16 SALTTILLER_LOG=debug`.
+/// `SALTTILLER_HARDER=1` selects the day with additional faults.
 #[test]
 fn one_day() {
     let seed = environment_number("SALTTILLER_SEED").unwrap_or(1);
@@ -176,18 +197,20 @@
         true => seeded::with_more_faults(seed),
         false => seeded::with_faults(seed),
     };
-    check(&plan);
+    play_and_check(&plan);
 }
 
-/// Days on which something once went wrong stay right. Seed 23 had a gang that no
-/// region could hold and for which nothing was rented. Seed 71 had a gang done while
-/// one member's machine was paused, and that member's place counted as free. Seed 149 had a
-/// region without machines keep the better part of a team's limit for its waiting tasks. Seed
-/// 438 had the last tasks of a job put on record by two regions at the same moment, and nobody
-/// said that it was done.
+/// Guards against regressions on seeds that failed with earlier versions.
+///
+/// - Seed 23: a gang fit in no region, and no machines were rented for it.
+/// - Seed 71: a gang was done while the machine of one member was paused, and the resources of that
+///   member counted as free.
+/// - Seed 149: a region without machines kept most of a team's limit for its waiting tasks.
+/// - Seed 438: two regions wrote the last results of a job at the same time, and no controller
+///   reported the job as done.
 #[test]
-pub(crate) fn days_that_once_failed() {
+pub(crate) fn previously_failing_seeds() {
     for seed in [23, 71, 149, 438] {
-        check(&seeded::with_faults(seed));
+        play_and_check(&seeded::with_faults(seed));
     }
 }
--- a/src/simulation/trace_digest.rs
+++ b/src/simulation/trace_digest.rs
@@ -1,6 +1,7 @@
-//! A digest of all that the controllers of simulated days send, to show that a change of
-//! the code leaves behaviour as it was: equal digests mean equal answers, calls and messages,
-//! byte by byte, at equal simulated times and in equal order. Log texts are not part of it.
+//! Digests of everything that the controllers send on simulated days. Equal digests before and
+//! after a change of the code show that its behaviour is unchanged: the responses, calls and
+//! messages are equal byte by byte, at equal simulated times and in equal order. Log texts are not
+//! part of a digest.
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -14,8 +15,8 @@
 use super::tests::lost_records::{play_decision, play_loss, CancelAgain};
 use super::tests::pipelines::{cancellation, DISTURBANCES};
 
-/// 64-bit FNV-1a over the records that it is fed. Written out here because the digests must
-/// not depend on the release of the compiler, as `DefaultHasher` does.
+/// 64-bit FNV-1a hash of records. Implemented here because digests must not depend on the release
+/// of the compiler, as those of `DefaultHasher` do.
 #[derive(Clone, Copy)]
 struct TraceDigest(u64);
 
@@ -33,13 +34,14 @@
         self.write(&n.to_le_bytes());
     }
 
-    /// Bytes after their length, so that neighbouring fields can't run into each other.
+    /// Hashes the length before the bytes, so that adjacent fields stay distinct.
     fn bytes(&mut self, bytes: &[u8]) {
         self.number(bytes.len() as u64);
         self.write(bytes);
     }
 
-    /// One record: when and by which controller it was sent, its kind, its fields.
+    /// Hashes one record: the time at which it was sent, the controller that sent it, its kind and
+    /// its fields.
     fn record(&mut self, now: Micros, controller: usize, outgoing: &Outgoing) {
         self.number(now);
         self.number(controller as u64);
@@ -82,11 +84,11 @@
 }
 
 thread_local! {
-    /// The digest of the day that this thread plays, if one is asked for.
+    /// Digest of the day that this thread plays, if a digest was requested.
     static CURRENT: Cell<Option<TraceDigest>> = const { Cell::new(None) };
 }
 
-/// Takes what a controller sends into the current digest, if there is one.
+/// Adds what a controller sends to the current digest, if there is one.
 pub(super) fn record(now: Micros, controller: usize, outgoing: &[Outgoing]) {
     if let Some(mut digest) = CURRENT.get() {
         for item in outgoing {
@@ -96,21 +98,25 @@
     }
 }
 
-/// The digest of what the controllers send while `play` runs.
+/// Returns the digest of everything that the controllers send while `play` runs.
 fn digest_of(play: impl FnOnce()) -> u64 {
     CURRENT.set(Some(TraceDigest(TraceDigest::OFFSET_BASIS)));
     play();
     let digest = CURRENT.take().expect("set above");
-    assert_ne!(digest.0, TraceDigest::OFFSET_BASIS, "nothing was sent");
+    assert_ne!(
+        digest.0,
+        TraceDigest::OFFSET_BASIS,
+        "expected the controllers to send something"
+    );
     digest.0
 }
 
-/// How many seeds of each day are played; fewer with `SALTTILLER_DIGEST_SEEDS=1`.
+/// Number of seeds of each day: 8, or the value of `SALTTILLER_DIGEST_SEEDS`.
 fn seeds() -> u64 {
     environment_number("SALTTILLER_DIGEST_SEEDS").unwrap_or(8)
 }
 
-/// Prints the digests, and takes the lines into one of all.
+/// Prints the digests and computes the digest of all printed lines.
 struct Report(TraceDigest);
 
 impl Report {
@@ -134,58 +140,58 @@
     }
 }
 
-/// Tests that play days and seeds of their own, by the suite and the name in the digest; one
-/// digest each.
+/// Tests that play their own days and seeds, each with its suite and its name in the digest lines.
+/// Each test has one digest.
 const TESTS_WITH_OWN_SEEDS: [(&str, &str, fn()); 12] = [
     (
         "partial_failures",
         "nothing_is_released_without_need",
-        tests::partial_failures::nothing_is_released_without_need,
+        tests::partial_failures::no_region_is_released_needlessly,
     ),
     (
         "partial_failures",
         "a_one_task_job_costs_three_changes",
-        tests::partial_failures::a_one_task_job_costs_three_changes,
+        tests::partial_failures::one_task_job_costs_three_record_changes,
     ),
     (
         "pipelines",
         "a_needed_job_ends_in_a_takeover",
-        tests::pipelines::a_needed_job_ends_in_a_takeover,
+        tests::pipelines::dependency_ends_during_takeover,
     ),
     (
         "pipelines",
         "a_dependent_submitted_as_its_need_is_cancelled",
-        tests::pipelines::a_dependent_submitted_as_its_need_is_cancelled,
+        tests::pipelines::dependent_submitted_as_its_dependency_is_cancelled,
     ),
     (
         "pipelines",
         "a_cancellation_that_loses_to_the_end",
-        tests::pipelines::a_cancellation_that_loses_to_the_end,
+        tests::pipelines::cancellation_races_with_completion,
     ),
     (
         "pipelines",
         "submissions_that_need_others",
-        tests::pipelines::submissions_that_need_others,
+        tests::pipelines::submissions_with_dependencies,
     ),
     (
         "pipelines",
         "readiness_in_an_outage",
-        tests::pipelines::readiness_in_an_outage,
+        tests::pipelines::job_becomes_ready_during_outage,
     ),
     (
         "pipelines",
         "a_waiting_job_holds_nothing",
-        tests::pipelines::a_waiting_job_holds_nothing,
+        tests::pipelines::waiting_job_uses_no_resources,
     ),
     (
         "lost_records",
         "troubles_without_a_loss_are_not_taken_for_one",
-        tests::lost_records::faults_without_a_loss_are_not_taken_for_one,
+        tests::lost_records::faults_without_record_loss_cause_no_hold,
     ),
     (
         "lost_records",
         "a_decision_ends_the_hold",
-        tests::lost_records::a_decision_ends_the_hold,
+        tests::lost_records::operator_decision_ends_the_hold,
     ),
     (
         "scenarios",
@@ -195,17 +201,17 @@
     (
         "scenarios",
         "days_that_once_failed",
-        tests::seeded::days_that_once_failed,
+        tests::seeded::previously_failing_seeds,
     ),
 ];
 
-/// Prints the digest of every day, and one of all. To compare two versions of the code, diff
-/// the lines that this prints in each:
+/// Prints the digest of every day, and the digest of all days. To compare two versions of the code,
+/// diff the lines that this test prints in each:
 ///
 /// `cargo test --locked -p salttiller --lib trace_digests -- --ignored --nocapture`
 ///
-/// The names of suites, days and tests in these lines are those under which digests were
-/// printed before: they stay when code is renamed.
+/// The names of suites, days and tests in these lines stay unchanged when code is renamed, so that
+/// digests stay comparable.
 #[test]
 #[ignore = "plays hundreds of days, for comparing versions of the code"]
 fn trace_digests() {
@@ -220,7 +226,7 @@
     for day in record_losses::days() {
         report.seeds("lost records", day.name, |seed| drop(play_loss(day, seed)));
     }
-    for day in record_losses::set_back_days() {
+    for day in record_losses::backup_restore_days() {
         let name = format!("{}, decided", day.name);
         report.seeds("lost records", &name, |seed| {
             drop(play_decision(day, seed, CancelAgain::Yes));
@@ -238,18 +244,27 @@
     println!("digest: all {:016x}", report.0 .0);
 }
 
-/// A day gives the same digest whenever it is played, after other days and on other threads;
-/// days of other seeds give others.
+/// Guards against digests that depend on anything other than the day and its seed. A day has the
+/// same digest each time it is played, also after other days and on other threads, and days of
+/// different seeds have different digests.
 #[test]
-fn a_day_has_one_digest() {
+fn digest_of_a_day_is_reproducible() {
     let day = |seed| digest_of(|| drop(play(&seeded::with_more_faults(seed))));
     let first: Vec<u64> = (1..=4).map(day).collect();
     let threads: Vec<_> = (1..=4)
         .map(|seed| std::thread::spawn(move || day(seed)))
         .collect();
     let again: Vec<u64> = threads.into_iter().map(|t| t.join().unwrap()).collect();
-    assert_eq!(first, again);
-    assert_eq!(first[0], day(1));
+    assert_eq!(first, again, "expected equal digests on other threads");
+    assert_eq!(
+        first[0],
+        day(1),
+        "expected an equal digest after other days"
+    );
     let different: BTreeSet<u64> = first.iter().copied().collect();
-    assert_eq!(different.len(), first.len(), "{first:x?}");
+    assert_eq!(
+        different.len(),
+        first.len(),
+        "expected different digests for different seeds: {first:x?}"
+    );
 }
--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -1,6 +1,6 @@
-//! The program's commands: what they print, and the exit codes that scripts go by.
+//! Tests of the program's commands: their output, and the exit codes that scripts rely on.
 
-// Set-up of tests outside of test functions, which clippy.toml does not cover.
+// clippy.toml allows these in test functions only, not in the helpers of tests.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::indexing_slicing)]
 
 use std::net::TcpListener;
@@ -16,15 +16,17 @@
         .expect("the program starts")
 }
 
-/// An address at which nothing listens.
+/// Returns an address on which nothing listens.
 fn closed_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("bound").to_string()
 }
 
+/// Guards against changed exit codes, on which scripts rely, and against error messages that do not
+/// name the cause.
 #[test]
 fn exit_codes() {
-    let nobody = closed_address();
+    let closed = closed_address();
     let cases: &[(&[&str], i32, &str)] = &[
         (&[], 2, "--config <FILE>"),
         (&["--unknown"], 2, "unexpected argument"),
@@ -32,7 +34,7 @@
         (&["check", "--config", "none.json"], 1, "none.json"),
         (&["check", "--config", "Cargo.toml"], 1, "Cargo.toml"),
         (&["--config", "none.json"], 1, "none.json"),
-        (&["status", &nobody], 1, &nobody),
+        (&["status", &closed], 1, &closed),
         (&["status", "nowhere"], 2, "invalid value"),
     ];
     for (arguments, code, stderr) in cases {
@@ -43,9 +45,10 @@
     }
 }
 
-/// The names of the published fields, and a class that takes precedence without an objective.
+/// Guards against changes of the published output of `check`: the text, the names of the JSON
+/// fields, and the note on a class that has precedence but no objective.
 #[test]
-fn checked_settings() {
+fn check_reports_settings() {
     let ini = "docs/examples/heating-oil.ini";
     let files = ["check", "--ini", ini, "--config", SETTINGS];
     let text = String::from_utf8(salttiller(&files).stdout).expect("text");
--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -1,26 +1,26 @@
-//! What the documents name exists: files, and types and constants of the code.
+//! Tests that the files and code items named in the documents exist.
 
-// Set-up of tests outside of test functions, which clippy.toml does not cover.
+// clippy.toml allows these in test functions only, not in the helpers of tests.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::indexing_slicing)]
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Folders whose files documents name by their path from the root.
+/// Prefixes of the paths, relative to the root, by which documents name files.
 const PATH_PREFIXES: [&str; 6] = ["src/", "crates/", "docs/", "deploy/", "tests/", ".ci/"];
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// All files below a folder with this ending.
-fn files(folder: &Path, ending: &str, found: &mut Vec<PathBuf>) {
-    let entries = fs::read_dir(folder).expect("a folder of the project");
+/// Collects all files below a folder that have this extension.
+fn files(folder: &Path, extension: &str, found: &mut Vec<PathBuf>) {
+    let entries = fs::read_dir(folder).expect("expected a folder of the project");
     for path in entries.map(|entry| entry.expect("readable").path()) {
         if path.is_dir() && !path.ends_with("target") {
-            files(&path, ending, found);
-        } else if path.extension().is_some_and(|e| e == ending) {
+            files(&path, extension, found);
+        } else if path.extension().is_some_and(|e| e == extension) {
             found.push(path);
         }
     }
@@ -36,7 +36,7 @@
     c.is_alphanumeric() || c == '_'
 }
 
-/// Every identifier of the sources.
+/// Returns every word of the sources that may be an identifier.
 fn identifiers() -> BTreeSet<String> {
     let mut sources = Vec::new();
     for folder in ["src", "crates", "tests"] {
@@ -50,15 +50,15 @@
     words
 }
 
-/// What stands in backticks outside of indented blocks.
-fn quoted(text: &str) -> Vec<&str> {
+/// Returns the text in backticks, except in indented blocks.
+fn text_in_backticks(text: &str) -> Vec<&str> {
     let lines = text.lines().filter(|line| !line.starts_with("    "));
     lines
         .flat_map(|line| line.split('`').skip(1).step_by(2))
         .collect()
 }
 
-/// Whether a word has the form of the name of a type, a constant, a function or a field.
+/// Whether a word is written like the name of a type, a constant, a function or a field.
 fn is_item_name(word: &str) -> bool {
     let has_upper = word.chars().any(char::is_uppercase);
     let has_lower = word.chars().any(char::is_lowercase);
@@ -67,9 +67,10 @@
     word.chars().all(is_word) && (is_type || is_constant_or_snake_case)
 }
 
-/// Words in that form that name something else.
-const NOT_OURS: [&str; 1] = ["no_node"];
+/// Words written like item names that do not name items of this project.
+const NON_ITEM_WORDS: [&str; 1] = ["no_node"];
 
+/// Guards against documents that name files that were moved or removed.
 #[test]
 fn named_files_exist() {
     let mut missing = Vec::new();
@@ -83,25 +84,32 @@
             }
         }
     }
-    assert!(missing.is_empty(), "{missing:#?}");
+    assert!(
+        missing.is_empty(),
+        "expected all named files to exist, missing: {missing:#?}"
+    );
 }
 
+/// Guards against documents that name items that were renamed or removed.
 #[test]
 fn named_items_exist() {
     let known = identifiers();
     let mut missing = Vec::new();
     for document in documents() {
         let text = fs::read_to_string(&document).expect("UTF-8");
-        for phrase in quoted(&text)
+        for phrase in text_in_backticks(&text)
             .into_iter()
             .filter(|p| !p.contains([' ', '-', '/']))
         {
             for word in phrase.split("::").filter(|word| is_item_name(word)) {
-                if !known.contains(word) && !NOT_OURS.contains(&word) {
+                if !known.contains(word) && !NON_ITEM_WORDS.contains(&word) {
                     missing.push(format!("{}: {word}", document.display()));
                 }
             }
         }
     }
-    assert!(missing.is_empty(), "{missing:#?}");
+    assert!(
+        missing.is_empty(),
+        "expected all named items to exist, missing: {missing:#?}"
+    );
 }
