--- a/src/admission/feasibility.rs
+++ b/src/admission/feasibility.rs
@@ -72,8 +72,8 @@
         SubmissionField::SpreadZones
     )]
     TooFewZones,
-    /// The job's record would exceed the maximum size of a value in the state store.
-    #[error("the job's record would exceed the maximum value size of the state store")]
+    /// The job's record would exceed the maximum size of a value in the state service.
+    #[error("the job's record would exceed the maximum value size of the state service")]
     RecordTooLarge,
 }
 
@@ -197,7 +197,7 @@
     Ok(())
 }
 
-/// Checks that the job's record does not exceed the maximum size of a value in the state store.
+/// Checks that the job's record does not exceed the maximum size of a value in the state service.
 fn check_record_size(spec: &JobSpec, settings: &Settings) -> Result<(), AdmissionError> {
     let limit = settings.max_value_bytes;
     if record_bytes(spec) <= limit {
--- a/src/admission/submission.rs
+++ b/src/admission/submission.rs
@@ -38,7 +38,7 @@
 /// Reason for which the value of a field is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FieldError {
-    /// The value is not a job ID.
+    /// The value is not a job id.
     #[error("not a job id")]
     NotAJobId,
     /// The value is not one of the names that the field accepts.
@@ -62,7 +62,7 @@
     }
 }
 
-/// Parses a submission that was received at `submitted_at` (wall-clock time). Returns the job ID
+/// Parses a submission that was received at `submitted_at` (wall-clock time). Returns the job id
 /// that the user chose and the job's specification.
 ///
 /// # Errors
@@ -90,7 +90,7 @@
     submission: &wire::Submission,
     submitted_at: Micros,
 ) -> Result<JobSpec, SubmissionError> {
-    // The job ID is part of a record's key, and the length of keys is limited.
+    // The job id is part of a record's key, and the length of keys is limited.
     if !is_job_id(&submission.id) {
         return Err(FieldError::NotAJobId.in_field(SubmissionField::Id));
     }
@@ -172,7 +172,7 @@
     }
 }
 
-/// Returns the job IDs of the dependencies, sorted and without duplicates.
+/// Returns the job ids of the dependencies, sorted and without duplicates.
 fn dependencies(submission: &wire::Submission) -> Result<Vec<String>, SubmissionError> {
     let dependencies: BTreeSet<&String> = submission.dependencies.iter().flatten().collect();
     if dependencies.contains(&submission.id) {
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -281,8 +281,8 @@
     }
 }
 
-/// Guards against a change of the wire format of job states, which answer submissions, polls and
-/// cancellations.
+/// Guards against a change of the wire format of job states, which are the responses to
+/// submissions, polls and cancellations.
 #[test]
 fn job_states_keep_their_bytes() {
     let fixtures = crate::fixtures::read(include_str!("fixtures/states.hex"));
--- a/src/admission/wire.rs
+++ b/src/admission/wire.rs
@@ -69,7 +69,7 @@
 /// Field of a submission, displayed by its name in the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmissionField {
-    /// Job ID.
+    /// Job id.
     Id,
     /// Team of the job.
     Team,
--- a/src/alerts.rs
+++ b/src/alerts.rs
@@ -99,8 +99,8 @@
 
     /// Evaluates objectives and pipelines against the open jobs, and returns the alerts to raise.
     /// `is_done` returns whether a job that is no longer open completed, as opposed to being
-    /// cancelled. `is_open` returns whether a job is open. `now` is the time of day, and `cause`
-    /// is the likely cause of missed objectives and deadlines at present.
+    /// cancelled. `is_open` returns whether a job is open. `now` is the wall-clock time, and
+    /// `cause` is the likely cause of missed objectives and deadlines at present.
     pub fn observe_jobs<'a>(
         &mut self,
         open: impl Iterator<Item = ObservedJob<'a>>,
@@ -152,7 +152,7 @@
     }
 
     /// Fills in the objectives, late pipelines and recent alerts of the status page. `now` is
-    /// the time of day.
+    /// the wall-clock time.
     pub fn fill_status(&mut self, status: &mut Status, now: Micros) {
         status.objectives = self.slo.status(now);
         let late = self.pipelines.late_count() as u32;
--- a/src/alerts/conditions.rs
+++ b/src/alerts/conditions.rs
@@ -34,7 +34,7 @@
         /// Number of machines that contact this controller instead.
         machines: usize,
     },
-    /// The state store lost records, and this controller is in a data-loss hold.
+    /// The state service lost records, and this controller is in a data-loss hold.
     DataLoss {
         /// Description of the evidence.
         seen: String,
--- a/src/alerts/pipelines.rs
+++ b/src/alerts/pipelines.rs
@@ -25,9 +25,9 @@
     pub class: &'a str,
     /// Deadline of the last job, relative to its submission.
     pub deadline: Micros,
-    /// Time of day by which this step must be done for the pipeline to meet its deadline.
+    /// Wall-clock time by which this step must be done for the pipeline to meet its deadline.
     pub due: Micros,
-    /// Time of day at which the step is expected to be done, by its estimated run time.
+    /// Wall-clock time at which the step is expected to be done, by its estimated run time.
     pub expected_end: Micros,
 }
 
--- a/src/alerts/poll_rate/tests.rs
+++ b/src/alerts/poll_rate/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use salttiller_records::units::SECOND;
 
-/// A poll rate of many times the usual rate is a storm. A slow rise is none, and neither is a high
-/// multiple of a low usual rate.
+/// A poll rate of many times the usual rate is a storm. A slow rise is not a storm, and neither is
+/// a high multiple of a low usual rate.
 #[test]
 fn only_sudden_high_rates_are_storms() {
     let mut rate = PollRate::default();
--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Returns the next call, if one is due, and the time at which to call this again.
+    /// Returns the next call, if one is due, and the time at which to call this method again.
     pub fn next_call(&mut self, now: Micros) -> (Option<CloudCall>, Micros) {
         if self.in_flight.is_some() || self.queue.is_empty() {
             return (None, now + IDLE_POLL_INTERVAL);
--- a/src/cloud/inventory.rs
+++ b/src/cloud/inventory.rs
@@ -17,7 +17,7 @@
     pub name: String,
     /// The offer from which the machine was rented.
     pub offer: Offer,
-    /// Whether the machine has stopped by itself.
+    /// Whether the machine has stopped without having been released.
     pub failed: bool,
     /// Time since the machine was rented, by the cloud's clock.
     pub age: Micros,
--- a/src/cloud/pacing.rs
+++ b/src/cloud/pacing.rs
@@ -8,7 +8,7 @@
 const LEADER_SHARE: f64 = 0.6;
 /// Share of the rate limit that all other controllers divide among themselves.
 const FOLLOWERS_SHARE: f64 = 0.3;
-/// Subtracted from the number of controllers to get the number of followers. The value is
+/// Number that is subtracted from the number of controllers to get the followers. The value is
 /// slightly less than the one leader, so that all controllers together stay below the rate
 /// limit.
 const LEADER_COUNT: f64 = 0.99;
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -33,7 +33,7 @@
     let mut now = 1;
     let mut bodies = Vec::new();
     for result in [
-        Err(CallError::NoAnswer),
+        Err(CallError::NoResponse),
         response(503, json!({"error": "trouble"})),
         response(429, json!({})),
         response(200, json!({"tillers": ["m-1"]})),
--- a/src/cloud/wire.rs
+++ b/src/cloud/wire.rs
@@ -8,7 +8,7 @@
 use salttiller_records::model::MachineType;
 use salttiller_records::units;
 
-/// State in which the cloud lists a machine that has stopped by itself.
+/// State in which the cloud lists a machine that has stopped without having been released.
 const FAILED_STATE: &str = "failed";
 /// Error with which the cloud refuses a rental for lack of capacity.
 const NO_CAPACITY_ERROR: &str = "no capacity";
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -1,5 +1,5 @@
-//! Commands of the program, and what they share: the settings files, the errors and the exit
-//! codes. Each command has its own submodule.
+//! Commands of the program, each in its own submodule. This module defines the settings files, the
+//! errors and the exit codes that the commands share.
 
 pub(crate) mod check;
 pub(crate) mod serve;
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -35,7 +35,7 @@
         "name": settings.name,
         "regions": settings.regions(),
         "teams": settings.teams.len(),
-        "grant_life_ms": settings.owner_lease_life() / MILLISECOND,
+        "grant_life_ms": settings.owner_lease_duration() / MILLISECOND,
         "precedence": settings.operator.class_precedence,
         "precedence_without_aim": precedence_without_objective(settings),
     });
@@ -49,7 +49,7 @@
         settings.name,
         settings.regions().len(),
         settings.teams.len(),
-        to_seconds(settings.owner_lease_life()),
+        to_seconds(settings.owner_lease_duration()),
         if precedence.is_empty() {
             "none".to_owned()
         } else {
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a controller until the process is killed.
+//! The default command, which runs a controller until the process is killed.
 
 use std::io::Write;
 use std::process::ExitCode;
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -181,9 +181,9 @@
             self.cluster.incarnation(),
             settings.zone,
             settings.peers.len(),
-            settings.owner_lease_life() / MILLISECOND
+            settings.owner_lease_duration() / MILLISECOND
         );
-        self.cluster.now = self.net.clock();
+        self.cluster.now = self.net.monotonic_now();
         self.cluster.state_store.request_lease(LeaseRole::Owner);
         if self.cluster.settings.operator.detect_lost_records {
             self.data_loss
@@ -193,7 +193,7 @@
 
     /// Handles a network event.
     pub fn handle(&mut self, event: NetEvent) {
-        self.cluster.now = self.net.clock();
+        self.cluster.now = self.net.monotonic_now();
         match event {
             NetEvent::Request(conn, request) => self.on_request(conn, &request),
             NetEvent::Response(call, result) => self.on_response(call, result),
@@ -203,7 +203,7 @@
 
     /// Performs all due work. Returns the time of the next step.
     pub fn step(&mut self) -> Micros {
-        self.cluster.now = self.net.clock();
+        self.cluster.now = self.net.monotonic_now();
         self.apply_hold_record();
         let mut next = if self.is_hold_active() {
             self.manage_hold()
@@ -245,7 +245,7 @@
             .respond(conn, Response::refusal(status, retry_after_s));
     }
 
-    /// Refuses a request that can't be served at present; the client may retry.
+    /// Refuses a request that can't be handled at present; the client may retry.
     fn refuse_unavailable(&mut self, conn: ConnectionId) {
         self.refuse(conn, http_status::UNAVAILABLE, http_status::RETRY_AFTER_S);
     }
--- a/src/controller/broadcasts.rs
+++ b/src/controller/broadcasts.rs
@@ -4,7 +4,7 @@
 use salttiller_records::units::{Micros, MILLISECOND};
 
 use super::Controller;
-use crate::peer_protocol::{self, Message, RegionReport, UNDERSTANDS_EXTENSIONS};
+use crate::peer_protocol::{self, Message, RegionReport, SUPPORTS_EXTENSIONS};
 use crate::reactor::Net;
 
 /// Interval between state messages.
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Broadcasts {
     next_state_at: Micros,
-    /// Number of state messages sent so far.
+    /// Number of rounds of state messages so far.
     state_rounds: u32,
     /// Jobs whose cancellation this controller committed and has not announced to the peers yet.
     cancelled_jobs: Vec<String>,
@@ -50,7 +50,7 @@
         if !self.cluster.has_authority() {
             return Vec::new();
         }
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         let regions = self.ownership.regions();
         regions.map(|region| region.report(&context)).collect()
     }
@@ -92,7 +92,7 @@
     fn encode_state(&self, regions: Vec<RegionReport>) -> Vec<u8> {
         peer_protocol::encode(&Message::ControllerState {
             from: self.cluster.settings.name.clone(),
-            incarnation: self.cluster.incarnation() | UNDERSTANDS_EXTENSIONS,
+            incarnation: self.cluster.incarnation() | SUPPORTS_EXTENSIONS,
             reads_recent: self.cluster.is_fresh(),
             regions,
         })
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -1,10 +1,10 @@
 //! Users' requests: submissions, cancellations and polls of the state of jobs.
 //!
-//! No response shows an older state than an earlier response of any controller. Final job states
-//! are answered from the replica. Every other request waits for a read of the state service that
-//! begins after the request was received (see `pending_requests`), and is refused if that read is
-//! not complete in time. The modules `submissions` and `cancellations` handle the requests that
-//! change a job.
+//! No response shows an older state than an earlier response of any controller. A request about a
+//! job in a final state is answered from the replica. Every other request waits for a read of the
+//! state service that begins after the request was received (see `pending_requests`), and is
+//! refused if that read is not complete in time. The modules `submissions` and `cancellations`
+//! handle the requests that change a job.
 
 mod cancellations;
 mod submissions;
@@ -85,10 +85,10 @@
         }
     }
 
-    /// Returns whether requests can be answered at present; refuses the request if not. The
-    /// concurrency limit doesn't apply to polls and cancellations: any number of them share one
-    /// read of the state service, and a user whose polls were refused repeatedly would abandon
-    /// the job.
+    /// Returns whether the replica is loaded and the state service responds, so that requests can
+    /// be answered; refuses the request if not. The concurrency limit doesn't apply to polls and
+    /// cancellations: any number of them share one read of the state service, and a user whose
+    /// polls were refused repeatedly would abandon the job.
     fn is_answerable(&mut self, conn: ConnectionId) -> bool {
         let state_store = &self.cluster.state_store;
         let is_answerable = state_store.is_loaded() && !state_store.is_failing();
--- a/src/controller/client_requests/submissions.rs
+++ b/src/controller/client_requests/submissions.rs
@@ -19,7 +19,7 @@
 impl<N: Net> Controller<N> {
     /// Handles a submission: validates, admits and commits the job.
     pub(super) fn on_submission(&mut self, conn: ConnectionId, body: &[u8]) {
-        let (job, spec) = match admission::parse_submission(body, self.net.wall()) {
+        let (job, spec) = match admission::parse_submission(body, self.net.wall_clock_now()) {
             Ok(submission) => submission,
             Err(error) => {
                 log::debug!("submission rejected: {error}");
@@ -56,7 +56,7 @@
     fn refuse_submission(&mut self, conn: ConnectionId, job: String, refusal: &AdmissionError) {
         match refusal {
             AdmissionError::Undecided(reason) => {
-                log::info!("job={job}: submission refused for now: {reason}");
+                log::info!("job={job}: submission cannot be decided yet, the client should retry: {reason}");
                 self.refuse_unavailable(conn);
             }
             AdmissionError::TooManyDependencies { .. } => {
@@ -117,7 +117,7 @@
         match outcome {
             CommitOutcome::Committed(_) => {
                 log::debug!("job={job}: accepted");
-                // The job is cancelled already if one of its dependencies is.
+                // A new job is already cancelled if one of its dependencies is cancelled.
                 let stage = self.cluster.state_store.replica.stage(&job);
                 let stage = stage.unwrap_or(JobStage::Open);
                 let body = admission::encode_job_state(&job, stage, None);
@@ -142,7 +142,9 @@
         let in_progress = self.client_requests.committing;
         let is_admitted = self.client_requests.limiter.admits(in_progress);
         if !is_admitted {
-            log::info!("submission refused, {in_progress} requests in progress");
+            log::info!(
+                "submission refused, concurrency limit reached: {in_progress} requests in progress"
+            );
             self.refuse(conn, TOO_MANY_REQUESTS, RETRY_AFTER_S);
         }
         is_admitted
--- a/src/controller/cluster_state.rs
+++ b/src/controller/cluster_state.rs
@@ -101,7 +101,7 @@
     pub(super) fn holder(&self, name: &str, incarnation: u64) -> RecordedHolder {
         if name != self.settings.name {
             RecordedHolder::OtherController
-        } else if incarnation == self.incarnation || is_disabled(Safeguard::RunNumber) {
+        } else if incarnation == self.incarnation || is_disabled(Safeguard::Incarnation) {
             RecordedHolder::ThisIncarnation
         } else {
             RecordedHolder::FormerIncarnation
@@ -131,7 +131,7 @@
         self.settings.peers.iter().position(|p| p.name == name)
     }
 
-    /// Returns a peer's index if the peer understands the messages that were added in 0.5.
+    /// Returns a peer's index if the peer supports the messages that were added in 0.5.
     pub(super) fn peer_with_extensions(&self, name: &str) -> Option<usize> {
         self.peer_index(name)
             .filter(|_| self.peers.supports_extensions(name))
@@ -183,7 +183,7 @@
     }
 
     /// Whether users should send requests to this controller. A controller stays ready if no peer
-    /// reaches the state service either, because another controller couldn't serve the requests.
+    /// reaches the state service either, because no other controller could handle the requests.
     pub(super) fn is_ready(&self) -> bool {
         self.state_store.is_loaded()
             && (self.is_fresh() || self.peers.none_reaches_state_store(self.now))
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -58,7 +58,7 @@
 
     /// Handles the end of a commit, either a region's or the controller's own.
     pub(super) fn on_committed(&mut self, ticket: u64, outcome: &CommitOutcome) {
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         let is_region_commit = self
             .ownership
             .regions_mut()
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -3,7 +3,7 @@
 //!
 //! During a hold, regions are owned under the usual leases and fencing tokens, so that one
 //! controller is responsible for each region, and workers' leases are renewed. No task is started
-//! or reaped and no machine is rented or returned; only tasks of jobs that are known to be
+//! or reaped and no machine is rented or released; only tasks of jobs that are known to be
 //! cancelled are stopped. Users receive the final job states on record; all other requests are
 //! refused. The hold has a record of its own, so that every controller takes part in it, also after
 //! a restart, until an operator's decision is added to the record. See docs/recovery.md.
@@ -90,8 +90,8 @@
         }
         let now = self.cluster.now;
         let owned_before = self.ownership.take_owned_before_loss(now);
-        // A controller that learns of the loss from the hold's record also reads all records again:
-        // its replica may mix the lost history with changes of the history that replaced it.
+        // A controller that begins the hold because of the hold's record also reads all records
+        // again: its replica may mix the lost history with changes of the history that replaced it.
         let mut events = Vec::new();
         let replica_before_loss = self.cluster.state_store.forget_history(&mut events);
         self.on_state_store_events(events);
@@ -170,7 +170,7 @@
         self.ownership.on_hold_ended();
     }
 
-    /// Delays task starts after the operators' decision.
+    /// Delays task starts after the operators' decision on lost records.
     ///
     /// Guards against starting a second copy of a task that runs on a machine whose record was
     /// lost: reconciliation doesn't wait for that machine. The controller that renewed the
@@ -180,7 +180,7 @@
         if is_disabled(Safeguard::UnrecordedMachines) {
             return;
         }
-        let authority = add_drift(self.cluster.settings.owner_lease_life());
+        let authority = add_drift(self.cluster.settings.owner_lease_duration());
         let worker_lease = add_drift(self.cluster.settings.worker_lease);
         self.cluster.starts_after =
             Some(self.cluster.now + authority + worker_lease + AUTHORITY_MARGIN);
@@ -221,7 +221,7 @@
         let record = DataLossHoldRecord {
             incident: hold.incident,
             by: self.cluster.settings.name.clone(),
-            at: self.net.wall(),
+            at: self.net.wall_clock_now(),
             seen: hold.finding.to_string(),
             accepted: None,
         };
--- a/src/controller/data_loss_hold/evidence.rs
+++ b/src/controller/data_loss_hold/evidence.rs
@@ -17,7 +17,7 @@
     /// Returns whether a heartbeat contradicts the replica. If so, requests a read that shows
     /// whether records are lost; the caller must not act on the heartbeat.
     pub(in crate::controller) fn contradicts_records(&mut self, heartbeat: &Heartbeat) -> bool {
-        if is_disabled(Safeguard::ReportEvidence) {
+        if is_disabled(Safeguard::HeartbeatEvidence) {
             return false;
         }
         let is_decision_recent = self.is_decision_recent();
@@ -45,7 +45,7 @@
     pub(super) fn is_decision_recent(&self) -> bool {
         let hold = self.cluster.state_store.replica.data_loss_hold.as_ref();
         let accepted = hold.and_then(|hold| hold.value.accepted.as_ref());
-        let wall = self.net.wall();
+        let wall = self.net.wall_clock_now();
         accepted.is_some_and(|accepted| wall < accepted.at + UNRECORDED_JOBS_GRACE_PERIOD)
     }
 
--- a/src/controller/data_loss_hold/kept_regions.rs
+++ b/src/controller/data_loss_hold/kept_regions.rs
@@ -1,6 +1,6 @@
 //! Kept regions: regions that this controller owns during a hold. A kept region is acquired by
-//! the usual transaction under a fencing token above all known ones, but not scheduled: its owner
-//! only renews the leases of the region's workers.
+//! the usual transaction under a fencing token above all known ones. Its owner schedules no tasks
+//! and only renews the leases of the region's workers.
 
 use std::collections::BTreeMap;
 
@@ -141,17 +141,17 @@
         if !outcome.is_committed() {
             hold.kept.next_attempt_at = now + ACQUISITION_BACKOFF;
             if matches!(outcome, CommitOutcome::Refused) {
-                // The lease was lost in another loss of records; its next renewal would only
-                // show that later.
+                // A refusal shows that the lease was lost in another loss of records. Without a
+                // new request, the loss would only be detected at the lease's next renewal.
                 self.cluster.state_store.release_lease(LeaseRole::Owner);
                 self.cluster.state_store.request_lease(LeaseRole::Owner);
             }
             return;
         }
         self.ownership.on_owner_recorded(&region);
-        // Guards against renewing a machine's lease while a former owner that has not noticed the
-        // loss considers the machine empty and starts its tasks elsewhere.
-        let former_authority = add_drift(self.cluster.settings.owner_lease_life());
+        // Guards against renewing a machine's lease while a former owner that has not detected the
+        // loss considers the machine empty and starts its tasks on other machines.
+        let former_authority = add_drift(self.cluster.settings.owner_lease_duration());
         let answers_from = if hold.owned_before.contains(&region) {
             now
         } else {
--- a/src/controller/data_loss_hold/requests.rs
+++ b/src/controller/data_loss_hold/requests.rs
@@ -16,7 +16,7 @@
 const UNVERIFIED_RETRY_AFTER_S: u32 = 1;
 
 impl<N: Net> Controller<N> {
-    /// Answers a heartbeat during a hold: renews the worker's lease if this controller owns the
+    /// Responds to a heartbeat during a hold: renews the worker's lease if this controller owns the
     /// worker's region.
     pub(in crate::controller) fn on_heartbeat_in_hold(
         &mut self,
@@ -52,7 +52,7 @@
 
     /// Returns the region of a machine according to its record or to the replica from before the
     /// loss. A machine that is in neither counts as part of this controller's home region: no
-    /// controller sends it commands, so any controller may renew its lease.
+    /// controller schedules tasks on such a machine, so any controller may renew its lease.
     fn region_in_hold(&self, machine: &str) -> String {
         let recorded = self.cluster.state_store.replica.machines.get(machine);
         let hold = self.data_loss.hold.as_ref();
@@ -95,9 +95,9 @@
     /// request. Returns `false` without a response if the request can be handled normally.
     ///
     /// Requests are answered from the records only during a hold, and after a start until workers
-    /// have had time to contradict the records: until then, a job's record may be missing or as in
-    /// an older copy. Responses never use the replica from before the loss: if operators continue
-    /// without the lost records, later responses would contradict such a response.
+    /// have had time to contradict the records: until then, a job's record may be missing or may
+    /// come from an older copy. Responses never use the replica from before the loss: if operators
+    /// continue without the lost records, later responses would contradict such a response.
     pub(in crate::controller) fn answer_from_records_only(
         &mut self,
         conn: ConnectionId,
@@ -107,7 +107,7 @@
             return false;
         };
         let is_verified =
-            detection.is_proven(self.cluster.now) || is_disabled(Safeguard::ProvenStart);
+            detection.is_proven(self.cluster.now) || is_disabled(Safeguard::VerifiedStart);
         let retry_after_s = if self.is_hold_active() {
             HOLD_RETRY_AFTER_S
         } else if is_verified {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,5 +1,5 @@
 //! Workers' heartbeats and the responses to them. Each successful response renews a worker's
-//! lease, so a controller only sends it while it has authority.
+//! lease, so a controller sends one only while it has authority.
 
 use salttiller_protocol::http::Response;
 
@@ -42,9 +42,10 @@
         self.answer_heartbeat(conn, &region, &heartbeat);
     }
 
-    /// Redirects a machine without a record to the leader, which identifies the machine.
+    /// Redirects a machine without a record to the leader, which then requests the cloud's
+    /// inventory to identify the machine.
     fn redirect_unknown_machine(&mut self, conn: ConnectionId) {
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         if let Some(leader) = self.leadership.leader_mut() {
             leader.on_unknown_machine(&context);
             return self.redirect(conn, None);
@@ -69,25 +70,25 @@
 
     /// Applies a heartbeat to an owned region and responds with the region's commands.
     fn answer_heartbeat(&mut self, conn: ConnectionId, region: &str, heartbeat: &Heartbeat) {
-        self.cluster.now = self.net.clock();
+        self.cluster.now = self.net.monotonic_now();
         if !self.cluster.has_authority() {
             return self.refuse_unavailable(conn);
         }
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         let Some(owned) = self.ownership.get_mut(region) else {
             return;
         };
         let token = owned.token;
         let outcome = owned.on_heartbeat(heartbeat, &context);
-        let answer = self.heartbeat_response(region, token, heartbeat, outcome);
+        let response = self.heartbeat_response(region, token, heartbeat, outcome);
         // The authority is checked again right before the response is sent. A later pause is
         // harmless: the worker counts its lease from the time at which it sent the heartbeat, and
         // drops responses after 4 s.
-        self.cluster.now = self.net.clock();
-        if answer.status == OK && !self.cluster.has_authority() {
+        self.cluster.now = self.net.monotonic_now();
+        if response.status == OK && !self.cluster.has_authority() {
             return self.refuse_unavailable(conn);
         }
-        self.net.respond(conn, answer);
+        self.net.respond(conn, response);
     }
 
     fn heartbeat_response(
--- a/src/controller/leadership.rs
+++ b/src/controller/leadership.rs
@@ -142,7 +142,7 @@
             return;
         }
         log::info!("leading since revision {version}");
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         self.leadership.leader = Some(Leader::new(version, &context));
     }
 
@@ -186,7 +186,7 @@
         if self.cluster.now >= self.cluster.state_store.leader_until() {
             return next;
         }
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         let Some(leader) = self.leadership.leader_mut() else {
             return next;
         };
--- a/src/controller/monitoring.rs
+++ b/src/controller/monitoring.rs
@@ -27,7 +27,7 @@
 
 /// State of the monitoring.
 pub(super) struct Monitoring {
-    objectives: AlertMonitor,
+    alert_monitor: AlertMonitor,
     poll_rate: PollRate,
     next_evaluation_at: Micros,
     /// Number of jobs that waited for jobs without a record at the last evaluation.
@@ -39,7 +39,7 @@
     /// evaluation.
     pub(super) fn new(settings: &Settings) -> Self {
         Monitoring {
-            objectives: AlertMonitor::new(&settings.objectives, &settings.operator),
+            alert_monitor: AlertMonitor::new(&settings.objectives, &settings.operator),
             poll_rate: PollRate::default(),
             next_evaluation_at: 0,
             jobs_with_unknown_dependencies: 0,
@@ -51,9 +51,10 @@
         self.poll_rate.record();
     }
 
-    /// Fills in the objectives of the status page. `wall` is the wall-clock time.
+    /// Fills in the objectives, late pipelines and recent alerts of the status page. `wall` is the
+    /// wall-clock time.
     pub(super) fn fill_status_page(&mut self, page: &mut Status, wall: Micros) {
-        self.objectives.fill_status(page, wall);
+        self.alert_monitor.fill_status(page, wall);
     }
 }
 
@@ -95,8 +96,8 @@
         self.monitoring.next_evaluation_at = now + EVALUATION_INTERVAL;
         let mut alerts = self.evaluate_objectives();
         let conditions = self.conditions();
-        let objectives = &mut self.monitoring.objectives;
-        alerts.extend(objectives.observe_conditions(conditions, now));
+        let alert_monitor = &mut self.monitoring.alert_monitor;
+        alerts.extend(alert_monitor.observe_conditions(conditions, now));
         if self.leadership.is_leading() || self.is_hold_active() {
             alerts.iter().for_each(log_alert);
         }
@@ -151,9 +152,9 @@
         });
         let is_done = |id: &str| replica.stage(id) == Some(JobStage::Done);
         let is_open = |id: &str| replica.stage(id) == Some(JobStage::Open);
-        let wall = self.net.wall();
-        let objectives = &mut self.monitoring.objectives;
-        objectives.observe_jobs(open_jobs, is_done, is_open, wall, &cause)
+        let wall = self.net.wall_clock_now();
+        let alert_monitor = &mut self.monitoring.alert_monitor;
+        alert_monitor.observe_jobs(open_jobs, is_done, is_open, wall, &cause)
     }
 
     /// Returns the conditions that need operators' attention and that this controller observes.
@@ -205,8 +206,8 @@
     }
 
     /// Logs a warning when the number of jobs that wait for dependencies without a record
-    /// increases. Only a damaged state service causes such dependencies. The jobs keep waiting
-    /// and none of their tasks starts.
+    /// increases. Such dependencies occur only if the state service damaged or lost records. The
+    /// jobs keep waiting and none of their tasks starts.
     fn check_unknown_dependencies(&mut self) {
         let replica = &self.cluster.state_store.replica;
         let waiting = replica.waiting_for_unknown();
--- a/src/controller/outstanding_calls.rs
+++ b/src/controller/outstanding_calls.rs
@@ -28,7 +28,7 @@
 
 impl<N: Net> Controller<N> {
     /// Sends the calls that the state service's client requests. Returns the client's events and
-    /// the time at which to call it again.
+    /// the time at which to call this method again.
     pub(super) fn call_state_store(&mut self) -> (Vec<StateStoreEvent>, Micros) {
         let mut events = Vec::new();
         let now = self.cluster.now;
@@ -48,7 +48,7 @@
     }
 
     /// Sends the call that the cloud's client requests, if any. Returns the time at which to call
-    /// it again.
+    /// this method again.
     pub(super) fn call_cloud(&mut self) -> Micros {
         self.cloud_client.set_leading(self.leadership.is_leading());
         let (call, next) = self.cloud_client.next_call(self.cluster.now);
@@ -81,7 +81,7 @@
     }
 
     fn on_state_store_response(&mut self, op: u64, result: Result<Response, CallError>) {
-        if matches!(result, Err(CallError::NoAnswer)) {
+        if matches!(result, Err(CallError::NoResponse)) {
             // After a partition, calls on the other idle connections would time out, too.
             self.net.close_idle_connections(STATE_STORE);
         }
@@ -93,7 +93,7 @@
     }
 
     fn on_cloud_event(&mut self, event: &CloudEvent) {
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         if let CloudEvent::Released(machines) = event {
             for region in self.ownership.regions_mut() {
                 region.on_released(machines, &context);
--- a/src/controller/owner_reachability.rs
+++ b/src/controller/owner_reachability.rs
@@ -264,12 +264,12 @@
             return;
         }
         // Guards against releasing a region because its machines contacted peers while this
-        // controller couldn't answer, for example in an outage: these machines return by
-        // themselves.
+        // controller couldn't answer, for example in an outage: these machines contact their owner
+        // again without a release.
         let able_since = *self.reachability.able_to_answer_since.get_or_insert(now);
         let notifications = &mut self.reachability.notifications;
         notifications.retain(|_, n| now < n.received_at + NOTIFICATION_VALIDITY);
-        if is_disabled(Safeguard::UnreachedRelease) {
+        if is_disabled(Safeguard::UnreachableOwnerRelease) {
             return;
         }
         for (region, version) in self.unreachable_regions(able_since) {
@@ -288,7 +288,7 @@
             return Vec::new();
         }
         let now = self.cluster.now;
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         let notified = self.reachability.notifications.iter();
         notified
             .filter_map(|(name, notification)| Some((self.ownership.get(name)?, notification)))
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -27,7 +27,7 @@
     fn on_decode_failure(&mut self, now: Micros) {
         if now >= self.next_decode_failure_log_at {
             self.next_decode_failure_log_at = now + DECODE_FAILURE_LOG_INTERVAL;
-            log::warn!("ignoring messages that can't be decoded");
+            log::warn!("ignoring peer protocol messages that can't be decoded");
         }
     }
 }
@@ -88,10 +88,20 @@
         }
     }
 
-    /// Handles a peer's state message: its health and the reports of its regions.
-    fn on_peer_state(&mut self, from: &str, run: u64, fresh: bool, reports: Vec<RegionReport>) {
+    /// Handles a peer's state message: records the peer's health and the reports of its regions.
+    fn on_peer_state(
+        &mut self,
+        from: &str,
+        incarnation: u64,
+        reads_recent: bool,
+        reports: Vec<RegionReport>,
+    ) {
         let now = self.cluster.now;
-        if !self.cluster.peers.on_state(from, run, fresh, now) {
+        if !self
+            .cluster
+            .peers
+            .on_state(from, incarnation, reads_recent, now)
+        {
             log::info!("ignoring a state message from unknown controller {from}");
             return;
         }
@@ -112,7 +122,7 @@
         if !self.cluster.has_authority() || !is_known {
             return;
         }
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         if let Some(region) = self.ownership.get_mut(from) {
             region.hand_over_tasks(job, to, count, &context);
         }
@@ -129,7 +139,7 @@
             if is_recorded || !is_job_id(job) || !self.cluster.cancellations.record(job) {
                 continue;
             }
-            let context = self.cluster.scheduling_context(self.net.wall());
+            let context = self.cluster.scheduling_context(self.net.wall_clock_now());
             for region in self.ownership.regions_mut() {
                 region.on_reported_cancelled(job, &context);
             }
@@ -146,7 +156,7 @@
     /// Handles the leader's request to cordon at most `count` surplus machines of a pool in an
     /// owned region.
     fn on_cordon_request(&mut self, region: &str, pool: &MachinePool, count: u32) {
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         if let Some(region) = self.ownership.get_mut(region) {
             region.cordon_surplus(pool, count, &context);
         }
@@ -155,7 +165,7 @@
     /// Handles the leader's message that every part of a multi-region gang has its places
     /// reserved: starts the part of an owned region.
     fn on_gang_start(&mut self, job: &str, attempt: u64, region: &str) {
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         if let Some(region) = self.ownership.get_mut(region) {
             region.start_gang_part(job, attempt, &context);
         }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -6,7 +6,7 @@
 
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
-use crate::peer_protocol::UNDERSTANDS_EXTENSIONS;
+use crate::peer_protocol::SUPPORTS_EXTENSIONS;
 use crate::settings::Peer as PeerSettings;
 
 /// Time without a state message after which a peer is considered unreachable.
@@ -26,9 +26,9 @@
     is_fresh: bool,
     /// Start of the uninterrupted time in which the peer reported that its replica is stale.
     stale_since: Option<Micros>,
-    /// Start of the uninterrupted time in which the peer was reachable and its replica fresh.
+    /// Start of the uninterrupted time in which the peer was reachable and its replica up to date.
     healthy_since: Option<Micros>,
-    /// Whether the peer understands the messages that were added in 0.5.
+    /// Whether the peer supports the messages that were added in 0.5.
     supports_extensions: bool,
 }
 
@@ -70,19 +70,26 @@
         }
     }
 
-    /// Records a state message. Returns `false` if its sender is not in the settings. `run` is the
-    /// sender's incarnation combined with its protocol flags.
+    /// Records a state message. Returns `false` if its sender is not in the settings. `incarnation`
+    /// includes the bit [`SUPPORTS_EXTENSIONS`], and `reads_recent` is whether the sender's replica
+    /// was recently up to date.
     #[must_use]
-    pub(super) fn on_state(&mut self, from: &str, run: u64, is_fresh: bool, now: Micros) -> bool {
+    pub(super) fn on_state(
+        &mut self,
+        from: &str,
+        incarnation: u64,
+        reads_recent: bool,
+        now: Micros,
+    ) -> bool {
         let Some(peer) = self.peers.get_mut(from) else {
             return false;
         };
-        peer.supports_extensions = run & UNDERSTANDS_EXTENSIONS != 0;
-        peer.on_state(is_fresh, now);
+        peer.supports_extensions = incarnation & SUPPORTS_EXTENSIONS != 0;
+        peer.on_state(reads_recent, now);
         true
     }
 
-    /// Whether a peer understands the messages that were added in 0.5.
+    /// Whether a peer supports the messages that were added in 0.5.
     pub(super) fn supports_extensions(&self, name: &str) -> bool {
         self.peers.get(name).is_some_and(|p| p.supports_extensions)
     }
--- a/src/controller/peers/tests.rs
+++ b/src/controller/peers/tests.rs
@@ -16,13 +16,13 @@
     Peers::new(&settings)
 }
 
-/// A peer's healthy time counts only while fresh state messages arrive without a gap. Otherwise a
-/// region could be released to an unstable home.
+/// A peer's healthy time counts only while state messages arrive without a gap and report an
+/// up-to-date replica. Otherwise a region could be released to an unstable home.
 #[test]
 fn healthy_time_restarts_after_a_gap_or_failed_reads() {
     let mut peers = peers(&["c-1"]);
-    // Time of a message in seconds, whether the sender's replica is fresh, and the start of the
-    // peer's healthy time after the message.
+    // Time of a message in seconds, whether the sender's replica is up to date, and the start of
+    // the peer's healthy time after the message.
     let messages = [
         (10, true, Some(10)),
         (12, true, Some(10)),
@@ -50,7 +50,7 @@
         "a sender that is not in the settings is rejected"
     );
     assert!(!peers.supports_extensions("c-1"));
-    assert!(peers.on_state("c-1", 7 | UNDERSTANDS_EXTENSIONS, true, 0));
+    assert!(peers.on_state("c-1", 7 | SUPPORTS_EXTENSIONS, true, 0));
     assert!(peers.supports_extensions("c-1"));
 }
 
--- a/src/controller/pending_requests.rs
+++ b/src/controller/pending_requests.rs
@@ -1,6 +1,6 @@
 //! Users' requests that wait for a read of the state service that begins after they were
-//! received. The cost of an event that concerns none of the requests doesn't depend on their
-//! number.
+//! received. The cost of an event that concerns no pending request doesn't depend on the number of
+//! pending requests.
 
 use std::collections::VecDeque;
 
@@ -13,7 +13,8 @@
 #[derive(Debug)]
 pub(super) enum ClientRequest {
     /// Return the state of a job. `submitted` is set for a submission that may repeat an earlier
-    /// one: if the job has no record, it is then refused instead of reported as not found.
+    /// one: if the job has no record, such a request is refused as unprocessable instead of as not
+    /// found.
     JobState { job: String, submitted: bool },
     /// Cancel a job.
     Cancel { job: String },
--- a/src/controller/region_reports.rs
+++ b/src/controller/region_reports.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(super) struct RegionReports {
     latest: Reports,
-    /// Teams whose quota is used up according to other owners' regions, with the scheduling order
+    /// Teams whose quota is used up according to other owners' regions, with the scheduling rank
     /// of the first job that lacks quota.
     quota_blocked_teams: BTreeMap<String, u64>,
 }
@@ -52,7 +52,7 @@
     }
 
     /// Returns the teams whose quota is used up according to other owners' regions, with the
-    /// scheduling order of the first job that lacks quota.
+    /// scheduling rank of the first job that lacks quota.
     pub(super) fn quota_blocked_teams(&self) -> &BTreeMap<String, u64> {
         &self.quota_blocked_teams
     }
--- a/src/controller/region_reports/tests.rs
+++ b/src/controller/region_reports/tests.rs
@@ -15,8 +15,8 @@
             .map(|(team, at)| ((*team).to_owned(), *at))
             .collect(),
         gang_parts_ready: Vec::new(),
-        estimated: 0.0,
-        actual: 0.0,
+        estimated_cpu_time: 0.0,
+        actual_cpu_time: 0.0,
     }
 }
 
--- a/src/controller/regions.rs
+++ b/src/controller/regions.rs
@@ -26,9 +26,9 @@
 /// The record of a region's owner as the replica shows it.
 #[derive(Debug, Clone, Copy)]
 struct OwnerRecord {
-    /// 0 if there is none.
+    /// Version of the record, or 0 if there is no record.
     version: u64,
-    /// 0 if there is none.
+    /// Fencing token of the owner, or 0 if there is no record.
     token: u64,
     owner: RecordedHolder,
 }
@@ -67,7 +67,7 @@
                 log::info!("region={region}: owned by a former incarnation, releasing");
                 self.release_region(region, record.version);
             }
-            // The former process is gone, or a higher token is needed.
+            // A former incarnation no longer acts, and a reacquisition needs a higher token.
             RecordedHolder::ThisIncarnation | RecordedHolder::FormerIncarnation => {
                 self.acquire_region(region, record.owner);
             }
@@ -104,7 +104,7 @@
             return;
         };
         if record.owner != RecordedHolder::ThisIncarnation || record.token != token {
-            log::info!("region={region} token={token}: lost, no longer owned on record");
+            log::info!("region={region} token={token}: ownership lost: the region's record no longer names this owner and token");
             self.ownership.on_lost(region);
         }
     }
@@ -117,7 +117,7 @@
             return;
         }
         log::info!("region={region} token={}: acquired", record.token);
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         let region = Region::new(region, record.token, record.version, &context);
         self.ownership.on_acquired(region);
     }
@@ -233,7 +233,7 @@
         if !self.cluster.has_authority() {
             return next;
         }
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         let mut actions = Vec::new();
         for region in self.ownership.regions_mut() {
             next = next.min(region.tick(&context));
--- a/src/controller/state_store_events.rs
+++ b/src/controller/state_store_events.rs
@@ -51,7 +51,7 @@
         replica.take_changed_machines();
         self.cluster.cancellations.retain_unrecorded(replica);
         replica.take_changed_specs();
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         for region in self.ownership.regions_mut() {
             region.on_replica_reloaded(&context);
         }
@@ -75,7 +75,7 @@
         let machines = replica.take_changed_machines();
         let respecified_jobs = replica.take_changed_specs();
         self.on_machines_changed(&machines);
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         for job in &respecified_jobs {
             for region in self.ownership.regions_mut() {
                 region.on_job(job, &context);
@@ -97,7 +97,7 @@
     }
 
     fn on_machines_changed(&mut self, machines: &[String]) {
-        let context = self.cluster.scheduling_context(self.net.wall());
+        let context = self.cluster.scheduling_context(self.net.wall_clock_now());
         for machine in machines {
             for region in self.ownership.regions_mut() {
                 region.on_machine(machine, &context);
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -27,7 +27,8 @@
             pending_tasks: self.pending_work().into_iter().collect(),
             ..Default::default()
         };
-        self.monitoring.fill_status_page(&mut page, self.net.wall());
+        self.monitoring
+            .fill_status_page(&mut page, self.net.wall_clock_now());
         page
     }
 
--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -11,13 +11,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Safeguard {
     /// A new owner reconciles every machine of its region before it restarts tasks.
-    Recovery,
+    Reconciliation,
     /// An owner's authority ends at a deadline of the owner's own clock.
     AuthorityDeadline,
     /// A heartbeat is applied only if it is newer than all earlier ones of its machine.
-    ReportOrder,
-    /// Tasks are started only after a recent read of the state store, and cancellations that peers
-    /// report take effect immediately.
+    HeartbeatOrder,
+    /// Tasks are started only after a recent read of the state service, and cancellations that
+    /// peers report take effect immediately.
     StartDeadline,
     /// No task starts before all dependencies of its job are done.
     DependencyCheck,
@@ -30,11 +30,11 @@
     /// Every transaction is conditional on the revisions of the records it relies on.
     RevisionConditions,
     /// A controller does not treat the records of its earlier incarnations as its own.
-    RunNumber,
+    Incarnation,
     /// A job is done only when the results of all its tasks are known.
     CompleteResults,
     /// An owner that its workers cannot reach releases its region.
-    UnreachedRelease,
+    UnreachableOwnerRelease,
     /// While the provisioning of a machine pool is degraded, machines are rented as probes with
     /// backoff.
     DegradedProvisioning,
@@ -43,10 +43,10 @@
     /// A history of the records that differs from the known history is detected.
     KnownHistory,
     /// Workers' heartbeats are checked against the records for evidence of data loss.
-    ReportEvidence,
+    HeartbeatEvidence,
     /// After a start, a controller neither accepts nor rejects unknown jobs until workers have had
     /// time to send heartbeats.
-    ProvenStart,
+    VerifiedStart,
     /// The fencing tokens issued during a data-loss hold exceed all tokens seen before.
     SufficientToken,
     /// After the operators' decision on lost records, no task starts until the leases of machines
--- a/src/leader/demand.rs
+++ b/src/leader/demand.rs
@@ -126,8 +126,8 @@
             let all = reports.values().map(|received| work(&received.report));
             all.sum::<f64>()
         };
-        let estimated = total(|report| report.estimated);
-        let actual = total(|report| report.actual);
+        let estimated = total(|report| report.estimated_cpu_time);
+        let actual = total(|report| report.actual_cpu_time);
         if estimated > MIN_MEASURED_RUN_TIME as f64 * self.smoothed_job_size {
             let (min, max) = ACCURACY_BOUNDS;
             self.estimate_accuracy = (actual / estimated).clamp(min, max);
--- a/src/leader/provisioning_batches/tests.rs
+++ b/src/leader/provisioning_batches/tests.rs
@@ -14,8 +14,8 @@
         running_tasks: Vec::new(),
         quota_blocked_teams: Vec::new(),
         gang_parts_ready: Vec::new(),
-        estimated: 0.0,
-        actual: 0.0,
+        estimated_cpu_time: 0.0,
+        actual_cpu_time: 0.0,
     };
     let received = ReceivedReport {
         report,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! A two-level cluster scheduler. The leader binds jobs to regions of machines, and the owner of
-//! a region places the tasks on the machines of its region. See docs/design.md.
+//! A hierarchical cluster scheduler with two levels. The leader binds jobs to regions of machines,
+//! and the owner of a region places the tasks on the machines of its region. See docs/design.md.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/peer_protocol.rs
+++ b/src/peer_protocol.rs
@@ -10,7 +10,7 @@
 mod status;
 
 pub use codec::{decode, encode};
-pub use message::{Message, UNDERSTANDS_EXTENSIONS};
+pub use message::{Message, SUPPORTS_EXTENSIONS};
 pub use region_report::{
     FreeResources, PendingJob, PoolCapacity, ProvisioningHealth, RegionReport, RunningTasks,
 };
--- a/src/peer_protocol/message.rs
+++ b/src/peer_protocol/message.rs
@@ -15,9 +15,9 @@
     ControllerState {
         /// Name of the sender.
         from: String,
-        /// Incarnation of the sender's process, with the bit [`UNDERSTANDS_EXTENSIONS`].
+        /// Incarnation of the sender's process, with the bit [`SUPPORTS_EXTENSIONS`].
         incarnation: u64,
-        /// Whether the sender's replica was recently up to date with the state store.
+        /// Whether the sender's replica was recently up to date with the state service.
         reads_recent: bool,
         /// Reports of the regions that the sender owns.
         regions: Vec<RegionReport>,
@@ -61,14 +61,14 @@
     /// Response with the status page.
     StatusResponse(Status),
     /// Jobs whose cancellation the sender has committed. The message is a hint: an owner whose
-    /// requests the state store refuses can stop the jobs before it reads their cancellation.
+    /// requests the state service refuses can stop the jobs before it reads their cancellation.
     JobsCancelled {
         /// Cancelled jobs.
         jobs: Vec<String>,
     },
     /// Notification to an owner that workers of its region contact the sender because they cannot
     /// reach the owner. Sent only to peers that support this message, see
-    /// [`UNDERSTANDS_EXTENSIONS`].
+    /// [`SUPPORTS_EXTENSIONS`].
     OwnerUnreachable {
         /// Region.
         region: String,
@@ -78,7 +78,7 @@
         machines: u32,
     },
     /// Report to the leader about the provisioning of machines in a region. Sent only to peers
-    /// that support this message, see [`UNDERSTANDS_EXTENSIONS`].
+    /// that support this message, see [`SUPPORTS_EXTENSIONS`].
     ProvisioningHealth {
         /// Region.
         region: String,
@@ -90,4 +90,4 @@
 /// Bit that a controller sets in the incarnation of [`Message::ControllerState`] to announce
 /// support for [`Message::OwnerUnreachable`] and [`Message::ProvisioningHealth`]. The bit is free
 /// since incarnations are below 2^53, and earlier versions ignore the incarnation in this message.
-pub const UNDERSTANDS_EXTENSIONS: u64 = 1 << 62;
+pub const SUPPORTS_EXTENSIONS: u64 = 1 << 62;
--- a/src/peer_protocol/region_report.rs
+++ b/src/peer_protocol/region_report.rs
@@ -29,9 +29,9 @@
     pub gang_parts_ready: Vec<(String, u64)>,
     /// Estimated CPU time of recently finished tasks that fit on more than one machine type, as a
     /// decaying sum of millionths of a CPU times microseconds.
-    pub estimated: f64,
+    pub estimated_cpu_time: f64,
     /// Actual CPU time of these tasks, as a decaying sum in the same unit.
-    pub actual: f64,
+    pub actual_cpu_time: f64,
 }
 
 /// Free capacity of a group of similar machines of a pool, in millionths. Machines are grouped
--- a/src/peer_protocol/status.rs
+++ b/src/peer_protocol/status.rs
@@ -20,7 +20,7 @@
     /// Time until the controller's authority ends, in microseconds.
     #[serde(rename = "authority_us")]
     pub authority_remaining_us: u64,
-    /// Whether the controller's replica was recently up to date with the state store.
+    /// Whether the controller's replica was recently up to date with the state service.
     #[serde(rename = "fresh")]
     pub reads_recent: bool,
     /// Status of each region.
--- a/src/peer_protocol/tests.rs
+++ b/src/peer_protocol/tests.rs
@@ -38,8 +38,8 @@
             }],
             quota_blocked_teams: vec![("red".into(), 5)],
             gang_parts_ready: vec![("req-2".into(), 7)],
-            estimated: 1.5,
-            actual: 0.5,
+            estimated_cpu_time: 1.5,
+            actual_cpu_time: 0.5,
         }],
     }
 }
@@ -189,8 +189,8 @@
         ],
         quota_blocked_teams: vec![("red".into(), 9), (long(), 1 << 42)],
         gang_parts_ready: vec![("req-2".into(), 10), (long(), 1 << 43)],
-        estimated: 1.5,
-        actual: -0.25,
+        estimated_cpu_time: 1.5,
+        actual_cpu_time: -0.25,
     };
     let empty_report = RegionReport {
         region: "t-1".into(),
@@ -201,8 +201,8 @@
         running_tasks: Vec::new(),
         quota_blocked_teams: Vec::new(),
         gang_parts_ready: Vec::new(),
-        estimated: 0.0,
-        actual: 0.0,
+        estimated_cpu_time: 0.0,
+        actual_cpu_time: 0.0,
     };
     let region_status = |region: &str, owner: Option<String>, reconciled| RegionStatus {
         region: region.into(),
@@ -239,7 +239,7 @@
             "state",
             Message::ControllerState {
                 from: "t-0".into(),
-                incarnation: 21 | UNDERSTANDS_EXTENSIONS,
+                incarnation: 21 | SUPPORTS_EXTENSIONS,
                 reads_recent: true,
                 regions: vec![report, empty_report],
             },
--- a/src/reactor.rs
+++ b/src/reactor.rs
@@ -1,5 +1,5 @@
-//! The event loop: reads and writes the sockets and turns their input into [`NetEvent`]s. Only
-//! this module reads the monotonic clock and accesses sockets.
+//! The event loop: reads and writes the sockets and turns their input into [`NetEvent`]s. Within a
+//! running controller, only this module reads the clocks and accesses sockets.
 //!
 //! The number of connections and the sizes of queues and buffers are limited. Every call and
 //! every partially received request has a deadline. The submodules are:
@@ -42,12 +42,12 @@
 
 /// Poller key of the listener for users and workers.
 const HTTP_KEY: usize = 0;
-/// Poller key of the listener for other controllers.
+/// Poller key of the listener for other controllers and operators' tools.
 const PEER_KEY: usize = 1;
 /// Poller key of the first slot of the connection table.
 const FIRST_CONNECTION_KEY: usize = 2;
 
-/// The event loop's state.
+/// Event loop of a controller, with its listeners, connections and calls.
 pub struct Reactor {
     poller: Poller,
     events: Events,
@@ -110,7 +110,7 @@
     ///
     /// Returns an error if the poller fails.
     pub fn wait(&mut self, until: Micros) -> std::io::Result<Vec<NetEvent>> {
-        let now = self.clock();
+        let now = self.monotonic_now();
         let until = self.wake_time(now, until);
         let timeout = Duration::from_micros(until.saturating_sub(now));
         let mut events = std::mem::take(&mut self.events);
@@ -120,7 +120,7 @@
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(error),
         }
-        self.clock();
+        self.monotonic_now();
         for event in events.iter() {
             match event.key {
                 HTTP_KEY => self.accept(Listener::Http),
@@ -153,13 +153,13 @@
 }
 
 impl Net for Reactor {
-    fn clock(&mut self) -> Micros {
+    fn monotonic_now(&mut self) -> Micros {
         // The cast can't overflow: 64 bits of microseconds last for half a million years.
         self.now = self.epoch.elapsed().as_micros() as Micros + 1;
         self.now
     }
 
-    fn wall(&self) -> Micros {
+    fn wall_clock_now(&self) -> Micros {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |time| time.as_micros() as Micros)
--- a/src/reactor/connection.rs
+++ b/src/reactor/connection.rs
@@ -15,14 +15,14 @@
 
 /// Role of a connection.
 pub(super) enum Role {
-    /// Accepted from a user or worker. The connection waits for a request or the rest of one.
+    /// Accepted from a user or worker. The connection waits for a complete request.
     AwaitingRequest,
     /// Accepted from a user or worker. The controller is handling a request; `close` is whether
     /// the connection is closed after the response.
     AwaitingResponse { close: bool },
     /// Accepted from a user or worker. The last response is being written.
     Closing,
-    /// Accepted from another controller.
+    /// Accepted from another controller or an operator's tool.
     InboundPeer,
     /// Opened to another controller.
     OutboundPeer { peer: usize },
--- a/src/reactor/connection_table.rs
+++ b/src/reactor/connection_table.rs
@@ -72,7 +72,7 @@
         Some(slot)
     }
 
-    /// Removes a connection from the table and from the poller. The caller may drop it.
+    /// Removes a connection from the table and from the poller. The caller may drop the connection.
     pub(super) fn remove(&mut self, poller: &Poller, slot: usize) -> Option<Connection> {
         let connection = self.slots.get_mut(slot)?.take()?;
         self.deadlines.remove(&Deadline {
--- a/src/reactor/io.rs
+++ b/src/reactor/io.rs
@@ -107,7 +107,8 @@
             match connection.role {
                 Role::AwaitingRequest => return self.process_request(slot),
                 Role::AwaitingResponse { ref mut close } => {
-                    // Pipelined requests are not served.
+                    // Pipelined requests are not supported; the connection is closed after the
+                    // response.
                     if !connection.input.is_empty() {
                         *close = true;
                         connection.input.clear();
--- a/src/reactor/lifecycle.rs
+++ b/src/reactor/lifecycle.rs
@@ -22,7 +22,7 @@
 pub(super) enum Listener {
     /// The listener for users and workers.
     Http,
-    /// The listener for other controllers.
+    /// The listener for other controllers and operators' tools.
     Peer,
 }
 
@@ -50,7 +50,7 @@
         let full = self.served_connections >= self.limits.max_served_connections;
         if is_http && full && !self.close_idle_served_connection() {
             log::debug!(
-                "connection closed at once, {} connections of users and workers are open",
+                "new connection closed, connection limit reached: {} connections of users and workers are open",
                 self.served_connections
             );
             return;
@@ -128,7 +128,7 @@
             } => {
                 self.destinations.on_closed(destination, slot);
                 let error = if sent {
-                    CallError::NoAnswer
+                    CallError::NoResponse
                 } else {
                     CallError::NotSent
                 };
--- a/src/reactor/net.rs
+++ b/src/reactor/net.rs
@@ -1,5 +1,5 @@
 //! Interface of the network layer: the [`Net`] trait and the events that the network layer
-//! reports. The event loop and the simulation implement it.
+//! reports. The event loop and the simulation implement the trait.
 
 use salttiller_protocol::http::{Request, Response};
 use salttiller_records::units::Micros;
@@ -24,7 +24,7 @@
     /// The request was sent in part or completely, but no response arrived. The call may have
     /// been executed, or may still be executed later.
     #[error("no response")]
-    NoAnswer,
+    NoResponse,
     /// The response exceeds the size limit. If the call was a read, it was executed.
     #[error("response too large")]
     TooLarge,
@@ -37,7 +37,7 @@
     Request(ConnectionId, Request),
     /// The result of a call.
     Response(CallId, Result<Response, CallError>),
-    /// A frame from another controller.
+    /// A frame from another controller or an operator's tool.
     Frame(ConnectionId, Vec<u8>),
 }
 
@@ -59,9 +59,9 @@
 /// Clocks and network of a controller, implemented by the reactor and by the simulation.
 pub trait Net {
     /// Reads the monotonic clock.
-    fn clock(&mut self) -> Micros;
+    fn monotonic_now(&mut self) -> Micros;
     /// Reads the wall clock.
-    fn wall(&self) -> Micros;
+    fn wall_clock_now(&self) -> Micros;
     /// Responds to a request. Does nothing if the connection has been closed.
     fn respond(&mut self, id: ConnectionId, response: Response);
     /// Starts a call. Every call ends with a [`NetEvent::Response`].
--- a/src/reactor/peers.rs
+++ b/src/reactor/peers.rs
@@ -55,7 +55,7 @@
         };
         let backlog = connection.output.unwritten().len() + payload.len();
         if backlog > self.limits.max_peer_backlog_bytes {
-            // The peer has not accepted any bytes for a long time: the connection is dead.
+            // The peer has left this many bytes unread, so the connection is considered dead.
             return self.close(slot);
         }
         write_frame(connection.output.append_target(), payload);
--- a/src/reactor/server.rs
+++ b/src/reactor/server.rs
@@ -52,7 +52,7 @@
         if connection.input.capacity() > MAX_KEPT_INPUT_BYTES {
             connection.input.shrink_to(SHRUNK_INPUT_BYTES);
         }
-        // Pipelined requests are not served.
+        // Pipelined requests are not supported; the connection is closed after the response.
         let close = request.close || !connection.input.is_empty();
         connection.role = Role::AwaitingResponse { close };
         let id = ConnectionId {
--- a/src/reactor/tests.rs
+++ b/src/reactor/tests.rs
@@ -23,7 +23,7 @@
 /// Responds to all requests with an empty 200 during 20 waits of up to 5 ms each.
 fn serve(reactor: &mut Reactor) {
     for _ in 0..20 {
-        let until = reactor.clock() + SECOND / 200;
+        let until = reactor.monotonic_now() + SECOND / 200;
         for event in reactor.wait(until).unwrap() {
             if let NetEvent::Request(id, _) = event {
                 reactor.respond(id, Response::new(200, Vec::new()));
@@ -69,7 +69,7 @@
         .collect();
     serve(&mut reactor);
     send_request(&mut idle[0]);
-    let until = reactor.clock() + SECOND / 20;
+    let until = reactor.monotonic_now() + SECOND / 20;
     let events = reactor.wait(until).unwrap();
     let Some(NetEvent::Request(id, _)) = events.into_iter().next() else {
         panic!("expected a request");
@@ -104,7 +104,7 @@
 /// Waits for the next event. Panics if there is none for 5 s, or more than one at once.
 fn next_event(reactor: &mut Reactor) -> NetEvent {
     for _ in 0..500 {
-        let until = reactor.clock() + SECOND / 100;
+        let until = reactor.monotonic_now() + SECOND / 100;
         let mut events = reactor.wait(until).unwrap();
         assert!(events.len() <= 1, "expected one event, got {events:?}");
         if let Some(event) = events.pop() {
@@ -134,8 +134,8 @@
 
 /// Runs the reactor for 50 ms, in which it must report no event.
 fn run_without_events(reactor: &mut Reactor) {
-    let until = reactor.clock() + SECOND / 20;
-    while reactor.clock() < until {
+    let until = reactor.monotonic_now() + SECOND / 20;
+    while reactor.monotonic_now() < until {
         let events = reactor.wait(until).unwrap();
         assert!(events.is_empty(), "expected no event, got {events:?}");
     }
@@ -163,7 +163,7 @@
     drop(closed);
     let destinations = [(server.local_addr().unwrap(), 1), (closed_addr, 1)];
     let (mut reactor, ..) = reactor_with(&destinations, &[]);
-    reactor.clock();
+    reactor.monotonic_now();
     let first = reactor.call(get_call(0, "/first", 5 * SECOND));
     let second = reactor.call(get_call(0, "/second", 5 * SECOND));
     let third = reactor.call(get_call(0, "/third", SECOND / 2));
@@ -186,7 +186,10 @@
     let (mut stream, _) = server.accept().unwrap();
     assert_eq!(read_request_line(&mut stream), "GET /fourth HTTP/1.1");
     drop(stream);
-    assert_eq!(call_result(&mut reactor, fourth), Err(CallError::NoAnswer));
+    assert_eq!(
+        call_result(&mut reactor, fourth),
+        Err(CallError::NoResponse)
+    );
     let unreachable = reactor.call(get_call(1, "/", 5 * SECOND));
     let result = call_result(&mut reactor, unreachable);
     assert_eq!(result, Err(CallError::NotSent));
@@ -196,7 +199,7 @@
         .collect();
     let (mut stream, _) = server.accept().unwrap();
     let refused = (0..).zip(&calls).filter(|(n, _)| *n >= 257);
-    let until = reactor.clock();
+    let until = reactor.monotonic_now();
     let events = reactor.wait(until).unwrap();
     assert_eq!(events.len(), refused.clone().count());
     for (event, (_, call)) in events.into_iter().zip(refused) {
@@ -216,14 +219,14 @@
 fn frames_arrive_and_are_replied_to() {
     let (mut receiver, _, peer_addr) = reactor_with(&[], &[]);
     let (mut sender, ..) = reactor_with(&[], &[peer_addr]);
-    sender.clock();
+    sender.monotonic_now();
     sender.send(0, b"one");
     sender.send(0, b"");
     run_without_events(&mut sender);
     sender.send(0, b"two");
     let mut received = Vec::new();
     while received.len() < 3 {
-        let until = receiver.clock() + SECOND;
+        let until = receiver.monotonic_now() + SECOND;
         for event in receiver.wait(until).unwrap() {
             let NetEvent::Frame(_, payload) = event else {
                 panic!("expected a frame, got {event:?}");
--- a/src/region.rs
+++ b/src/region.rs
@@ -164,7 +164,7 @@
         region.triggers.everything_changed();
         region.inherit_records(context);
         region.try_complete_reconciliation(context);
-        if is_disabled(Safeguard::Recovery) && !region.reconciliation.is_complete() {
+        if is_disabled(Safeguard::Reconciliation) && !region.reconciliation.is_complete() {
             region.complete_reconciliation(context);
         }
         region
@@ -342,8 +342,8 @@
                 .gang_parts_ready()
                 .map(|(id, attempt)| (id.to_string(), attempt))
                 .collect(),
-            estimated: self.runtime_estimates.estimated(),
-            actual: self.runtime_estimates.actual(),
+            estimated_cpu_time: self.runtime_estimates.estimated(),
+            actual_cpu_time: self.runtime_estimates.actual(),
         }
     }
 
--- a/src/region/heartbeats.rs
+++ b/src/region/heartbeats.rs
@@ -62,7 +62,7 @@
     /// Returns the outcome of a heartbeat that must not be applied, or `None` if it may be.
     fn rejection(&self, name: &str, heartbeat: &Heartbeat) -> Option<HeartbeatOutcome> {
         let machine = self.inventory.machine(name)?;
-        let is_order_checked = !is_disabled(Safeguard::ReportOrder);
+        let is_order_checked = !is_disabled(Safeguard::HeartbeatOrder);
         // Guards against delayed and duplicated heartbeats. Their sequence number shows their
         // age, and the tasks they list may be outdated.
         if heartbeat.id <= machine.last_heartbeat && is_order_checked {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -25,7 +25,7 @@
 /// A peer, which is another controller of the deployment.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Host name, which is also the name of the peer's own region.
+    /// Host name, which is also the name of the peer's home region.
     pub name: String,
     /// Zone of the peer.
     pub zone: String,
@@ -60,7 +60,7 @@
 /// Complete settings of a controller.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of this controller and of its region.
+    /// Name of this controller and of its home region.
     pub name: String,
     /// Zone of this controller.
     pub zone: String,
@@ -72,7 +72,7 @@
     pub peers: Vec<Peer>,
     /// Address of the cloud API.
     pub cloud_addr: SocketAddr,
-    /// Address of the state store.
+    /// Address of the state service.
     pub state_store_addr: SocketAddr,
     /// Zones of the platform.
     pub zones: Vec<String>,
@@ -91,16 +91,16 @@
     pub gang_peer_timeout: Micros,
     /// Time after a cancellation within which all tasks of the job must have ended.
     pub cancellation_deadline: Micros,
-    /// Requests per second to the state store, summed over all controllers.
+    /// Requests per second to the state service, summed over all controllers.
     pub store_request_rate: f64,
-    /// Writes per second to the state store, summed over all controllers.
+    /// Writes per second to the state service, summed over all controllers.
     pub store_write_rate: f64,
-    /// Lower of the present and upcoming limits on writes per second to the state store.
+    /// Lower of the present and upcoming limits on writes per second to the state service.
     pub min_store_write_rate: f64,
-    /// Maximum size of a value in the state store, in bytes: the lower of the present and upcoming
-    /// limits.
+    /// Maximum size of a value in the state service, in bytes: the lower of the present and
+    /// upcoming limits.
     pub max_value_bytes: usize,
-    /// Maximum number of changes per transaction of the state store: the lower of the present and
+    /// Maximum number of changes per transaction of the state service: the lower of the present and
     /// upcoming limits.
     pub max_txn_ops: usize,
     /// Requests per second to the cloud API.
@@ -111,7 +111,7 @@
     pub max_sockets: usize,
     /// Memory limit of the process in MB; 0 means unspecified.
     pub memory_mb: f64,
-    /// Maximum error of the time of day.
+    /// Maximum error of the wall clock.
     pub max_clock_error: Micros,
     /// Settings of the operators.
     pub operator: OperatorSettings,
@@ -153,10 +153,10 @@
         names
     }
 
-    /// Duration of an owner's lease. If an owner never learns of a cancellation, its own lease and
+    /// Duration of an owner's lease. If an owner doesn't receive a cancellation, its own lease and
     /// then its workers' leases must still expire before the cancellation deadline. The duration
     /// plus `lease_s` and a margin therefore stays below `cancel_s`.
-    pub fn owner_lease_life(&self) -> Micros {
+    pub fn owner_lease_duration(&self) -> Micros {
         let available = self.cancellation_deadline - self.worker_lease;
         (available * OWNER_LEASE_TENTHS / 10).min(MAX_OWNER_LEASE)
     }
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -22,7 +22,7 @@
     pub alert_min_jobs: u32,
     /// Margin above the target that an objective's attainment must reach to count as recovered.
     pub alert_recovery_margin: f64,
-    /// Whether to detect records that the state store lost, and to begin a data-loss hold if it
+    /// Whether to detect records that the state service lost, and to begin a data-loss hold if it
     /// lost any.
     pub detect_lost_records: bool,
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -152,9 +152,9 @@
         Ok(())
     }
 
-    /// Returns the limits of the state store. Records must fit the upcoming limits from the start,
-    /// because these limits take effect without notice, and existing records must be rewritten
-    /// under them.
+    /// Returns the limits of the state service. Records must fit the upcoming limits from the
+    /// start, because these limits take effect without notice, and existing records must be
+    /// rewritten under them.
     fn store_limits(&self, store: &wire::StateStore) -> Result<StoreLimits, SettingsError> {
         let none = wire::UpcomingStateStore::default();
         let upcoming = store.upcoming.as_ref().unwrap_or(&none);
@@ -225,7 +225,7 @@
     }
 }
 
-/// Limits of the state store that comply with both the present and the upcoming limits.
+/// Limits of the state service that comply with both the present and the upcoming limits.
 struct StoreLimits {
     request_rate: f64,
     write_rate: f64,
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -23,13 +23,13 @@
     .to_string()
 }
 
-/// Settings of a valid file are derived from its fields, and the upcoming limits of the state store
-/// bound the present ones. The error for an invalid value names the file and the field.
+/// Settings of a valid file are derived from its fields, and the upcoming limits of the state
+/// service bound the present ones. The error for an invalid value names the file and the field.
 #[test]
 fn platform_file_is_validated() {
     let settings = Settings::parse("f", &sample()).unwrap();
     assert_eq!(settings.regions(), ["t-0", "t-1", "t-2"]);
-    let leases = settings.owner_lease_life() + settings.worker_lease;
+    let leases = settings.owner_lease_duration() + settings.worker_lease;
     assert!(leases + 2 * units::SECOND < settings.cancellation_deadline);
     let limit = |team: &str| settings.team(team).unwrap().limit;
     assert_eq!(limit("guest"), None);
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -99,7 +99,7 @@
     pub(super) cancellation_deadline: f64,
 }
 
-/// Limits of the state store.
+/// Limits of the state service.
 #[derive(Deserialize)]
 pub(super) struct StateStore {
     #[serde(rename = "rps")]
@@ -115,8 +115,8 @@
     pub(super) upcoming: Option<UpcomingStateStore>,
 }
 
-/// Limits of the state store that will take effect at some later time. A missing limit stays as it
-/// is.
+/// Limits of the state service that will take effect at some later time. A missing limit stays as
+/// it is.
 #[derive(Deserialize, Default)]
 pub(super) struct UpcomingStateStore {
     #[serde(rename = "write_rps")]
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -43,7 +43,7 @@
     /// The reply to a peer's message on a connection.
     Reply(ConnectionId, Vec<u8>),
     /// A request to close the idle connections to an outside service.
-    ResetDest(usize),
+    CloseIdleConnections(usize),
 }
 
 /// Network interface of one run of a controller's process.
@@ -90,11 +90,11 @@
 }
 
 impl Net for SimNet {
-    fn clock(&mut self) -> Micros {
+    fn monotonic_now(&mut self) -> Micros {
         self.steady_clock()
     }
 
-    fn wall(&self) -> Micros {
+    fn wall_clock_now(&self) -> Micros {
         self.state.borrow().wall
     }
 
@@ -121,7 +121,7 @@
     }
 
     fn close_idle_connections(&mut self, dest: usize) {
-        self.push(Outgoing::ResetDest(dest));
+        self.push(Outgoing::CloseIdleConnections(dest));
     }
 }
 
@@ -165,7 +165,7 @@
             Outgoing::Call(id, call) => self.deliver_call(controller, id, call),
             Outgoing::Send(peer, payload) => self.deliver_to_peer(controller, peer, payload),
             // The simulation sends peer messages without connections and has no idle connections.
-            Outgoing::Reply(..) | Outgoing::ResetDest(_) => {}
+            Outgoing::Reply(..) | Outgoing::CloseIdleConnections(_) => {}
         }
     }
 
@@ -196,16 +196,16 @@
             run,
             id,
         };
-        let no_answer = Event::CallResult(caller, Err(CallError::NoAnswer));
+        let no_response = Event::CallResult(caller, Err(CallError::NoResponse));
         match self.call_delivery(controller, &call) {
             CallDelivery::Arrives { at } => self.schedule(at, Event::ServiceCall(caller, call)),
-            CallDelivery::ConnectionReset { at } => self.schedule(at, no_answer),
+            CallDelivery::ConnectionReset { at } => self.schedule(at, no_response),
             CallDelivery::TimesOut { executed_at } => {
                 let timeout = self.now + call.timeout;
                 if let Some(at) = executed_at {
                     self.schedule(at, Event::ServiceCall(caller.timed_out(), call));
                 }
-                self.schedule(timeout, no_answer);
+                self.schedule(timeout, no_response);
             }
         }
     }
@@ -273,7 +273,7 @@
     pub(super) fn return_result(&mut self, caller: Caller, result: Result<Response, CallError>) {
         let latency = self.draw_latency();
         if self.now < self.controllers[caller.controller].partitions.store_until {
-            let lost = Err(CallError::NoAnswer);
+            let lost = Err(CallError::NoResponse);
             let at = self.now + LOST_RESPONSE_DETECTION_DELAY;
             self.schedule(at, Event::CallResult(caller, lost));
         } else {
--- a/src/simulation/state_service/calls.rs
+++ b/src/simulation/state_service/calls.rs
@@ -96,7 +96,7 @@
     pub(crate) fn lose_records(&mut self, loss: RecordLoss) {
         self.store.lose_records(loss);
         for watch in std::mem::take(&mut self.store.watches).into_values() {
-            self.return_result(watch.caller, Err(CallError::NoAnswer));
+            self.return_result(watch.caller, Err(CallError::NoResponse));
         }
     }
 }
--- a/src/simulation/tests/failures.rs
+++ b/src/simulation/tests/failures.rs
@@ -90,22 +90,25 @@
     ),
     (
         "the leader ends while machines are cut off or deaf",
-        Safeguard::Recovery,
+        Safeguard::Reconciliation,
     ),
     (
         "ten leaders in two minutes, also inside an outage",
-        Safeguard::Recovery,
+        Safeguard::Reconciliation,
     ),
     (
         "all controllers are away for longer than a lease",
-        Safeguard::Recovery,
+        Safeguard::Reconciliation,
     ),
     (
         "controllers hand over and back, all end, and one returns within a second",
-        Safeguard::Recovery,
+        Safeguard::Reconciliation,
+    ),
+    ("gangs and arrays lose machines", Safeguard::Reconciliation),
+    (
+        "old reports arrive at a new leader",
+        Safeguard::HeartbeatOrder,
     ),
-    ("gangs and arrays lose machines", Safeguard::Recovery),
-    ("old reports arrive at a new leader", Safeguard::ReportOrder),
     (
         "answers are held up for seconds while jobs are cancelled",
         Safeguard::LeaseWait,
@@ -134,7 +137,7 @@
     ),
     (
         "jobs of two or three tasks end far apart across new leaders",
-        Safeguard::RunNumber,
+        Safeguard::Incarnation,
     ),
 ];
 
--- a/src/simulation/tests/lost_records.rs
+++ b/src/simulation/tests/lost_records.rs
@@ -230,8 +230,8 @@
 fn disabled_record_loss_safeguards_are_detected() {
     let cases = [
         (Safeguard::KnownHistory, "set back, grown past"),
-        (Safeguard::ReportEvidence, "set back, all restart"),
-        (Safeguard::ProvenStart, "wiped, all restart"),
+        (Safeguard::HeartbeatEvidence, "set back, all restart"),
+        (Safeguard::VerifiedStart, "wiped, all restart"),
         (Safeguard::SufficientToken, "wiped"),
     ];
     for (safeguard, name) in cases {
--- a/src/simulation/tests/partial_failures.rs
+++ b/src/simulation/tests/partial_failures.rs
@@ -20,7 +20,7 @@
         let plan = day.plan(seed);
         let world = play(&plan);
         with_release += expired_leases(&world, seed, 2);
-        let world = play_without(Safeguard::UnreachedRelease, &plan);
+        let world = play_without(Safeguard::UnreachableOwnerRelease, &plan);
         without_release += expired_leases(&world, seed, 0);
     }
     assert!(
--- a/src/simulation/tests/seeded.rs
+++ b/src/simulation/tests/seeded.rs
@@ -84,7 +84,7 @@
     type PlanForSeed = fn(u64) -> Plan;
     let cases: [(Safeguard, PlanForSeed, &[Rule]); 3] = [
         (
-            Safeguard::Recovery,
+            Safeguard::Reconciliation,
             seeded::with_more_faults,
             &[Rule::RanTwice],
         ),
@@ -94,7 +94,7 @@
             &[Rule::RanTwice, Rule::RanCancelled],
         ),
         (
-            Safeguard::ReportOrder,
+            Safeguard::HeartbeatOrder,
             seeded::with_long_isolation,
             &[Rule::RanTwice, Rule::NotDone, Rule::Quota],
         ),
--- a/src/simulation/trace_digest.rs
+++ b/src/simulation/trace_digest.rs
@@ -75,7 +75,7 @@
                 self.number(id.generation.into());
                 self.bytes(payload);
             }
-            Outgoing::ResetDest(dest) => {
+            Outgoing::CloseIdleConnections(dest) => {
                 self.number(5);
                 self.number(*dest as u64);
             }
--- a/src/slo.rs
+++ b/src/slo.rs
@@ -82,7 +82,7 @@
 
     /// Evaluates the open jobs, and the jobs that ended since the last call. `is_done` returns
     /// whether a job that is no longer open completed, as opposed to being cancelled. `now` is
-    /// the time of day.
+    /// the wall-clock time.
     pub fn observe(
         &mut self,
         open: &[ObservedJob<'_>],
@@ -97,7 +97,7 @@
         for (id, job) in &mut self.jobs {
             let is_open = open.contains(id.as_str());
             if !is_open && !is_done(id) {
-                continue; // a cancelled job counts for no objective
+                continue; // cancelled jobs are not evaluated
             }
             let finished = (!is_open).then_some(now);
             for (index, tracked) in self.objectives.iter_mut().enumerate() {
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -136,7 +136,7 @@
             barrier: ReadBarrier::new(read_interval(request_rate * BARRIER_SHARE)),
             freshness: Freshness::default(),
             history: History::new(settings.operator.detect_lost_records),
-            owner_lease: Lease::new(LeaseRole::Owner, settings.owner_lease_life()),
+            owner_lease: Lease::new(LeaseRole::Owner, settings.owner_lease_duration()),
             leader_lease: Lease::new(LeaseRole::Leader, LEADER_LEASE_TTL),
             commits: CommitQueue::new(settings),
             calls: Calls::new(request_rate * USABLE_SHARE),
--- a/src/state_store/commits.rs
+++ b/src/state_store/commits.rs
@@ -151,7 +151,8 @@
         result: &Result<Response, CallError>,
         now: Micros,
     ) {
-        commit.may_be_committed |= matches!(result, Err(CallError::NoAnswer | CallError::TooLarge));
+        commit.may_be_committed |=
+            matches!(result, Err(CallError::NoResponse | CallError::TooLarge));
         commit.not_before = now + RETRY_DELAY + fastrand::u64(0..MAX_RETRY_JITTER);
         self.queues.queue(commit.priority).push_front(commit);
     }
--- a/src/worker_protocol/heartbeat.rs
+++ b/src/worker_protocol/heartbeat.rs
@@ -59,7 +59,7 @@
 }
 
 /// Position of a heartbeat in the sequence of a machine's heartbeats. A later heartbeat has a
-/// greater ID.
+/// greater id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct HeartbeatId {
     /// Incarnation of the worker, which increases each time the worker starts or its lease expires.
@@ -69,7 +69,7 @@
 }
 
 impl HeartbeatId {
-    /// Initial ID of a machine from which no heartbeat has been received.
+    /// Initial id of a machine from which no heartbeat has been received.
     pub const NONE: HeartbeatId = HeartbeatId {
         incarnation: 0,
         sequence: 0,
@@ -103,7 +103,7 @@
     /// The body is not valid MessagePack, or a field is missing or has another type.
     #[error("malformed heartbeat: {0}")]
     Encoding(#[from] rmp_serde::decode::Error),
-    /// The name of a task does not consist of a job ID and a task number.
+    /// The name of a task does not consist of a job id and a task number.
     #[error("{field}: \"{value}\" is not a valid task name")]
     TaskName {
         /// Path of the field, in the names of the protocol.
