--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -1,6 +1,6 @@
-//! A blocking HTTP client for operators' tools: one request at a time on one connection, each
-//! with a deadline of its own. The controller doesn't use it: its calls go through its event
-//! loop.
+//! A blocking HTTP client for operators' tools. It sends one request at a time on one connection,
+//! and each request has its own deadline. The controller does not use this client, because its
+//! calls go through its event loop.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,44 +10,46 @@
 
 use crate::http::{parse_response_within, write_request, HttpError, Response};
 
-/// The largest response that a tool reads. The response to a watch has no limit of its own; the
-/// state service keeps 10,000 changes of a few KiB.
+/// Maximum size of a response that a tool reads, in bytes. The response to a watch has no limit of
+/// its own: the state service keeps 10,000 changes of a few KiB each.
 pub const MAX_TOOL_RESPONSE: usize = 64 * 1024 * 1024;
 
+/// Maximum number of bytes per read from the connection.
 const READ_CHUNK: usize = 256 * 1024;
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a call has no response.
+/// Error of a call that returned no response.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// No connection.
+    /// The connection could not be established.
     #[error("{address}: can't connect: {cause}")]
     Connect {
         /// Address of the server.
         address: SocketAddr,
-        /// Error of the system.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// The connection broke.
+    /// The connection failed or was closed during the call.
     #[error("{address}: connection lost: {cause}")]
     Connection {
         /// Address of the server.
         address: SocketAddr,
-        /// Error of the system.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// No complete response within the deadline.
-    #[error("{address}: no answer in time")]
+    /// The response was not complete before the deadline.
+    #[error("{address}: request timed out")]
     Timeout {
         /// Address of the server.
         address: SocketAddr,
     },
-    /// The response is not HTTP as it is read here.
+    /// The response is not valid HTTP, or uses a feature that this parser does not support.
     #[error("{address}: {cause}")]
     Malformed {
         /// Address of the server.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// Error of the parser.
         cause: HttpError,
     },
 }
@@ -60,7 +62,7 @@
 }
 
 impl Client {
-    /// A client that connects when it is first used.
+    /// Returns a client that connects on its first call.
     pub fn new(address: SocketAddr) -> Self {
         Client {
             address,
@@ -68,10 +70,11 @@
         }
     }
 
-    /// Sends a request and waits for its complete response, `timeout` at most.
+    /// Sends a request and waits up to `timeout` for its complete response.
     ///
     /// # Errors
-    /// No connection, no response in time, or a malformed one.
+    /// Returns an error if the connection fails, if the response is not complete in time, or if it
+    /// is malformed.
     pub fn call(
         &mut self,
         method: &str,
@@ -95,9 +98,10 @@
         self.set_timeouts(&stream, deadline)?;
         stream
             .write_all(&request)
-            .map_err(|cause| self.lost(cause))?;
+            .map_err(|cause| self.connection_error(cause))?;
         let response = self.read_response(&mut stream, deadline)?;
-        // A connection on which something went wrong is dropped with its late response.
+        // After an error the connection is dropped, so that a late response can't be taken for the
+        // response to the next request.
         if !response.close {
             self.stream = Some(stream);
         }
@@ -112,7 +116,9 @@
                 cause,
             }
         })?;
-        stream.set_nodelay(true).map_err(|cause| self.lost(cause))?;
+        stream
+            .set_nodelay(true)
+            .map_err(|cause| self.connection_error(cause))?;
         Ok(stream)
     }
 
@@ -121,7 +127,7 @@
         stream
             .set_read_timeout(timeout)
             .and_then(|()| stream.set_write_timeout(timeout))
-            .map_err(|cause| self.lost(cause))
+            .map_err(|cause| self.connection_error(cause))
     }
 
     fn read_response(
@@ -148,16 +154,16 @@
             }
             self.set_timeouts(stream, deadline)?;
             match stream.read(&mut chunk) {
-                Ok(0) => return Err(self.lost(ErrorKind::UnexpectedEof.into())),
+                Ok(0) => return Err(self.connection_error(ErrorKind::UnexpectedEof.into())),
                 Ok(count) => received.extend_from_slice(chunk.get(..count).unwrap_or_default()),
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
-                Err(cause) => return Err(self.lost(cause)),
+                Err(cause) => return Err(self.connection_error(cause)),
             }
         }
     }
 
-    /// The error for a connection that broke.
-    fn lost(&self, cause: std::io::Error) -> ClientError {
+    /// Returns the error for a failed operation on the connection.
+    fn connection_error(&self, cause: std::io::Error) -> ClientError {
         let address = self.address;
         match cause.kind() {
             ErrorKind::WouldBlock | ErrorKind::TimedOut => ClientError::Timeout { address },
@@ -166,7 +172,8 @@
     }
 }
 
-/// Time left until a deadline; never zero, which the system takes for no limit.
+/// Returns the time until a deadline, at least 1 ms: the operating system takes a timeout of zero
+/// for no limit.
 fn remaining(deadline: Instant) -> Duration {
     deadline
         .saturating_duration_since(Instant::now())
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1, as much of it as the interfaces use: one message at a time on a connection,
-//! bodies by length or in chunks, everything bounded.
+//! The subset of HTTP/1.1 that the interfaces use: one message at a time on a connection, with a
+//! `Content-Length` or a chunked body. The sizes of heads and bodies are limited.
 //!
-//! The parser looks at the whole buffer each time more bytes come; bodies are small (64 KiB
-//! for requests), so looking again costs less than keeping state.
+//! The parser keeps no state: it parses the whole buffer again whenever more bytes arrive. Bodies
+//! are small (at most 64 KiB for requests), so this costs less than an incremental parser.
 
 mod body;
 mod head;
@@ -16,32 +16,32 @@
 
 use thiserror::Error;
 
-/// The longest start line plus headers that is read.
+/// Maximum size of a start line with its headers, in bytes.
 pub const MAX_HEAD: usize = 8 * 1024;
-/// The largest request body that users, workers and operators may send.
+/// Maximum size of a request body from users, workers and operators, in bytes.
 pub const MAX_REQUEST_BODY: usize = 64 * 1024;
-/// The largest response body that is read from the state service or the cloud.
+/// Maximum size of a response body from the state service or the cloud, in bytes.
 pub const MAX_RESPONSE_BODY: usize = 8 * 1024 * 1024;
 
-/// Why a message can't be read; all are final for their connection.
+/// Error of the parser. The connection can't be used after any of these errors.
 #[derive(Debug, Error, PartialEq, Eq, Clone, Copy)]
 pub enum HttpError {
-    /// Head longer than [`MAX_HEAD`].
-    #[error("head too long")]
+    /// The head is longer than [`MAX_HEAD`].
+    #[error("message head exceeds the size limit")]
     HeadTooLong,
-    /// Body longer than the reader's limit.
-    #[error("body too long")]
+    /// The body is longer than the caller's limit.
+    #[error("message body exceeds the size limit")]
     BodyTooLong,
-    /// Broken start line, header or framing; names the part.
-    #[error("malformed: {0}")]
+    /// The start line, a header or the framing is malformed. The text names the part.
+    #[error("malformed message: {0}")]
     Malformed(&'static str),
-    /// A version other than HTTP/1.0 or 1.1.
-    #[error("unsupported version")]
+    /// The version is neither HTTP/1.0 nor HTTP/1.1.
+    #[error("unsupported HTTP version")]
     Version,
 }
 
 impl HttpError {
-    /// The status to answer with before closing.
+    /// Status code of the response that is sent before the connection is closed.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -53,7 +53,7 @@
     }
 }
 
-/// One value of a query string, undecoded.
+/// Returns the value of a parameter of a query string, without percent-decoding.
 #[must_use]
 pub fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
--- a/crates/protocol/src/http/body.rs
+++ b/crates/protocol/src/http/body.rs
@@ -1,36 +1,36 @@
-//! Bodies, by length or in chunks.
+//! Parses message bodies with a `Content-Length` and chunked bodies.
 
 use super::head::{find, Head};
 use super::HttpError;
 
 const END_OF_LINE: &[u8] = b"\r\n";
-/// The longest line of a chunk's size that is read.
+/// Maximum length of a line with the size of a chunk, in bytes.
 const MAX_CHUNK_LINE: usize = 64;
-/// The most digits of a chunk's size: more is beyond any limit.
+/// Maximum number of hexadecimal digits of a chunk size. A longer number exceeds every body limit.
 const MAX_SIZE_DIGITS: usize = 8;
 
-/// Reads the body after `head` in `bytes`; `None` while incomplete. Returns it with the number
-/// of bytes that head and body take.
+/// Parses the body after `head` in `bytes`. Returns the body and the total length of head and body
+/// in bytes, or `None` while the body is incomplete.
 pub(super) fn parse_body(
     bytes: &[u8],
     head: &Head<'_>,
     limit: usize,
 ) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
-    let rest = bytes.get(head.end..).unwrap_or_default();
+    let rest = bytes.get(head.body_start..).unwrap_or_default();
     if head.chunked {
         let parsed = parse_chunks(rest, limit)?;
-        return Ok(parsed.map(|(body, length)| (body, head.end + length)));
+        return Ok(parsed.map(|(body, length)| (body, head.body_start + length)));
     }
-    let length = head.length.unwrap_or(0);
+    let length = head.content_length.unwrap_or(0);
     if length > limit {
         return Err(HttpError::BodyTooLong);
     }
     let body = rest.get(..length);
-    Ok(body.map(|body| (body.to_vec(), head.end + length)))
+    Ok(body.map(|body| (body.to_vec(), head.body_start + length)))
 }
 
-/// Decodes a chunked body; `None` while incomplete. Returns it with the number of bytes that
-/// it takes.
+/// Decodes a chunked body. Returns the body and its encoded length in bytes, or `None` while it is
+/// incomplete.
 fn parse_chunks(bytes: &[u8], limit: usize) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
     let mut body = Vec::new();
     let mut position = 0;
@@ -48,8 +48,12 @@
             return Ok(None);
         };
         let Some(data) = chunk.strip_suffix(END_OF_LINE) else {
-            // Trailers are not used by anyone here: only the empty one is accepted.
-            let part = if size == 0 { "trailer" } else { "chunk end" };
+            // None of the interfaces uses trailers: only an empty trailer is accepted.
+            let part = if size == 0 {
+                "trailer"
+            } else {
+                "missing line end after a chunk"
+            };
             return Err(HttpError::Malformed(part));
         };
         position = end;
@@ -60,8 +64,8 @@
     }
 }
 
-/// Reads the line with a chunk's size; `None` while incomplete. Returns the size and the
-/// number of bytes that the line takes.
+/// Parses the line with the size of a chunk. Returns the size and the length of the line in bytes,
+/// or `None` while the line is incomplete.
 fn parse_chunk_size(bytes: &[u8]) -> Result<Option<(usize, usize)>, HttpError> {
     let malformed = HttpError::Malformed("chunk size");
     let within_limit = bytes.get(..MAX_CHUNK_LINE).unwrap_or(bytes);
--- a/crates/protocol/src/http/head.rs
+++ b/crates/protocol/src/http/head.rs
@@ -1,37 +1,37 @@
-//! The head of a message: its start line and headers.
+//! Parses the head of a message: its start line and headers.
 
 use super::{HttpError, MAX_HEAD};
 
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
-/// The most digits of a content length: more is beyond any limit.
+/// Maximum number of digits of a content length. A longer number exceeds every body limit.
 const MAX_LENGTH_DIGITS: usize = 12;
 
-/// What the head of a message says, as far as it is used here.
+/// The start line of a message and the headers that this parser evaluates.
 pub(super) struct Head<'a> {
-    /// The start line.
-    pub(super) start: &'a str,
-    /// `Content-Length`.
-    pub(super) length: Option<usize>,
-    /// Whether the body comes in chunks.
+    /// Start line.
+    pub(super) start_line: &'a str,
+    /// Value of `Content-Length`.
+    pub(super) content_length: Option<usize>,
+    /// Whether the body is chunked.
     pub(super) chunked: bool,
-    /// `Connection: close`.
+    /// Whether the message has `Connection: close`.
     pub(super) close: bool,
-    /// `Connection: keep-alive`.
+    /// Whether the message has `Connection: keep-alive`.
     pub(super) keep_alive: bool,
-    /// `Retry-After`, if it is in seconds.
+    /// Value of `Retry-After`, if it is a number of seconds.
     pub(super) retry_after: Option<u32>,
-    /// Where the body begins.
-    pub(super) end: usize,
+    /// Offset of the body in the message, in bytes.
+    pub(super) body_start: usize,
 }
 
-/// Position of a sequence of bytes.
+/// Returns the position of the first occurrence of a byte sequence.
 pub(super) fn find(bytes: &[u8], sequence: &[u8]) -> Option<usize> {
     bytes
         .windows(sequence.len())
         .position(|window| window == sequence)
 }
 
-/// Reads the head at the front of `bytes`; `None` while incomplete.
+/// Parses the head at the start of `bytes`. Returns `None` while the head is incomplete.
 pub(super) fn parse_head(bytes: &[u8]) -> Result<Option<Head<'_>>, HttpError> {
     let within_limit = bytes.get(..MAX_HEAD).unwrap_or(bytes);
     let Some(length) = find(within_limit, END_OF_HEAD) else {
@@ -42,22 +42,24 @@
         };
     };
     let text = bytes.get(..length).unwrap_or_default();
-    let text = std::str::from_utf8(text).map_err(|_| HttpError::Malformed("head not text"))?;
+    let text = std::str::from_utf8(text).map_err(|_| HttpError::Malformed("head is not UTF-8"))?;
     let mut lines = text.split("\r\n");
     let mut head = Head {
-        start: lines.next().unwrap_or(""),
-        length: None,
+        start_line: lines.next().unwrap_or(""),
+        content_length: None,
         chunked: false,
         close: false,
         keep_alive: false,
         retry_after: None,
-        end: length + END_OF_HEAD.len(),
+        body_start: length + END_OF_HEAD.len(),
     };
     for line in lines {
         head.add_header(line)?;
     }
-    if head.chunked && head.length.is_some() {
-        return Err(HttpError::Malformed("length and chunks"));
+    if head.chunked && head.content_length.is_some() {
+        return Err(HttpError::Malformed(
+            "both content-length and chunked transfer-encoding",
+        ));
     }
     Ok(Some(head))
 }
@@ -72,7 +74,7 @@
         }
         let value = value.trim_matches([' ', '\t']);
         if name.eq_ignore_ascii_case("content-length") {
-            self.set_length(value)?;
+            self.set_content_length(value)?;
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             if !value.eq_ignore_ascii_case("chunked") || self.chunked {
                 return Err(HttpError::Malformed("transfer-encoding"));
@@ -89,17 +91,17 @@
         Ok(())
     }
 
-    fn set_length(&mut self, value: &str) -> Result<(), HttpError> {
+    fn set_content_length(&mut self, value: &str) -> Result<(), HttpError> {
         let malformed = HttpError::Malformed("content-length");
         let all_digits = value.bytes().all(|byte| byte.is_ascii_digit());
         if value.is_empty() || value.len() > MAX_LENGTH_DIGITS || !all_digits {
             return Err(malformed);
         }
         let length = value.parse().map_err(|_| malformed)?;
-        if self.length.is_some_and(|other| other != length) {
-            return Err(HttpError::Malformed("two content-lengths"));
+        if self.content_length.is_some_and(|other| other != length) {
+            return Err(HttpError::Malformed("conflicting content-length headers"));
         }
-        self.length = Some(length);
+        self.content_length = Some(length);
         Ok(())
     }
 }
--- a/crates/protocol/src/http/message.rs
+++ b/crates/protocol/src/http/message.rs
@@ -1,35 +1,35 @@
-//! Requests and responses, decoded.
+//! Decoded requests and responses.
 
-/// A request as read from a client.
+/// A request that was received from a client.
 #[derive(Debug, PartialEq, Eq, Clone)]
 pub struct Request {
-    /// Method, as sent.
+    /// Method in its original spelling.
     pub method: String,
     /// Path without the query.
     pub path: String,
-    /// Query without the question mark; empty if none.
+    /// Query without the question mark. Empty if the target has no query.
     pub query: String,
-    /// Body, decoded.
+    /// Body without its transfer encoding.
     pub body: Vec<u8>,
-    /// Whether the client wants the connection closed afterwards.
+    /// Whether the client requests that the connection is closed after the response.
     pub close: bool,
 }
 
-/// A response, read or to be written.
+/// A response that was received or is sent.
 #[derive(Debug, PartialEq, Eq, Clone, Default)]
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// `Retry-After` in whole seconds.
+    /// Value of `Retry-After` in whole seconds.
     pub retry_after: Option<u32>,
-    /// Body, decoded.
+    /// Body without its transfer encoding.
     pub body: Vec<u8>,
-    /// Whether the connection closes afterwards.
+    /// Whether the connection is closed after the response.
     pub close: bool,
 }
 
 impl Response {
-    /// A response with a body.
+    /// Returns a response with a body.
     #[must_use]
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Response {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A refusal that says after how many seconds to retry.
+    /// Returns an error response without a body. The client may retry after `retry_after` seconds.
     #[must_use]
     pub fn refusal(status: u16, retry_after: u32) -> Self {
         Response {
--- a/crates/protocol/src/http/parse.rs
+++ b/crates/protocol/src/http/parse.rs
@@ -1,20 +1,21 @@
-//! Reads requests and responses.
+//! Parses requests and responses.
 
 use super::body::parse_body;
 use super::head::parse_head;
 use super::message::{Request, Response};
 use super::{HttpError, MAX_REQUEST_BODY, MAX_RESPONSE_BODY};
 
-/// Reads a request from the front of `bytes`; `None` while incomplete. Returns it with the
-/// number of bytes that it takes.
+/// Parses the request at the start of `bytes`. Returns the request and its length in bytes, or
+/// `None` while it is incomplete.
 ///
 /// # Errors
-/// Not a request as it is read here; the connection is to be closed.
+/// Returns an error if the request is malformed, too long or not supported. The caller must close
+/// the connection.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
     let Some(head) = parse_head(bytes)? else {
         return Ok(None);
     };
-    let line = parse_request_line(head.start)?;
+    let line = parse_request_line(head.start_line)?;
     let Some((body, length)) = parse_body(bytes, &head, MAX_REQUEST_BODY)? else {
         return Ok(None);
     };
@@ -32,7 +33,8 @@
 struct RequestLine<'a> {
     method: &'a str,
     target: &'a str,
-    /// HTTP/1.0, where connections are closed unless asked to be kept.
+    /// Whether the version is HTTP/1.0, where a connection is closed after the response unless the
+    /// request has `Connection: keep-alive`.
     is_http_1_0: bool,
 }
 
@@ -63,19 +65,22 @@
     })
 }
 
-/// Reads a response from the front of `bytes`; `None` while incomplete. Bodies are bounded by
-/// [`MAX_RESPONSE_BODY`].
+/// Parses the response at the start of `bytes`, whose body may have up to [`MAX_RESPONSE_BODY`]
+/// bytes. Returns the response and its length in bytes, or `None` while it is incomplete.
 ///
 /// # Errors
-/// Not a response as it is read here; the connection is to be closed.
+/// Returns an error if the response is malformed, too long or not supported. The caller must close
+/// the connection.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<(Response, usize)>, HttpError> {
     parse_response_within(bytes, MAX_RESPONSE_BODY)
 }
 
-/// Reads a response whose body may have up to `limit` bytes; `None` while incomplete.
+/// Parses the response at the start of `bytes`, whose body may have up to `limit` bytes. Returns
+/// the response and its length in bytes, or `None` while it is incomplete.
 ///
 /// # Errors
-/// Not a response as it is read here; the connection is to be closed.
+/// Returns an error if the response is malformed, too long or not supported. The caller must close
+/// the connection.
 pub fn parse_response_within(
     bytes: &[u8],
     limit: usize,
@@ -83,10 +88,10 @@
     let Some(head) = parse_head(bytes)? else {
         return Ok(None);
     };
-    let status = parse_status_line(head.start)?;
+    let status = parse_status_line(head.start_line)?;
     let has_no_body = status == 204 || status == 304;
     let parsed = if has_no_body {
-        Some((Vec::new(), head.end))
+        Some((Vec::new(), head.body_start))
     } else {
         parse_body(bytes, &head, limit)?
     };
--- a/crates/protocol/src/http/write.rs
+++ b/crates/protocol/src/http/write.rs
@@ -1,17 +1,17 @@
-//! Writes requests and responses.
+//! Serializes requests and responses.
 
 use std::io::Write;
 
 use super::message::Response;
 
-/// Appends a response to `output`.
+/// Appends a serialized response to `output`.
 pub fn write_response(output: &mut Vec<u8>, response: &Response) {
-    // Writing to a vector can't fail.
+    // Writes to a vector can't fail.
     let _ = write!(
         output,
         "HTTP/1.1 {} {}\r\nContent-Type: application/msgpack\r\nContent-Length: {}\r\n",
         response.status,
-        reason(response.status),
+        reason_phrase(response.status),
         response.body.len()
     );
     if let Some(seconds) = response.retry_after {
@@ -24,9 +24,9 @@
     output.extend_from_slice(&response.body);
 }
 
-/// Appends a request to `output`.
+/// Appends a serialized request to `output`.
 pub fn write_request(output: &mut Vec<u8>, method: &str, host: &str, target: &str, body: &[u8]) {
-    // Writing to a vector can't fail.
+    // Writes to a vector can't fail.
     let _ = write!(output, "{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
     if !body.is_empty() || method == "POST" {
         let _ = write!(
@@ -39,7 +39,7 @@
     output.extend_from_slice(body);
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/crates/protocol/src/state_service.rs
+++ b/crates/protocol/src/state_service.rs
@@ -1,9 +1,10 @@
-//! Messages of the state service in MessagePack. Its own words occur in serde's `rename` only.
+//! MessagePack messages of the state service. The state service's own field names occur only in
+//! serde's `rename` attributes.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A record as a page shows it.
+/// A record in a [`Page`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Pair {
     /// Key.
@@ -16,29 +17,29 @@
     pub version: u64,
 }
 
-/// A page of records, in the order of their keys.
+/// A page of records, in ascending order of their keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// The records.
+    /// Records of the page.
     pub pairs: Vec<Pair>,
-    /// Whether more follow.
+    /// Whether more records follow. Missing in the message: `false`.
     #[serde(default)]
     pub more: bool,
-    /// Revision of the store as the page was read.
+    /// Revision of the store when the page was read.
     #[serde(rename = "almanac")]
     pub revision: u64,
 }
 
-/// One change, as a watch shows it.
+/// A change in the response to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// Key that was put.
+    /// Key of the record, if the change is a put.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
-    /// Key that was deleted.
+    /// Key of the record, if the change is a deletion.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
-    /// The value that was put.
+    /// New value of the record, if the change is a put.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub value: Option<Value>,
     /// Revision of the change.
@@ -49,10 +50,10 @@
 /// The response to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Revision of the store as the response was made.
+    /// Revision of the store when the response was created.
     #[serde(rename = "almanac")]
     pub revision: u64,
-    /// All changes after the revision asked from.
+    /// All changes after the requested revision.
     pub events: Vec<Event>,
 }
 
@@ -64,33 +65,33 @@
     pub revision: u64,
 }
 
-/// Why a request was refused.
+/// Body of an error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refused {
-    /// The reason as text.
+pub struct ErrorBody {
+    /// Description of the error.
     pub error: String,
 }
 
-/// A lease that was granted.
+/// The response to the acquisition of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Granted {
-    /// Its id.
+pub struct GrantedLease {
+    /// Id of the lease.
     #[serde(rename = "tenure")]
     pub lease: u64,
 }
 
-/// Reads a body in MessagePack.
+/// Decodes a MessagePack body.
 ///
 /// # Errors
-/// Not MessagePack of the expected form.
+/// Returns an error if the body is not valid MessagePack or does not match the message.
 pub fn decode<T: for<'a> Deserialize<'a>>(body: &[u8]) -> Result<T, rmp_serde::decode::Error> {
     rmp_serde::from_slice(body)
 }
 
-/// Writes a body in MessagePack, maps keyed by text.
+/// Encodes a body as MessagePack. Structs become maps with field names as keys.
 #[must_use]
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    // Messages are plain maps of text and numbers: this can't fail.
+    // Messages consist of maps, text and numbers, so their encoding can't fail.
     rmp_serde::to_vec_named(message).unwrap_or_default()
 }
 
--- a/crates/protocol/src/state_service/tests.rs
+++ b/crates/protocol/src/state_service/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the state service's wire forms.
+//! Tests of the wire format of the state service's messages.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -7,8 +7,8 @@
 
 use super::*;
 
-/// The entries of a fixture file: a line with a name, then indented lines with its bytes in
-/// hexadecimal. Lines that begin with `#` are comments.
+/// Parses a fixture file. Each entry is a line with its name, followed by indented lines with its
+/// bytes in hexadecimal. Lines that begin with `#` are comments.
 fn entries(text: &str) -> BTreeMap<&str, Vec<u8>> {
     let mut entries: BTreeMap<&str, Vec<u8>> = BTreeMap::new();
     let mut name = "";
@@ -24,21 +24,26 @@
     entries
 }
 
-/// Written to these bytes, read from them, and refused if cut at any length.
+/// Asserts that the message is encoded to the bytes of the fixture and decoded from them, and that
+/// the bytes are rejected when they are truncated to any length.
 #[track_caller]
-fn keeps<T>(name: &str, message: &T)
+fn assert_keeps_bytes<T>(name: &str, message: &T)
 where
     T: Serialize + for<'a> Deserialize<'a> + PartialEq + Debug,
 {
     let bytes = &entries(include_str!("fixtures/messages.hex"))[name];
-    assert_eq!(&encode(message), bytes, "written: {name}");
-    assert_eq!(&decode::<T>(bytes).unwrap(), message, "read: {name}");
+    assert_eq!(&encode(message), bytes, "encoding of {name}");
+    assert_eq!(&decode::<T>(bytes).unwrap(), message, "decoding of {name}");
     for length in 0..bytes.len() {
-        let read = decode::<T>(&bytes[..length]);
-        assert!(read.is_err(), "{name} cut to {length}: {read:?}");
+        let decoded = decode::<T>(&bytes[..length]);
+        assert!(
+            decoded.is_err(),
+            "expected {name} truncated to {length} bytes to be rejected: {decoded:?}"
+        );
     }
 }
 
+/// Guards against a change of the wire format of messages.
 #[test]
 fn messages_keep_their_bytes() {
     let pair = |key: &str, value, version| Pair {
@@ -46,7 +51,7 @@
         value,
         version,
     };
-    keeps(
+    assert_keeps_bytes(
         "page",
         &Page {
             pairs: vec![
@@ -57,7 +62,7 @@
             revision: 1 << 33,
         },
     );
-    keeps(
+    assert_keeps_bytes(
         "changes",
         &Changes {
             revision: 70_002,
@@ -77,31 +82,33 @@
             ],
         },
     );
-    keeps("revision", &Revision { revision: 70_002 });
+    assert_keeps_bytes("revision", &Revision { revision: 70_002 });
     let error = "no such lease".into();
-    keeps("refused", &Refused { error });
-    keeps("granted", &Granted { lease: 300 });
+    assert_keeps_bytes("refused", &ErrorBody { error });
+    assert_keeps_bytes("granted", &GrantedLease { lease: 300 });
 }
 
+/// Guards against messages that are accepted although a required field is missing or has the wrong
+/// type.
 #[test]
-fn messages_that_lack_something_are_refused() {
-    let files = entries(include_str!("fixtures/refused.hex"));
-    assert_eq!(files.len(), 12);
-    for (name, bytes) in files {
+fn messages_without_a_required_field_are_rejected() {
+    let entries = entries(include_str!("fixtures/refused.hex"));
+    assert_eq!(entries.len(), 12);
+    for (name, bytes) in entries {
         let (kind, _) = name.split_once(' ').unwrap();
-        let refused = match kind {
+        let rejected = match kind {
             "page" => decode::<Page>(&bytes).is_err(),
             "changes" => decode::<Changes>(&bytes).is_err(),
             "revision" => decode::<Revision>(&bytes).is_err(),
-            "refused" => decode::<Refused>(&bytes).is_err(),
-            "granted" => decode::<Granted>(&bytes).is_err(),
-            other => panic!("{other}"),
+            "refused" => decode::<ErrorBody>(&bytes).is_err(),
+            "granted" => decode::<GrantedLease>(&bytes).is_err(),
+            other => panic!("unknown message {other} in the fixture"),
         };
-        assert!(refused, "{name}");
+        assert!(rejected, "expected the message to be rejected: {name}");
     }
 }
 
-/// What may be left out: `more` of a page.
+/// Guards against a page that is rejected because the optional field `more` is missing.
 #[test]
 fn a_page_without_more_is_the_last() {
     let body = rmp_serde::to_vec_named(&json!({"pairs": [], "almanac": 3})).unwrap();
--- a/crates/testkit/src/state_service/store.rs
+++ b/crates/testkit/src/state_service/store.rs
@@ -5,7 +5,7 @@
 
 use salttiller_protocol::http::Response;
 use salttiller_protocol::state_service::{
-    encode, Changes, Event, Granted, Page, Pair, Refused, Revision,
+    encode, Changes, ErrorBody, Event, GrantedLease, Page, Pair, Revision,
 };
 use serde::Serialize;
 use serde_json::Value;
@@ -236,7 +236,7 @@
         let mut leases = operations.iter().filter_map(|operation| operation.lease);
         if leases.any(|lease| !self.leases.exists(lease)) {
             let error = "no such lease".to_owned();
-            return Response::new(400, encode(&Refused { error }));
+            return Response::new(400, encode(&ErrorBody { error }));
         }
         let revision = if operations.is_empty() {
             self.contents.revision
@@ -269,7 +269,7 @@
     /// Answers with a new lease.
     pub(super) fn grant(&mut self, duration: Duration) -> Response {
         let lease = self.leases.grant(duration);
-        ok(&Granted { lease })
+        ok(&GrantedLease { lease })
     }
 
     /// Answers the renewal of a lease.
--- a/src/state_store/commits/pending.rs
+++ b/src/state_store/commits/pending.rs
@@ -1,7 +1,7 @@
 //! A commit from its request to its outcome, and how responses determine the outcome.
 
 use salttiller_protocol::http::Response;
-use salttiller_protocol::state_service::{decode, Refused, Revision};
+use salttiller_protocol::state_service::{decode, ErrorBody, Revision};
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
 use crate::reactor::CallError;
@@ -157,7 +157,7 @@
 /// is lost, which is logged separately. Any other permanent refusal is a fault of this
 /// process.
 fn log_refusal(transaction: &Transaction, body: &[u8]) {
-    let reason = decode::<Refused>(body).map(|refused| refused.error);
+    let reason = decode::<ErrorBody>(body).map(|body| body.error);
     let reason = reason.unwrap_or_default();
     let first_key = transaction.first_key();
     if reason.contains("lease") {
--- a/src/state_store/lease_calls.rs
+++ b/src/state_store/lease_calls.rs
@@ -2,7 +2,7 @@
 //! the state.
 
 use salttiller_protocol::http::Response;
-use salttiller_protocol::state_service::Granted;
+use salttiller_protocol::state_service::GrantedLease;
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 use serde_json::json;
 
@@ -74,7 +74,7 @@
         result: Result<Response, CallError>,
         now: Micros,
     ) {
-        match read_answer::<Granted>(result) {
+        match read_answer::<GrantedLease>(result) {
             Ok(granted) => self.lease_mut(role).granted(granted.lease),
             Err(error) => {
                 error.log("acquire lease");
