--- a/crates/records/src/amount.rs
+++ b/crates/records/src/amount.rs
@@ -1,25 +1,26 @@
-//! The resources that quotas limit, processors and accelerators, with arithmetic that never wraps.
+//! Amounts of the resources that quotas limit, which are processors and accelerators. The
+//! arithmetic never overflows.
 
 use serde::{Deserialize, Serialize};
 
-/// Processors and accelerators, in millionths. Stored as `[cpus, gpus]`.
+/// An amount of processors and accelerators, in millionths. Stored as `[cpus, gpus]`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct QuotaAmount {
-    /// Processors.
+    /// Number of processors, in millionths.
     pub cpus: u64,
-    /// Accelerators.
+    /// Number of accelerators, in millionths.
     pub gpus: u64,
 }
 
 impl QuotaAmount {
-    /// More than any machines together have.
+    /// An amount that exceeds the capacity of all machines together.
     pub const UNBOUNDED: QuotaAmount = QuotaAmount {
         cpus: u64::MAX,
         gpus: u64::MAX,
     };
 
-    /// Sum, never wrapping.
+    /// Returns the sum, saturating at the numeric bounds.
     #[must_use]
     pub fn plus(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount {
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Difference, never below zero.
+    /// Returns the difference, saturating at zero.
     #[must_use]
     pub fn minus(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// `n` times this.
+    /// Returns the amount multiplied by `n`, saturating at the numeric bounds.
     #[must_use]
     pub fn times(self, n: u64) -> QuotaAmount {
         QuotaAmount {
@@ -46,13 +47,13 @@
         }
     }
 
-    /// Whether this fits into `other`.
+    /// Whether neither resource exceeds that of `other`.
     #[must_use]
     pub fn within(self, other: QuotaAmount) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus
     }
 
-    /// The smaller of each.
+    /// Returns the minimum of each resource.
     #[must_use]
     pub fn min(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount {
@@ -63,7 +64,7 @@
 }
 
 impl From<(u64, u64)> for QuotaAmount {
-    /// Processors, accelerators.
+    /// Converts a pair of processors and accelerators, in millionths.
     fn from((cpus, gpus): (u64, u64)) -> Self {
         QuotaAmount { cpus, gpus }
     }
--- a/crates/records/src/bitmap.rs
+++ b/crates/records/src/bitmap.rs
@@ -1,17 +1,18 @@
-//! Sets of numbers as bitmaps in hexadecimal text: the finished tasks of a chunk of task
-//! numbers, and the activated machines of a batch. The first digit holds the lowest four
-//! numbers, its lowest bit the lowest of them.
+//! Sets of numbers, encoded as bitmaps in hexadecimal text. The sets are the finished tasks of a
+//! chunk of task numbers, and the activated machines of a batch. Each digit represents four
+//! numbers: the first digit has the four lowest numbers, and the lowest bit of a digit has the
+//! lowest of its numbers.
 
 use crate::model::RangeSet;
 
-/// Task numbers of one progress record.
+/// Number of task numbers per chunk. A progress record has one chunk.
 pub const CHUNK_SIZE: u32 = 4096;
-/// Numbers in one hexadecimal digit.
+/// Number of bits per hexadecimal digit.
 const DIGIT_BITS: u32 = 4;
-/// Digits of a whole chunk.
+/// Number of digits of a complete chunk.
 const MAX_DIGITS: usize = (CHUNK_SIZE / DIGIT_BITS) as usize;
 
-/// The numbers of one chunk as a bitmap; without trailing zeros.
+/// Encodes the numbers of one chunk as a bitmap without trailing zeros.
 #[must_use]
 pub fn encode_bitmap(set: &RangeSet, chunk: u32) -> String {
     let base = chunk * CHUNK_SIZE;
@@ -34,8 +35,8 @@
         .collect()
 }
 
-/// Reads what [`encode_bitmap`] wrote, adding to `set`; characters that are no digits count
-/// as zeros.
+/// Adds the numbers of a bitmap of [`encode_bitmap`] to `set`. A character that is not a
+/// hexadecimal digit counts as zero.
 pub fn decode_bitmap(text: &str, chunk: u32, set: &mut RangeSet) {
     let base = chunk.saturating_mul(CHUNK_SIZE);
     for (index, digit) in digits(text).enumerate() {
@@ -47,7 +48,7 @@
     }
 }
 
-/// How many numbers [`encode_bitmap`] wrote.
+/// Returns how many numbers a bitmap of [`encode_bitmap`] contains.
 #[must_use]
 pub fn count_bits(text: &str) -> u32 {
     digits(text).map(u32::count_ones).sum()
--- a/crates/records/src/history.rs
+++ b/crates/records/src/history.rs
@@ -1,24 +1,26 @@
-//! Identifying a history of the state service by its last changes.
+//! Fingerprints of changes. The fingerprints of the last changes identify a history of the state
+//! service.
 
 use serde::{Deserialize, Serialize};
 
-/// Number of changes that are kept to identify a history; more if the last revision of them
-/// is only whole with more.
+/// Number of changes that are kept to identify a history. More changes are kept if the oldest of
+/// their revisions would otherwise be incomplete.
 pub const RECOGNISED_CHANGES: usize = 32;
 
-/// A short form of a change: enough to tell whether another history has the same one.
+/// A summary of a change that shows whether another history has the same change.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint {
     /// Revision of the change.
     pub version: u64,
     /// Key of the record.
     pub key: String,
-    /// Checksum of its value; `None`: deleted.
+    /// Checksum of the record's new value, or `None` if the record was deleted.
     pub checksum: Option<u32>,
 }
 
 impl Fingerprint {
-    /// The fingerprint of a change to a value, as bytes that are the same for equal values.
+    /// Returns the fingerprint of a change. `value` is the new value in an encoding in which equal
+    /// values have equal bytes, or `None` if the record was deleted.
     pub fn new(version: u64, key: String, value: Option<&[u8]>) -> Self {
         let checksum = value.map(crc32fast::hash);
         Fingerprint {
@@ -29,8 +31,9 @@
     }
 }
 
-/// The last [`RECOGNISED_CHANGES`] of `changes`, which are in the order of their revisions.
-/// A revision is kept whole, since a comparison asks for whole revisions.
+/// Returns the last [`RECOGNISED_CHANGES`] of `changes`, which must be in ascending order of their
+/// revisions. All changes of a revision are kept or none, because a comparison requests complete
+/// revisions.
 #[must_use]
 pub fn last_whole_revisions(mut changes: Vec<Fingerprint>) -> Vec<Fingerprint> {
     let Some(first) = changes.len().checked_sub(RECOGNISED_CHANGES) else {
--- a/crates/records/src/key.rs
+++ b/crates/records/src/key.rs
@@ -1,41 +1,42 @@
-//! Keys of the records in the state service. Their texts are published.
+//! Keys of the records in the state service. The texts of the keys are published and must not
+//! change.
 
-/// Prefix of every key; one watch over it sees all records.
+/// Prefix of every key. A watch of this prefix receives the changes of all records.
 pub const PREFIX: &str = "st/";
 
-/// The keys, each with the record it names.
+/// Key of a record. The documentation of each variant has the text after [`PREFIX`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Key {
-    /// `leader`: who leads.
+    /// `leader`: the current leader.
     Leader,
-    /// `token`: the last fencing token that was handed out.
+    /// `token`: the last fencing token that was issued.
     Token,
-    /// `region/REGION`: who owns a region.
+    /// `region/REGION`: the owner of a region.
     Region(String),
-    /// `machine/MACHINE`: a machine and the region it is assigned to, as versions before 0.2
-    /// stored it.
+    /// `machine/MACHINE`: a machine and the region that it is assigned to, as stored by versions
+    /// before 0.2.
     Machine(String),
-    /// `lot/BATCH`: machines that were provisioned together and the region they are assigned
+    /// `lot/BATCH`: machines that were provisioned together, and the region that they are assigned
     /// to.
     MachineBatch(String),
-    /// `roll/REGION/NUMBER`: which machines of a region's batches were activated; a region
-    /// has as many of these records as its batches need, numbered from 0.
+    /// `roll/REGION/NUMBER`: which machines of a region's batches were activated. A region has as
+    /// many of these records as its batches require, numbered from 0.
     Activation(String, u32),
     /// `job/JOB`: a job.
     Job(String),
-    /// `progress/JOB/REGION/CHUNK`: finished tasks of a job, as one region found them, in
-    /// chunks of [`CHUNK_SIZE`](crate::bitmap::CHUNK_SIZE) task numbers.
+    /// `progress/JOB/REGION/CHUNK`: the finished tasks of a job that a region recorded, in chunks
+    /// of [`CHUNK_SIZE`](crate::bitmap::CHUNK_SIZE) task numbers.
     Progress(String, String, u32),
-    /// `quota/TEAM`: how a team's limit is shared out among the regions.
+    /// `quota/TEAM`: the shares of the regions in a team's limit.
     Quota(String),
     /// `flavor/TYPE`: a machine type.
     MachineType(String),
-    /// `hold`: that records were lost, and what operators decided.
+    /// `hold`: a loss of records and the decision of operators about it.
     DataLossHold,
 }
 
 impl Key {
-    /// The key as text.
+    /// Returns the key as text.
     #[must_use]
     pub fn text(&self) -> String {
         match self {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Reads a key; `None` for one that this version doesn't know.
+    /// Parses a key. Returns `None` if this version does not know keys of this form.
     #[must_use]
     pub fn parse(text: &str) -> Option<Key> {
         let key = text.strip_prefix(PREFIX)?;
--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -1,8 +1,9 @@
-//! What salttiller stores in the state service: keys and records, the spec of a job, and the
-//! units of times and amounts. The controller and all tools build on it; it does no I/O.
+//! The data that salttiller stores in the state service: keys and records, the spec of a job, and
+//! the units of times and amounts. The controller and all tools depend on this package, which does
+//! no I/O.
 //!
-//! The forms of keys and records are published: controllers of other versions read and write
-//! the same store side by side.
+//! The stored forms of keys and records are published, because controllers of different versions
+//! read and write the same store concurrently.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/records/src/model.rs
+++ b/crates/records/src/model.rs
@@ -1,5 +1,5 @@
-//! The types that all modules share: names of jobs and tasks, the spec of a job, machine
-//! types, and sets of task numbers. Each has a file of its own; all are used from here.
+//! Types that all modules share: names of jobs and tasks, the spec of a job, machine types, and
+//! sets of task numbers.
 
 mod ids;
 mod job_spec;
--- a/crates/records/src/model/ids.rs
+++ b/crates/records/src/model/ids.rs
@@ -1,18 +1,18 @@
-//! Names of jobs and tasks, as users and workers write them.
+//! Validates and parses the names of jobs and tasks that users and workers send.
 
 use std::rc::Rc;
 
-/// A job's name, as its user chose it.
+/// Id of a job, chosen by its user.
 pub type JobId = Rc<str>;
 
-/// What a job's name begins with.
+/// Prefix of a job id.
 const JOB_PREFIX: &str = "req-";
-/// Most digits of a job's name.
+/// Maximum number of digits of a job id.
 const MAX_JOB_DIGITS: usize = 20;
-/// Most digits of a task's number.
+/// Maximum number of digits of a task number.
 const MAX_TASK_DIGITS: usize = 6;
 
-/// Whether `name` has the form of a job id: `req-` and digits.
+/// Whether `name` is a valid job id: `req-` followed by digits.
 #[must_use]
 pub fn is_job_id(name: &str) -> bool {
     name.strip_prefix(JOB_PREFIX).is_some_and(|digits| {
@@ -20,7 +20,8 @@
     })
 }
 
-/// Splits a task's name (`req-000412/3`) into job and number; `None` if it isn't one.
+/// Splits the name of a task, such as `req-000412/3`, into job id and task number. Returns `None`
+/// if the name is invalid.
 #[must_use]
 pub fn parse_task(name: &str) -> Option<(&str, u32)> {
     let (job, number) = name.split_once('/')?;
--- a/crates/records/src/model/job_spec.rs
+++ b/crates/records/src/model/job_spec.rs
@@ -1,4 +1,4 @@
-//! A job as submitted: what its tasks need and where they may run.
+//! The spec of a job: the resources that its tasks need and the machines that they may run on.
 
 use std::rc::Rc;
 
@@ -9,13 +9,13 @@
 use crate::resources::Resources;
 use crate::units::Micros;
 
-/// How a job's tasks belong together.
+/// Kind of a job, which determines how its tasks run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Independent tasks, each runs to its end.
+    /// Independent tasks that run to completion.
     #[serde(rename = "a")]
     Array,
-    /// All at once or none.
+    /// Tasks that run all at the same time or not at all.
     #[serde(rename = "g")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -23,24 +23,24 @@
     Service,
 }
 
-/// Priority, in ascending order.
+/// Priority of a job. The variants are in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Lowest.
+    /// Lowest priority.
     #[serde(rename = "0")]
     Low,
-    /// Usual.
+    /// Normal priority.
     #[serde(rename = "1")]
     Normal,
-    /// Above usual.
+    /// Priority above normal.
     #[serde(rename = "2")]
     High,
-    /// Highest.
+    /// Highest priority.
     #[serde(rename = "3")]
     Production,
 }
 
-// Serde calls these with references.
+// Serde passes references to `skip_serializing_if` functions.
 fn is_false(value: &bool) -> bool {
     !*value
 }
@@ -49,84 +49,84 @@
     *value == 0
 }
 
-/// A job as submitted, in whole units. The serde names are short since the size of records
-/// in the state service is limited.
+/// Spec of a job. Times and amounts are integers in small units. The serde names are short because
+/// the size of records in the state service is limited.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Class.
+    /// Workload class of the job.
     #[serde(rename = "c")]
     pub class: String,
-    /// Team.
+    /// Team that the job belongs to.
     #[serde(rename = "t")]
     pub team: String,
-    /// Kind.
+    /// Kind of the job.
     #[serde(rename = "k")]
     pub kind: JobKind,
-    /// Priority.
+    /// Priority of the job.
     #[serde(rename = "r")]
     pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "n")]
     pub task_count: u32,
-    /// Processors of a task, millionths.
+    /// Processors per task, in millionths.
     #[serde(rename = "u")]
     pub cpus: u64,
-    /// Accelerators of a task, millionths.
+    /// Accelerators per task, in millionths.
     #[serde(rename = "g", default, skip_serializing_if = "is_zero")]
     pub gpus: u64,
-    /// Memory of a task, millionths of a GB.
+    /// Memory per task, in millionths of a GB.
     #[serde(rename = "m", default, skip_serializing_if = "is_zero")]
     pub memory: u64,
-    /// Allowed machine types.
+    /// Machine types that tasks may run on; `None` allows all types.
     #[serde(rename = "y", default, skip_serializing_if = "Option::is_none")]
     pub allowed_types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// Zone that tasks must run in; `None` allows all zones.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "o", default, skip_serializing_if = "is_false")]
     pub single_zone: bool,
-    /// At most half of the tasks in one zone.
+    /// Whether at most half of the tasks may run in the same zone.
     #[serde(rename = "p", default, skip_serializing_if = "is_false")]
     pub spread_zones: bool,
-    /// May run on spot machines.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub allows_spot: bool,
-    /// Image.
+    /// Name of the image.
     #[serde(rename = "i")]
     pub image: String,
-    /// Image size, millionths of a GB.
+    /// Size of the image, in millionths of a GB.
     #[serde(rename = "s", default, skip_serializing_if = "is_zero")]
     pub image_size: u64,
-    /// Estimated run time.
+    /// Estimated run time of a task.
     #[serde(rename = "e", default, skip_serializing_if = "is_zero")]
     pub estimated_run_time: Micros,
-    /// Checkpoint interval; 0: takes no checkpoints.
+    /// Interval between checkpoints. 0 if the tasks take no checkpoints.
     #[serde(rename = "x", default, skip_serializing_if = "is_zero")]
     pub checkpoint_interval: Micros,
-    /// Time that a checkpoint takes when the task is stopped.
+    /// Duration of the checkpoint that a task takes when it is stopped.
     #[serde(rename = "v", default, skip_serializing_if = "is_zero")]
     pub checkpoint_time: Micros,
-    /// Deadline, as time from the submission.
+    /// Time from the submission to the deadline.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Micros>,
-    /// Time of day at submission; in the effective spec of a job that waited for others, that
-    /// of the end of the last of them.
+    /// Wall-clock time of the submission. In the effective spec of a job with dependencies, the
+    /// wall-clock time at which the last dependency ended.
     #[serde(rename = "a")]
     pub submitted_at: Micros,
-    /// Jobs that must be done before any task of this one starts. Left out where there
-    /// are none, so that such a record is the same as those of versions before 0.3.
+    /// Jobs that must be done before any task of this job starts. The field is omitted if it is
+    /// empty, so that the record is identical to those of versions before 0.3.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<String>,
-    /// Only in an effective spec: the spec as stored. The effective spec differs in priority
-    /// and deadline, inherited from the jobs that need it, and in times, which count from its
-    /// readiness.
+    /// Spec as stored. Set only in an effective spec, which differs from the stored spec in two
+    /// ways: the job inherits priority and deadline from its dependents, and times count from the
+    /// moment at which the job became ready.
     #[serde(skip)]
     pub stored_spec: Option<Rc<JobSpec>>,
 }
 
 impl JobSpec {
-    /// Processors and accelerators of one task.
+    /// Returns the processors and accelerators of one task, which count against the team's quota.
     #[must_use]
     pub fn quota_per_task(&self) -> QuotaAmount {
         QuotaAmount {
@@ -135,19 +135,21 @@
         }
     }
 
-    /// Whether a task may run on a machine of this type in this zone, spot or on-demand.
+    /// Whether a task may run on a machine of this type in this zone, and an empty machine has
+    /// enough capacity for a task. `spot` is whether the machine is a spot machine.
     #[must_use]
     pub fn permits_machine(&self, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
         self.fits_machine_type(machine_type) && self.allows_zone_and_spot(zone, spot)
     }
 
-    /// Whether an empty machine of this type could hold a task.
+    /// Whether a task may run on this machine type, and an empty machine has enough capacity for a
+    /// task.
     #[must_use]
     pub fn fits_machine_type(&self, machine_type: &MachineType) -> bool {
         self.allows_machine_type(&machine_type.name) && self.task_fits_in(machine_type.resources())
     }
 
-    /// What one task needs of a machine.
+    /// Returns the resources that one task needs.
     #[must_use]
     pub fn resources_per_task(&self) -> Resources {
         Resources {
@@ -157,13 +159,13 @@
         }
     }
 
-    /// Whether one task fits into this free capacity.
+    /// Whether one task fits into the free capacity `free`.
     #[must_use]
     pub fn task_fits_in(&self, free: Resources) -> bool {
         self.resources_per_task().fits_in(free)
     }
 
-    /// How many tasks an empty machine of this type holds.
+    /// Returns how many tasks fit on an empty machine of this type.
     #[must_use]
     pub fn tasks_per_machine(&self, machine_type: &MachineType) -> u64 {
         if !self.fits_machine_type(machine_type) {
@@ -172,7 +174,7 @@
         self.tasks_fitting_in(machine_type.resources())
     }
 
-    /// How many tasks fit into this free capacity, at most all of them.
+    /// Returns how many of the job's tasks fit into the free capacity `free`.
     #[must_use]
     pub fn tasks_fitting_in(&self, free: Resources) -> u64 {
         let fitting = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
@@ -182,8 +184,8 @@
             .min(u64::from(self.task_count))
     }
 
-    /// Whether tasks may run on machines of this type in this zone, spot or on-demand,
-    /// whatever their size.
+    /// Whether tasks may run on machines of this type in this zone, regardless of the machines'
+    /// capacity. `spot` is whether the machines are spot machines.
     #[must_use]
     pub fn permits_placement(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         self.allows_zone_and_spot(zone, spot) && self.allows_machine_type(machine_type)
--- a/crates/records/src/model/machine_type.rs
+++ b/crates/records/src/model/machine_type.rs
@@ -1,38 +1,38 @@
-//! Machine types, as the cloud offers them.
+//! Machine types that the cloud offers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::resources::Resources;
 use crate::units::Micros;
 
-/// A machine type, as the cloud describes it and `flavor/NAME` stores it.
+/// A machine type of the cloud. Stored as `flavor/NAME`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Name.
+    /// Name of the type.
     pub name: String,
-    /// Processors, millionths.
+    /// Processors, in millionths.
     pub cpus: u64,
-    /// Accelerators, millionths.
+    /// Accelerators, in millionths.
     pub gpus: u64,
-    /// Memory, millionths of a GB.
+    /// Memory, in millionths of a GB.
     #[serde(rename = "mem")]
     pub memory: u64,
-    /// Rate at which images are fetched, millionths of a GB a second.
+    /// Rate at which images are fetched, in millionths of a GB per second.
     #[serde(rename = "fetch")]
     pub fetch_rate: u64,
-    /// Price an hour, millionths.
+    /// On-demand price per hour, in millionths.
     pub price: u64,
-    /// Spot price an hour, millionths.
+    /// Spot price per hour, in millionths.
     pub spot_price: u64,
     /// Nominal boot time.
     #[serde(rename = "boot")]
     pub boot_time: Micros,
-    /// Zones that offer it.
+    /// Zones in which the type is available.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// What an empty machine of this type offers.
+    /// Returns the resources of an empty machine of this type.
     #[must_use]
     pub fn resources(&self) -> Resources {
         Resources {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Price of a machine an hour, on-demand or spot, in millionths.
+    /// Returns the price of a machine per hour, in millionths. `spot` selects the spot price.
     #[must_use]
     pub fn price_of(&self, spot: bool) -> u64 {
         if spot {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Price of one of its processors an hour: price by amount of processors.
+    /// Returns the price of a machine per hour divided by its number of processors.
     #[must_use]
     pub fn price_per_cpu(&self, spot: bool) -> f64 {
         self.price_of(spot) as f64 / self.cpus.max(1) as f64
--- a/crates/records/src/model/range_set.rs
+++ b/crates/records/src/model/range_set.rs
@@ -2,20 +2,21 @@
 
 use std::collections::BTreeMap;
 
-/// A set of task numbers as ranges, so that 100,000 consecutive tasks cost as little as one.
+/// A set of task numbers, stored as ranges, so that 100,000 consecutive tasks need no more memory
+/// than one.
 ///
-/// Ranges are given as their first number and one past their last. No two stored ranges
-/// touch or overlap.
+/// A range consists of its first number and the number after its last. Stored ranges are neither
+/// adjacent nor overlapping.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RangeSet {
-    /// End of each range by its start.
+    /// End of each range, by its start.
     ranges: BTreeMap<u32, u32>,
-    /// How many numbers are in the set.
+    /// Number of elements.
     len: u32,
 }
 
 impl RangeSet {
-    /// The numbers from `start` up to, not including, `end`.
+    /// Returns the set of the numbers from `start` to `end`, excluding `end`.
     #[must_use]
     pub fn from_range(start: u32, end: u32) -> Self {
         let mut set = RangeSet::default();
@@ -23,19 +24,19 @@
         set
     }
 
-    /// How many numbers are in the set.
+    /// Returns the number of elements.
     #[must_use]
     pub fn len(&self) -> u32 {
         self.len
     }
 
-    /// Whether it is empty.
+    /// Whether the set is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The smallest number.
+    /// Returns the smallest number, if the set is not empty.
     #[must_use]
     pub fn first(&self) -> Option<u32> {
         self.ranges.first_key_value().map(|(start, _)| *start)
@@ -48,13 +49,13 @@
         up_to.next_back().is_some_and(|(_, end)| number < *end)
     }
 
-    /// Adds the numbers from `start` up to, not including, `end`.
+    /// Adds the numbers from `start` to `end`, excluding `end`.
     pub fn insert_range(&mut self, start: u32, end: u32) {
         if start >= end {
             return;
         }
         let (mut start, mut end) = (start, end);
-        // Merge with every range that touches the new one.
+        // Merge the new range with every adjacent or overlapping range.
         while let Some((&old_start, &old_end)) = self.ranges.range(..=end).next_back() {
             if old_end < start {
                 break;
@@ -66,7 +67,7 @@
         self.add_stored(start, end);
     }
 
-    /// Removes the numbers from `start` up to, not including, `end`.
+    /// Removes the numbers from `start` to `end`, excluding `end`.
     pub fn remove_range(&mut self, start: u32, end: u32) {
         if start >= end {
             return;
@@ -107,12 +108,13 @@
         was_present
     }
 
-    /// The ranges in order: first number and one past the last.
+    /// Iterates over the ranges in ascending order, as the first number and the number after the
+    /// last.
     pub fn ranges(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
         self.ranges.iter().map(|(start, end)| (*start, *end))
     }
 
-    /// Every number in order.
+    /// Iterates over all numbers in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.ranges().flat_map(|(start, end)| start..end)
     }
@@ -131,18 +133,18 @@
         }
     }
 
-    /// The last `count` numbers of the set, or all if there are fewer.
+    /// Returns the `count` largest numbers of the set, or all numbers if there are fewer.
     #[must_use]
     pub fn last_n(&self, count: u32) -> RangeSet {
         let mut last = RangeSet::default();
-        let mut missing = count;
+        let mut remaining = count;
         for (&start, &end) in self.ranges.iter().rev() {
-            if missing == 0 {
+            if remaining == 0 {
                 break;
             }
-            let taken = missing.min(end - start);
+            let taken = remaining.min(end - start);
             last.insert_range(end - taken, end);
-            missing -= taken;
+            remaining -= taken;
         }
         last
     }
--- a/crates/records/src/model/tests.rs
+++ b/crates/records/src/model/tests.rs
@@ -1,11 +1,12 @@
-//! Tests of names and range sets.
+//! Tests of job and task names and of range sets.
 
 use super::*;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
+/// Guards against invalid names of jobs and tasks that are accepted.
 #[test]
-fn names_of_jobs_and_tasks() {
+fn job_and_task_names_are_validated() {
     for (name, is_id) in [
         ("req-000412", true),
         ("req-", false),
@@ -16,7 +17,7 @@
         assert_eq!(is_job_id(name), is_id, "{name}");
     }
     assert_eq!(parse_task("req-000412/3"), Some(("req-000412", 3)));
-    for bad in [
+    for invalid in [
         "req-000412",
         "req-1/x",
         "req-1/",
@@ -24,30 +25,31 @@
         "x/1",
         "req-1/-1",
     ] {
-        assert_eq!(parse_task(bad), None, "{bad}");
+        assert_eq!(parse_task(invalid), None, "{invalid}");
     }
 }
 
 proptest! {
-    /// Ranges behave as a plain set of the same numbers.
+    /// Guards against a range set that differs from a plain set of the same numbers after any
+    /// sequence of insertions and removals, and against stored ranges that are adjacent or overlap.
     #[test]
-    fn ranges_are_sets(ops in proptest::collection::vec((any::<bool>(), 0u32..40, 0u32..12), 0..40)) {
+    fn range_sets_match_plain_sets(ops in proptest::collection::vec((any::<bool>(), 0u32..40, 0u32..12), 0..40)) {
         let mut set = RangeSet::default();
         let mut expected = BTreeSet::new();
-        for (add, at, n) in ops {
-            if add {
-                set.insert_range(at, at + n);
-                expected.extend(at..at + n);
+        for (is_insertion, start, count) in ops {
+            if is_insertion {
+                set.insert_range(start, start + count);
+                expected.extend(start..start + count);
             } else {
-                set.remove_range(at, at + n);
-                expected.retain(|x| !(at..at + n).contains(x));
+                set.remove_range(start, start + count);
+                expected.retain(|number| !(start..start + count).contains(number));
             }
             prop_assert_eq!(set.len() as usize, expected.len());
             prop_assert_eq!(set.iter().collect::<Vec<_>>(), expected.iter().copied().collect::<Vec<_>>());
-            let mut prev: Option<u32> = None;
-            for (a, b) in set.ranges() {
-                prop_assert!(a < b && prev.is_none_or(|p| p < a));
-                prev = Some(b);
+            let mut previous_end: Option<u32> = None;
+            for (start, end) in set.ranges() {
+                prop_assert!(start < end && previous_end.is_none_or(|previous| previous < start));
+                previous_end = Some(end);
             }
         }
         prop_assert_eq!(set.last_n(3).iter().collect::<Vec<_>>(),
--- a/crates/records/src/record.rs
+++ b/crates/records/src/record.rs
@@ -1,5 +1,5 @@
-//! The records that the state service keeps for the controllers. Their forms are published:
-//! field names and order of what is stored stay as they are, whatever the names here.
+//! The records that the controllers store in the state service. Their stored forms are published:
+//! the names and the order of the stored fields must not change when a Rust item is renamed.
 
 mod data_loss_hold;
 mod job;
@@ -19,9 +19,9 @@
 pub use ownership::{LeaderRecord, RegionRecord};
 pub use quota::QuotaRecord;
 
-/// A record as a value for the state service.
+/// Converts a record to a value of the state service.
 #[must_use]
 pub fn value<T: Serialize>(record: &T) -> Value {
-    // Our records are plain maps of text and numbers: this can't fail.
+    // Records consist of maps, text and numbers, so their conversion can't fail.
     serde_json::to_value(record).unwrap_or(Value::Null)
 }
--- a/crates/records/src/record/data_loss_hold.rs
+++ b/crates/records/src/record/data_loss_hold.rs
@@ -1,33 +1,33 @@
-//! The record of a hold after records were lost.
+//! The record of a data-loss hold, during which the controllers start and accept no work.
 
 use serde::{Deserialize, Serialize};
 
 use crate::units::Micros;
 
-/// `hold`: a controller found that the state service lost records, and all controllers hold
-/// until operators decide. Versions before 0.6 ignore it.
+/// `hold`: a controller found that the state service lost records. All controllers hold until
+/// operators decide how to proceed. Versions before 0.6 ignore this record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DataLossHoldRecord {
-    /// A random number that identifies the loss.
+    /// Random id of the loss.
     pub incident: u64,
-    /// Host name of the controller that found it.
+    /// Host name of the controller that found the loss.
     pub by: String,
-    /// Time of day at which it was found.
+    /// Wall-clock time at which the loss was found.
     pub at: Micros,
-    /// The finding, for operators.
+    /// Text of the finding, for operators.
     pub seen: String,
-    /// Set when operators decided to go on with the records that there are.
+    /// Decision of operators to continue with the remaining records, once it is made.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub accepted: Option<AcceptedLoss>,
 }
 
-/// An operator's decision to go on with the records that there are.
+/// An operator's decision to continue with the remaining records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedLoss {
     /// Name of the operator.
     pub by: String,
-    /// Time of day of the decision.
+    /// Wall-clock time of the decision.
     pub at: Micros,
-    /// Reason given.
+    /// Reason for the decision, as given by the operator.
     pub why: String,
 }
--- a/crates/records/src/record/job.rs
+++ b/crates/records/src/record/job.rs
@@ -7,34 +7,34 @@
 use crate::model::{JobSpec, RangeSet};
 use crate::units::Micros;
 
-/// Stage of a job's life.
+/// Stage of a job's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStage {
-    /// Not over.
+    /// The job is neither done nor cancelled.
     #[serde(rename = "o")]
     Open,
-    /// All tasks done.
+    /// All tasks are done.
     #[serde(rename = "d")]
     Done,
-    /// Its user asked to cancel it.
+    /// The user cancelled the job.
     #[serde(rename = "c")]
     Cancelled,
 }
 
-/// Consecutive tasks of a job that are bound to one region. Stored as `[first, end, region]`.
+/// A range of a job's tasks that are bound to the same region. Stored as `[first, end, region]`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32, String)", into = "(u32, u32, String)")]
 pub struct TaskRange {
-    /// First task.
+    /// Number of the first task.
     pub first: u32,
-    /// One past the last.
+    /// Number after that of the last task.
     pub end: u32,
-    /// Region; empty: bound to none.
+    /// Name of the region. Empty if the tasks are bound to no region.
     pub region: String,
 }
 
 impl TaskRange {
-    /// The tasks from `first` up to, not including, `end`, bound to a region.
+    /// Returns the range of the tasks from `first` to `end`, excluding `end`, bound to `region`.
     #[must_use]
     pub fn new(first: u32, end: u32, region: impl Into<String>) -> Self {
         TaskRange {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether these tasks are bound to no region.
+    /// Whether the tasks are bound to no region.
     #[must_use]
     pub fn is_unbound(&self) -> bool {
         self.region.is_empty()
@@ -63,14 +63,15 @@
     }
 }
 
-/// `job/ID`. Once the job is over, what is not needed any more is left out.
+/// `job/ID`: a job. Fields that are not needed after the end of the job are then omitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Stage.
+    /// Stage of the job.
     #[serde(rename = "st")]
     pub stage: JobStage,
-    /// The spec as submitted; in the replica the effective spec. Kept for cancelled jobs
-    /// too, whose tasks may still count against the team's limit; dropped for done ones.
+    /// Spec as submitted, or the effective spec in the replica. The spec of a cancelled job is kept
+    /// because its tasks may still count against the team's limit. The spec of a done job is
+    /// removed.
     #[serde(
         rename = "j",
         default,
@@ -78,20 +79,20 @@
         serialize_with = "serialize_stored_spec"
     )]
     pub spec: Option<Rc<JobSpec>>,
-    /// Which regions the tasks are bound to; empty: not bound yet.
+    /// Regions that the tasks are bound to. Empty if the job is not bound yet.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
     pub task_ranges: Vec<TaskRange>,
-    /// Of a gang over several regions: the attempt that all parts start under, and the zone
-    /// of all if they must be in one.
+    /// Attempt that all parts of a multi-region gang start under, and their common zone if they
+    /// must run in one zone. `None` for any other job.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub multi_region: Option<MultiRegionAttempt>,
-    /// Of a done job: the time of day at which that was recorded. Jobs that need it count
-    /// their times from there, whoever leads.
+    /// Wall-clock time at which the end of a done job was recorded. The times of its dependents
+    /// count from this time, regardless of which controller is the leader.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub ended_at: Option<Micros>,
 }
 
-/// Writes a spec as submitted: what the replica derives from other records is never
+/// Serializes the spec as submitted. Values that the replica derives from other records are never
 /// stored.
 #[expect(clippy::ref_option, reason = "serde passes the field's own type")]
 fn serialize_stored_spec<S: Serializer>(
@@ -108,13 +109,13 @@
     }
 }
 
-/// What the parts of a gang over several regions have in common. Stored as `[attempt, zone]`.
+/// Start attempt of a multi-region gang, common to all of its parts. Stored as `[attempt, zone]`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, Option<String>)", into = "(u64, Option<String>)")]
 pub struct MultiRegionAttempt {
-    /// Attempt number that every task of the gang starts under.
+    /// Attempt number of all tasks of the gang.
     pub attempt: u64,
-    /// Zone, if all tasks must be in one.
+    /// Zone of all tasks, if they must run in one zone.
     pub zone: Option<String>,
 }
 
@@ -125,13 +126,14 @@
 }
 
 impl From<MultiRegionAttempt> for (u64, Option<String>) {
-    fn from(gang: MultiRegionAttempt) -> Self {
-        (gang.attempt, gang.zone)
+    fn from(common: MultiRegionAttempt) -> Self {
+        (common.attempt, common.zone)
     }
 }
 
 impl JobRecord {
-    /// The record of the job once it is cancelled: bound to no region, the spec kept.
+    /// Returns the record of the cancelled job: its tasks are bound to no region and its spec is
+    /// kept.
     #[must_use]
     pub fn cancelled(&self) -> Self {
         JobRecord {
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The tasks bound to a region.
+    /// Returns the tasks that are bound to a region.
     #[must_use]
     pub fn tasks_of(&self, region: &str) -> RangeSet {
         let mut tasks = RangeSet::default();
@@ -157,7 +159,7 @@
         tasks
     }
 
-    /// The spec of a job that is not over.
+    /// Returns the spec if the job is open.
     #[must_use]
     pub fn open_spec(&self) -> Option<&Rc<JobSpec>> {
         if self.stage == JobStage::Open {
--- a/crates/records/src/record/machine.rs
+++ b/crates/records/src/record/machine.rs
@@ -1,4 +1,5 @@
-//! Records of machines: in batches, or one each as versions before 0.2 wrote them.
+//! Records of machines. Machines are stored in batches; versions before 0.2 stored one record for
+//! each machine.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -10,66 +11,66 @@
 pub struct BatchPosition {
     /// Id of the batch.
     pub batch: Rc<str>,
-    /// Index among the machines of the batch.
+    /// Index of the machine in the batch.
     pub index: usize,
 }
 
-/// A machine as the records show it: either a record `machine/NAME` of its own, as
-/// versions before 0.2 wrote it, or a position in a batch.
+/// A machine according to the records. A machine is stored either in a batch or, by versions before
+/// 0.2, in its own record `machine/NAME`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Region; a machine never changes it.
+    /// Region of the machine, which never changes.
     pub region: String,
-    /// Type.
+    /// Name of the machine type.
     #[serde(rename = "flavor")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Spot or on-demand.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// Set by the owner before it starts the first task on the machine: without it no
-    /// controller has ever started one there.
+    /// Whether the machine is activated. The region's owner sets this flag before it starts the
+    /// first task on the machine, so no controller has ever started a task on a machine without it.
     #[serde(rename = "opened", default)]
     pub activated: bool,
-    /// The batch it is in, and its position there.
+    /// Position in a batch, if the machine is stored in one.
     #[serde(skip)]
     pub batch_position: Option<BatchPosition>,
 }
 
-/// `lot/ID`: a batch of machines of one pool that were provisioned together and are
-/// assigned to a region together. One record for many machines: a record for each would
-/// cost more changes than the state service allows when thousands are provisioned at once.
+/// `lot/ID`: a batch of machines of one pool that were provisioned together and are assigned to a
+/// region together. The machines share a record because the state service's write limit does not
+/// allow one record per machine when thousands of machines are provisioned at the same time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineBatchRecord {
-    /// Region; a machine never changes it.
+    /// Region of the machines, which never changes.
     #[serde(rename = "r")]
     pub region: String,
-    /// Type.
+    /// Name of the machine type.
     #[serde(rename = "f")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Spot or on-demand.
+    /// Whether the machines are spot machines.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// Names; an empty one was a machine that is proved gone. Positions never shift,
-    /// since the activation bitmaps count by them.
+    /// Names of the machines. An empty name replaces a machine that is proven gone. Positions never
+    /// change, because the activation bitmaps refer to them.
     #[serde(rename = "m")]
     pub machines: Vec<String>,
 }
 
-/// `roll/REGION/N`: which machines of batches were activated. Written by the
-/// region's owner before it starts the first task on a machine: on one that isn't in it no
-/// controller has ever started a task.
+/// `roll/REGION/N`: which machines of a region's batches were activated. The region's owner
+/// activates a machine before it starts the first task on it, so no controller has ever started a
+/// task on a machine that is not in this record.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ActivationRecord {
-    /// By batch, the bitmap of its activated machines.
+    /// Bitmaps of the activated machines, by batch id.
     pub bitmaps: BTreeMap<String, String>,
 }
 
-/// Most machines of a batch: what one scale-out request returns at the most.
+/// Maximum number of machines per batch, which is the maximum that one scale-out request returns.
 pub const MAX_BATCH: usize = 50;
-/// Most batches of one activation record, so that it stays below 2 KB.
+/// Maximum number of batches per activation record, which keeps the record below 2 KB.
 pub const MAX_ACTIVATION_BATCHES: usize = 40;
--- a/crates/records/src/record/ownership.rs
+++ b/crates/records/src/record/ownership.rs
@@ -1,27 +1,27 @@
-//! Records of who leads and who owns a region.
+//! Records of the leader and of the owners of regions.
 
 use serde::{Deserialize, Serialize};
 
-/// `leader`: who leads.
+/// `leader`: the current leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Host name.
+    /// Host name of the leader.
     pub holder: String,
-    /// Which run of its process.
+    /// Incarnation of the leader's process.
     pub run: u64,
 }
 
-/// `region/REGION`: who owns a region.
+/// `region/REGION`: the owner of a region.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionRecord {
-    /// Host name.
+    /// Host name of the owner.
     pub owner: String,
-    /// Which run of its process.
+    /// Incarnation of the owner's process.
     pub run: u64,
-    /// The fencing token of its commands.
+    /// Fencing token of the owner's commands.
     pub token: u64,
-    /// Set while its owner holds because records were lost: the incident, see
-    /// [`DataLossHoldRecord`](super::DataLossHoldRecord). Versions before 0.6 know no such
+    /// Id of the incident while the owner holds because records were lost; see
+    /// [`DataLossHoldRecord`](super::DataLossHoldRecord). Versions before 0.6 do not know this
     /// field.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub data_loss_incident: Option<u64>,
--- a/crates/records/src/record/quota.rs
+++ b/crates/records/src/record/quota.rs
@@ -6,10 +6,10 @@
 
 use crate::amount::QuotaAmount;
 
-/// `quota/TEAM`: how a team's limit is shared out among the regions.
+/// `quota/TEAM`: the shares of the regions in a team's limit.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct QuotaRecord {
-    /// Each region's share. Regions without one have no entry.
+    /// Share of each region, by the region's name. A region without a share has no entry.
     pub shares: BTreeMap<String, QuotaAmount>,
 }
--- a/crates/records/src/resources.rs
+++ b/crates/records/src/resources.rs
@@ -1,27 +1,27 @@
-//! What a machine has and what a task takes: processors, accelerators and memory.
+//! Resources of machines and tasks: processors, accelerators and memory.
 
-/// Processors and accelerators in millionths, memory in millionths of a GB.
+/// An amount of processors, accelerators and memory.
 ///
-/// The order of the fields is the order in which amounts are compared.
+/// The derived ordering compares the fields in the order of their declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Resources {
-    /// Processors, millionths.
+    /// Processors, in millionths.
     pub cpus: u64,
-    /// Accelerators, millionths.
+    /// Accelerators, in millionths.
     pub gpus: u64,
-    /// Memory, millionths of a GB.
+    /// Memory, in millionths of a GB.
     pub memory: u64,
 }
 
 impl Resources {
-    /// Nothing at all.
+    /// The empty amount.
     pub const ZERO: Resources = Resources {
         cpus: 0,
         gpus: 0,
         memory: 0,
     };
 
-    /// Sum of each.
+    /// Returns the sum of each resource.
     #[must_use]
     pub fn plus(self, other: Resources) -> Resources {
         Resources {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Difference of each, never below zero.
+    /// Returns the difference of each resource, saturating at zero.
     #[must_use]
     pub fn minus(self, other: Resources) -> Resources {
         Resources {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The smaller of each.
+    /// Returns the minimum of each resource.
     #[must_use]
     pub fn min_each(self, other: Resources) -> Resources {
         Resources {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The larger of each.
+    /// Returns the maximum of each resource.
     #[must_use]
     pub fn max_each(self, other: Resources) -> Resources {
         Resources {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether each of these amounts is at most that of `capacity`.
+    /// Whether no resource exceeds that of `capacity`.
     #[must_use]
     pub fn fits_in(self, capacity: Resources) -> bool {
         self.cpus <= capacity.cpus && self.gpus <= capacity.gpus && self.memory <= capacity.memory
@@ -69,7 +69,8 @@
 }
 
 impl From<(u64, u64, u64)> for Resources {
-    /// Processors, accelerators, memory: the form in messages between controllers.
+    /// Converts from processors, accelerators and memory, which is the form in messages between
+    /// controllers.
     fn from((cpus, gpus, memory): (u64, u64, u64)) -> Self {
         Resources { cpus, gpus, memory }
     }
--- a/crates/records/src/tests/job_records.rs
+++ b/crates/records/src/tests/job_records.rs
@@ -2,11 +2,11 @@
 
 use std::rc::Rc;
 
-use super::{keeps, reads, refuses, refuses_without_any_field};
+use super::{assert_all_fields_required, assert_decodes, assert_keeps_text, assert_rejected};
 use crate::model::{JobKind, JobSpec, Priority};
 use crate::record::{JobRecord, JobStage, MultiRegionAttempt, TaskRange};
 
-/// A submission that has every field, none with its default.
+/// Returns a spec whose fields all differ from their defaults.
 fn full_spec() -> JobSpec {
     JobSpec {
         class: "train".into(),
@@ -34,11 +34,14 @@
     }
 }
 
+/// Stored form of [`full_spec`].
 const FULL_SPEC: &str = r#"{"c":"train","t":"blue","k":"g","r":"2","n":3,"u":4,"g":5,"m":6,"y":["g8","h4"],"z":"a","o":true,"p":true,"f":true,"i":"img","s":7,"e":8,"x":9,"v":10,"d":11,"a":12,"w":["req-1","req-2"]}"#;
 
-const LEAST_SPEC: &str = r#"{"c":"x","t":"red","k":"a","r":"0","n":1,"u":2,"i":"img","a":3}"#;
+/// Stored form of [`minimal_spec`].
+const MINIMAL_SPEC: &str = r#"{"c":"x","t":"red","k":"a","r":"0","n":1,"u":2,"i":"img","a":3}"#;
 
-fn least_spec() -> JobSpec {
+/// Returns a spec that has only the required fields.
+fn minimal_spec() -> JobSpec {
     JobSpec {
         class: "x".into(),
         team: "red".into(),
@@ -65,17 +68,19 @@
     }
 }
 
+/// Guards against a change of the stored form of job specs, and against invalid specs that are
+/// accepted.
 #[test]
-fn submissions_on_record_keep_their_text() {
-    keeps(&full_spec(), FULL_SPEC);
-    keeps(&least_spec(), LEAST_SPEC);
-    refuses_without_any_field::<JobSpec>(LEAST_SPEC);
+fn job_specs_keep_their_text() {
+    assert_keeps_text(&full_spec(), FULL_SPEC);
+    assert_keeps_text(&minimal_spec(), MINIMAL_SPEC);
+    assert_all_fields_required::<JobSpec>(MINIMAL_SPEC);
     for (kind, text) in [
         (JobKind::Array, r#""a""#),
         (JobKind::Gang, r#""g""#),
         (JobKind::Service, r#""s""#),
     ] {
-        keeps(&kind, text);
+        assert_keeps_text(&kind, text);
     }
     for (priority, text) in [
         (Priority::Low, r#""0""#),
@@ -83,14 +88,14 @@
         (Priority::High, r#""2""#),
         (Priority::Production, r#""3""#),
     ] {
-        keeps(&priority, text);
+        assert_keeps_text(&priority, text);
     }
-    refuses::<JobKind>(&[r#""Array""#, r#""x""#, r#""""#, "0", "null"]);
-    refuses::<Priority>(&[r#""Low""#, r#""4""#, r#""""#, "0", "null"]);
-    // Null for what may be left out, except where null means something else than nothing.
-    let nulls = LEAST_SPEC.replace('}', r#","y":null,"z":null,"d":null}"#);
-    reads(&nulls, &least_spec());
-    for odd in [
+    assert_rejected::<JobKind>(&[r#""Array""#, r#""x""#, r#""""#, "0", "null"]);
+    assert_rejected::<Priority>(&[r#""Low""#, r#""4""#, r#""""#, "0", "null"]);
+    // Optional values may be null; other fields that may be omitted may not be null.
+    let nulls = MINIMAL_SPEC.replace('}', r#","y":null,"z":null,"d":null}"#);
+    assert_decodes(&nulls, &minimal_spec());
+    for invalid in [
         r#","g":null}"#,
         r#","o":null}"#,
         r#","w":null}"#,
@@ -99,10 +104,12 @@
         r#","e":1.5}"#,
         r#","d":-1}"#,
     ] {
-        refuses::<JobSpec>(&[&LEAST_SPEC.replace('}', odd)]);
+        assert_rejected::<JobSpec>(&[&MINIMAL_SPEC.replace('}', invalid)]);
     }
 }
 
+/// Guards against a change of the stored form of job records, and against values that the replica
+/// derives and that are stored instead of the spec as submitted.
 #[test]
 fn records_of_jobs_keep_their_text() {
     for (stage, text) in [
@@ -110,17 +117,17 @@
         (JobStage::Done, r#""d""#),
         (JobStage::Cancelled, r#""c""#),
     ] {
-        keeps(&stage, text);
+        assert_keeps_text(&stage, text);
     }
-    refuses::<JobStage>(&[r#""Open""#, r#""x""#, r#""""#, "0", "null"]);
-    keeps(&TaskRange::new(1, 2, "t-0"), r#"[1,2,"t-0"]"#);
-    refuses::<TaskRange>(&[r"[1,2]", r"[1,2,3]", r#"[-1,2,"t-0"]"#]);
-    keeps(&MultiRegionAttempt::from((9, None)), "[9,null]");
-    keeps(
+    assert_rejected::<JobStage>(&[r#""Open""#, r#""x""#, r#""""#, "0", "null"]);
+    assert_keeps_text(&TaskRange::new(1, 2, "t-0"), r#"[1,2,"t-0"]"#);
+    assert_rejected::<TaskRange>(&[r"[1,2]", r"[1,2,3]", r#"[-1,2,"t-0"]"#]);
+    assert_keeps_text(&MultiRegionAttempt::from((9, None)), "[9,null]");
+    assert_keeps_text(
         &MultiRegionAttempt::from((9, Some("a".into()))),
         r#"[9,"a"]"#,
     );
-    refuses::<MultiRegionAttempt>(&["[9]", r#"["a",9]"#, "9"]);
+    assert_rejected::<MultiRegionAttempt>(&["[9]", r#"["a",9]"#, "9"]);
 
     let full = JobRecord {
         stage: JobStage::Open,
@@ -132,9 +139,9 @@
     let text = format!(
         r#"{{"st":"o","j":{FULL_SPEC},"b":[[0,2,"t-0"],[2,3,"t-2"]],"g":[9,"a"],"t":123}}"#
     );
-    keeps(&full, &text);
+    assert_keeps_text(&full, &text);
     let cancelled = format!(r#"{{"st":"c","j":{FULL_SPEC}}}"#);
-    keeps(&full.cancelled(), &cancelled);
+    assert_keeps_text(&full.cancelled(), &cancelled);
     let done = JobRecord {
         stage: JobStage::Done,
         spec: None,
@@ -142,12 +149,12 @@
         multi_region: None,
         ended_at: None,
     };
-    keeps(&done, r#"{"st":"d"}"#);
-    reads(
+    assert_keeps_text(&done, r#"{"st":"d"}"#);
+    assert_decodes(
         r#"{"st":"d","j":null,"g":null,"t":null,"b":[],"later":1}"#,
         &done,
     );
-    // What the replica derived is not written: the submission is, as it came.
+    // The spec is stored as submitted, without the values that the replica derived.
     let derived = JobSpec {
         priority: Priority::Production,
         stored_spec: Some(Rc::new(full_spec())),
@@ -158,7 +165,7 @@
         ..full
     };
     assert_eq!(serde_json::to_string(&derived).unwrap(), text);
-    refuses::<JobRecord>(&[
+    assert_rejected::<JobRecord>(&[
         "{}",
         "null",
         r#""o""#,
--- a/crates/records/src/tests/keys_and_bitmaps.rs
+++ b/crates/records/src/tests/keys_and_bitmaps.rs
@@ -4,9 +4,11 @@
 use crate::key::Key;
 use crate::model::RangeSet;
 
+/// Guards against keys and bitmaps that change when they are encoded and decoded, and against
+/// unknown keys that are accepted.
 #[test]
-fn keys_and_bitmaps_survive() {
-    for k in [
+fn keys_and_bitmaps_round_trip() {
+    for key in [
         Key::Leader,
         Key::Token,
         Key::Region("a".into()),
@@ -19,24 +21,24 @@
         Key::MachineType("y".into()),
         Key::DataLossHold,
     ] {
-        assert_eq!(Key::parse(&k.text()), Some(k));
+        assert_eq!(Key::parse(&key.text()), Some(key));
     }
-    for bad in ["x/leader", "st/else", "st/progress/a/b", "st/roll/a"] {
-        assert_eq!(Key::parse(bad), None);
+    for invalid in ["x/leader", "st/else", "st/progress/a/b", "st/roll/a"] {
+        assert_eq!(Key::parse(invalid), None);
     }
     let mut set = RangeSet::from_range(5, 9);
     set.insert_range(CHUNK_SIZE - 1, CHUNK_SIZE + 3);
-    let mut back = RangeSet::default();
-    for c in 0..2 {
-        let text = encode_bitmap(&set, c);
+    let mut decoded = RangeSet::default();
+    for chunk in 0..2 {
+        let text = encode_bitmap(&set, chunk);
         assert!(text.len() <= CHUNK_SIZE as usize / 4);
-        decode_bitmap(&text, c, &mut back);
+        decode_bitmap(&text, chunk, &mut decoded);
     }
-    assert_eq!(back, set);
+    assert_eq!(decoded, set);
 }
 
-/// Each kind of key as text, both ways; texts that are read but never written; and texts
-/// that are refused.
+/// Guards against a change of the text of a key. The cases are each kind of key, texts that are
+/// parsed but never written, and texts that are rejected.
 #[test]
 fn keys_keep_their_text() {
     let a = || "a".to_owned();
@@ -55,7 +57,7 @@
         (Key::Quota("red".into()), "st/quota/red"),
         (Key::MachineType("g8".into()), "st/flavor/g8"),
         (Key::DataLossHold, "st/hold"),
-        // Names that hold a slash, or nothing.
+        // Names that contain a slash, and an empty name.
         (Key::Region("a/b".into()), "st/region/a/b"),
         (
             Key::Activation("a/b".into(), u32::MAX),
@@ -106,7 +108,8 @@
     }
 }
 
-/// Finished tasks as the text of a progress record.
+/// Guards against a change of the text of progress records, which contain the finished tasks of a
+/// chunk.
 #[test]
 fn progress_keeps_its_text() {
     let ranges = |ranges: &[(u32, u32)]| {
@@ -116,7 +119,7 @@
         }
         set
     };
-    for (done, chunk, text) in [
+    for (finished, chunk, text) in [
         (ranges(&[]), 0, ""),
         (ranges(&[(0, 1)]), 0, "1"),
         (ranges(&[(0, 4), (5, 9), (12, 13)]), 0, "fe11"),
@@ -127,22 +130,22 @@
             "001",
         ),
     ] {
-        assert_eq!(encode_bitmap(&done, chunk), text);
-        let mut read = RangeSet::default();
-        decode_bitmap(text, chunk, &mut read);
+        assert_eq!(encode_bitmap(&finished, chunk), text);
+        let mut decoded = RangeSet::default();
+        decode_bitmap(text, chunk, &mut decoded);
         assert_eq!(
-            (read, count_bits(text)),
-            (done.clone(), done.len()),
+            (decoded, count_bits(text)),
+            (finished.clone(), finished.len()),
             "{text}"
         );
     }
-    // Odd characters count as empty, capitals as digits.
-    for (text, done) in [
+    // Characters that are not hexadecimal digits count as zero; upper-case digits are accepted.
+    for (text, finished) in [
         ("x1", ranges(&[(4, 5)])),
         ("F g1", ranges(&[(0, 4), (12, 13)])),
     ] {
-        let mut read = RangeSet::default();
-        decode_bitmap(text, 0, &mut read);
-        assert_eq!(read, done, "{text}");
+        let mut decoded = RangeSet::default();
+        decode_bitmap(text, 0, &mut decoded);
+        assert_eq!(decoded, finished, "{text}");
     }
 }
--- a/crates/records/src/tests/older_versions.rs
+++ b/crates/records/src/tests/older_versions.rs
@@ -1,4 +1,4 @@
-//! Tests of records that older versions wrote.
+//! Tests that records of older versions stay readable.
 
 use serde::Serialize;
 use serde_json::Value;
@@ -8,9 +8,9 @@
     value, ActivationRecord, JobRecord, LeaderRecord, MachineBatchRecord, QuotaRecord, RegionRecord,
 };
 
-/// Records as older versions wrote them: captured by a test that was added to their own
-/// `src/registry/records.rs` and printed `value` of each. First d88939c, which knows no
-/// needs and no time of an end, then production, 36efc7c.
+/// Records in the stored form of older versions, by commit. They were captured by a test that was
+/// added to `src/registry/records.rs` of each version and printed `value` of each record. d88939c
+/// does not know dependencies or the time of a job's end; 36efc7c is the production version.
 const RECORDS: [(&str, &str); 2] = [
     (
         "d88939c",
@@ -40,42 +40,44 @@
     ),
 ];
 
-/// Reads a record and writes it again.
-fn rewritten(kind: &str, text: &str) -> Value {
-    fn again<T: Serialize + serde::de::DeserializeOwned>(text: &str) -> Value {
+/// Decodes a record and encodes it again.
+fn reencode(kind: &str, text: &str) -> Value {
+    fn reencode_as<T: Serialize + serde::de::DeserializeOwned>(text: &str) -> Value {
         value(&serde_json::from_str::<T>(text).unwrap())
     }
     match kind {
-        "leader" => again::<LeaderRecord>(text),
-        "region" => again::<RegionRecord>(text),
-        "lot" => again::<MachineBatchRecord>(text),
-        "roll" => again::<ActivationRecord>(text),
-        "quota" => again::<QuotaRecord>(text),
-        _ => again::<JobRecord>(text),
+        "leader" => reencode_as::<LeaderRecord>(text),
+        "region" => reencode_as::<RegionRecord>(text),
+        "lot" => reencode_as::<MachineBatchRecord>(text),
+        "roll" => reencode_as::<ActivationRecord>(text),
+        "quota" => reencode_as::<QuotaRecord>(text),
+        _ => reencode_as::<JobRecord>(text),
     }
 }
 
-/// Whatever kind of record an older version wrote is read, and rewritten without a change:
-/// nothing is dropped, and what this version writes is what they read.
+/// Guards against a record of an older version that this version can't read, and against fields
+/// that this version drops or changes when it writes the record again, so that the older version
+/// can't read the record any more.
 #[test]
-fn records_of_older_versions() {
+fn records_of_older_versions_are_rewritten_unchanged() {
     for (version, records) in RECORDS {
-        let mut seen = 0;
+        let mut count = 0;
         for line in records.lines().filter(|l| !l.is_empty()) {
             let (kind, text) = line.split_once(' ').unwrap();
             let written: Value = serde_json::from_str(text).unwrap();
-            assert_eq!(rewritten(kind, text), written, "{version}: {kind}");
-            seen += 1;
+            assert_eq!(reencode(kind, text), written, "{version}: {kind}");
+            count += 1;
         }
-        assert_eq!(seen, 8, "{version}");
+        assert_eq!(count, 8, "number of records of {version}");
     }
 }
 
-/// What d88939c drops when it rewrites a job's record is what only jobs that need others
-/// have, and the time of a done job's end: it never rewrites a done job, and no job that
-/// needs others is asked for before it is gone.
+/// Guards against a new field that d88939c drops when it rewrites the record of a job. The two
+/// fields that it drops cause no loss: only jobs with dependencies have the first, and no such job
+/// is submitted before d88939c is gone; the second is the end time of a done job, and d88939c
+/// never rewrites a done job.
 #[test]
-fn what_the_version_before_production_drops() {
+fn version_before_production_drops_only_dependencies_and_end_time() {
     let job = |records: &str, kind: &str| -> Value {
         let line = records.lines().find(|l| l.starts_with(kind)).unwrap();
         serde_json::from_str(line.split_once(' ').unwrap().1).unwrap()
@@ -86,18 +88,18 @@
     assert_eq!(production, job(RECORDS[0].1, "job"));
 }
 
-/// A record without needs is the same as versions before 0.3 wrote it, byte for byte,
-/// and theirs, captured from them, are read and written back unchanged.
+/// Guards against a job record without dependencies that differs from the form of versions before
+/// 0.3. Records that were captured from those versions must be decoded and encoded unchanged.
 #[test]
-fn jobs_without_needs_of_older_versions() {
+fn jobs_without_dependencies_of_older_versions_are_rewritten_unchanged() {
     for text in [
         r#"{"b":[[0,3,"t-1"]],"j":{"a":1,"c":"x","e":10000000,"i":"img","k":"a","m":1000000,"n":3,"r":"1","s":1000000,"t":"red","u":1000000},"st":"o"}"#,
         r#"{"b":[[0,2,"t-0"],[2,3,"t-2"]],"g":[9,null],"j":{"a":1,"c":"l","d":5,"f":true,"i":"img","k":"g","n":3,"o":true,"r":"3","t":"blue","u":2,"x":3,"y":["g8"],"z":"a"},"st":"o"}"#,
         r#"{"j":{"a":1,"c":"x","i":"img","k":"s","n":3,"r":"0","t":"red","u":500000},"st":"c"}"#,
         r#"{"st":"d"}"#,
     ] {
-        let v: Value = serde_json::from_str(text).unwrap();
-        assert_eq!(rewritten("job", text), v, "{text}");
+        let written: Value = serde_json::from_str(text).unwrap();
+        assert_eq!(reencode("job", text), written, "{text}");
         assert!(Key::parse("st/job/req-1").is_some());
     }
 }
--- a/crates/records/src/tests/records.rs
+++ b/crates/records/src/tests/records.rs
@@ -1,8 +1,8 @@
-//! Tests of the records of owners, machines, quotas and holds.
+//! Tests of the records of leaders, regions, machines, quotas, machine types and holds.
 
 use std::rc::Rc;
 
-use super::{keeps, reads, refuses, refuses_without_any_field};
+use super::{assert_all_fields_required, assert_decodes, assert_keeps_text, assert_rejected};
 use crate::history::Fingerprint;
 use crate::model::MachineType;
 use crate::record::{
@@ -10,15 +10,17 @@
     MachineBatchRecord, MachineRecord, QuotaRecord, RegionRecord,
 };
 
+/// Guards against a change of the stored form of leader and region records. Unknown fields must be
+/// ignored, because later versions may add some.
 #[test]
 fn records_of_leader_and_regions_keep_their_text() {
     let leader = LeaderRecord {
         holder: "t-0".into(),
         run: 7,
     };
-    keeps(&leader, r#"{"holder":"t-0","run":7}"#);
-    reads(r#"{"run":7,"later":1,"holder":"t-0"}"#, &leader);
-    refuses::<LeaderRecord>(&[
+    assert_keeps_text(&leader, r#"{"holder":"t-0","run":7}"#);
+    assert_decodes(r#"{"run":7,"later":1,"holder":"t-0"}"#, &leader);
+    assert_rejected::<LeaderRecord>(&[
         "{}",
         r#"{"holder":"t-0"}"#,
         r#"{"run":7}"#,
@@ -28,37 +30,38 @@
         "null",
         r#""""#,
     ]);
-    let region = |held| RegionRecord {
+    let region = |incident| RegionRecord {
         owner: "t-0".into(),
         run: 7,
         token: 9,
-        data_loss_incident: held,
+        data_loss_incident: incident,
     };
-    keeps(&region(None), r#"{"owner":"t-0","run":7,"token":9}"#);
-    keeps(
+    assert_keeps_text(&region(None), r#"{"owner":"t-0","run":7,"token":9}"#);
+    assert_keeps_text(
         &region(Some(3)),
         r#"{"owner":"t-0","run":7,"token":9,"h":3}"#,
     );
-    reads(
+    assert_decodes(
         r#"{"owner":"t-0","run":7,"token":9,"h":null}"#,
         &region(None),
     );
-    reads(
+    assert_decodes(
         r#"{"owner":"t-0","run":7,"token":9,"held":3}"#,
         &region(None),
     );
-    refuses::<RegionRecord>(&[
+    assert_rejected::<RegionRecord>(&[
         r#"{"run":7,"token":9}"#,
         r#"{"owner":"t-0","token":9}"#,
         r#"{"owner":"t-0","run":7}"#,
         r#"{"owner":"t-0","run":7,"token":9.5}"#,
         r#"{"owner":"t-0","run":7,"token":9,"h":"x"}"#,
     ]);
-    // The last token handed out, and progress, are plain values.
-    keeps(&9u64, "9");
-    keeps(&"fe1".to_owned(), r#""fe1""#);
+    // The last issued token and the progress of a job are stored as plain values.
+    assert_keeps_text(&9u64, "9");
+    assert_keeps_text(&"fe1".to_owned(), r#""fe1""#);
 }
 
+/// Guards against a change of the stored form of machine, batch and activation records.
 #[test]
 fn records_of_machines_keep_their_text() {
     let machine = |activated, batch_position| MachineRecord {
@@ -69,13 +72,13 @@
         activated,
         batch_position,
     };
-    let opened = r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true,"opened":true}"#;
-    keeps(&machine(true, None), opened);
+    let activated = r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true,"opened":true}"#;
+    assert_keeps_text(&machine(true, None), activated);
     let not_activated = r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true,"opened":false}"#;
-    keeps(&machine(false, None), not_activated);
-    // Without `opened`; and its position in a batch is not part of the text.
-    let least = r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true}"#;
-    reads(least, &machine(false, None));
+    assert_keeps_text(&machine(false, None), not_activated);
+    // `opened` is optional, and the position in a batch is not stored.
+    let minimal = r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true}"#;
+    assert_decodes(minimal, &machine(false, None));
     let in_batch = machine(
         true,
         Some(BatchPosition {
@@ -83,8 +86,8 @@
             index: 3,
         }),
     );
-    assert_eq!(serde_json::to_string(&in_batch).unwrap(), opened);
-    refuses::<MachineRecord>(&[
+    assert_eq!(serde_json::to_string(&in_batch).unwrap(), activated);
+    assert_rejected::<MachineRecord>(&[
         r#"{"flavor":"g8","zone":"a","spot":true}"#,
         r#"{"region":"t-0","zone":"a","spot":true}"#,
         r#"{"region":"t-0","flavor":"g8","spot":true}"#,
@@ -100,8 +103,8 @@
         machines: vec!["m-000001".into(), String::new()],
     };
     let text = r#"{"r":"t-0","f":"g8","z":"a","s":true,"m":["m-000001",""]}"#;
-    keeps(&batch, text);
-    refuses::<MachineBatchRecord>(&[
+    assert_keeps_text(&batch, text);
+    assert_rejected::<MachineBatchRecord>(&[
         r#"{"f":"g8","z":"a","s":true,"m":[]}"#,
         r#"{"r":"t-0","z":"a","s":true,"m":[]}"#,
         r#"{"r":"t-0","f":"g8","s":true,"m":[]}"#,
@@ -110,25 +113,26 @@
         r#"{"r":"t-0","f":"g8","z":"a","s":true,"m":[null]}"#,
         r#"{"region":"t-0","flavor":"g8","zone":"a","spot":true,"machines":[]}"#,
     ]);
-    let opened = [("t-0-4-1", "3"), ("t-0-4-2", "")];
-    let opened = opened.map(|(batch, bits)| (batch.to_owned(), bits.to_owned()));
-    let opened = ActivationRecord {
-        bitmaps: opened.into(),
+    let bitmaps = [("t-0-4-1", "3"), ("t-0-4-2", "")];
+    let bitmaps = bitmaps.map(|(batch, bitmap)| (batch.to_owned(), bitmap.to_owned()));
+    let activation = ActivationRecord {
+        bitmaps: bitmaps.into(),
     };
-    keeps(&opened, r#"{"t-0-4-1":"3","t-0-4-2":""}"#);
-    keeps(&ActivationRecord::default(), "{}");
-    refuses::<ActivationRecord>(&["[]", "null", r#"{"t-0-4-1":3}"#, r#"{"t-0-4-1":null}"#]);
+    assert_keeps_text(&activation, r#"{"t-0-4-1":"3","t-0-4-2":""}"#);
+    assert_keeps_text(&ActivationRecord::default(), "{}");
+    assert_rejected::<ActivationRecord>(&["[]", "null", r#"{"t-0-4-1":3}"#, r#"{"t-0-4-1":null}"#]);
 }
 
+/// Guards against a change of the stored form of quota records, machine types and fingerprints.
 #[test]
-fn records_of_quotas_and_types_keep_their_text() {
+fn records_of_quotas_and_machine_types_keep_their_text() {
     let quota = [("t-0", (3_000_000, 0)), ("t-1", (1, 2_000_000))];
     let quota = QuotaRecord {
         shares: quota.map(|(r, share)| (r.to_owned(), share.into())).into(),
     };
-    keeps(&quota, r#"{"t-0":[3000000,0],"t-1":[1,2000000]}"#);
-    keeps(&QuotaRecord::default(), "{}");
-    refuses::<QuotaRecord>(&[
+    assert_keeps_text(&quota, r#"{"t-0":[3000000,0],"t-1":[1,2000000]}"#);
+    assert_keeps_text(&QuotaRecord::default(), "{}");
+    assert_rejected::<QuotaRecord>(&[
         r#"{"t-0":3}"#,
         r#"{"t-0":[3]}"#,
         r#"{"t-0":[3,0,0]}"#,
@@ -147,29 +151,30 @@
         zones: vec!["a".into(), "b".into()],
     };
     let text = r#"{"name":"g8","cpus":1,"gpus":2,"mem":3,"fetch":4,"price":5,"spot_price":6,"boot":7,"zones":["a","b"]}"#;
-    keeps(&machine_type, text);
-    refuses_without_any_field::<MachineType>(text);
+    assert_keeps_text(&machine_type, text);
+    assert_all_fields_required::<MachineType>(text);
     let change = |checksum| Fingerprint {
         version: 5,
         key: "st/hold".into(),
         checksum,
     };
     let text = r#"{"version":5,"key":"st/hold","checksum":4294967295}"#;
-    keeps(&change(Some(u32::MAX)), text);
-    keeps(
+    assert_keeps_text(&change(Some(u32::MAX)), text);
+    assert_keeps_text(
         &change(None),
         r#"{"version":5,"key":"st/hold","checksum":null}"#,
     );
-    refuses::<Fingerprint>(&[
+    assert_rejected::<Fingerprint>(&[
         r#"{"key":"st/hold","checksum":1}"#,
         r#"{"version":5,"checksum":1}"#,
         r#"{"version":5,"key":"st/hold","checksum":4294967296}"#,
     ]);
-    // The checksum of a change is that of its value's bytes.
-    let found = Fingerprint::new(5, "st/hold".into(), Some(b"123456789"));
-    assert_eq!(found, change(Some(0xcbf4_3926)));
+    // The checksum of a fingerprint is that of the value's bytes.
+    let fingerprint = Fingerprint::new(5, "st/hold".into(), Some(b"123456789"));
+    assert_eq!(fingerprint, change(Some(0xcbf4_3926)));
 }
 
+/// Guards against a change of the stored form of the record of a data-loss hold.
 #[test]
 fn the_record_of_a_hold_keeps_its_text() {
     let hold = |accepted| DataLossHoldRecord {
@@ -179,19 +184,19 @@
         seen: "the revision went back".into(),
         accepted,
     };
-    let held = r#"{"incident":7,"by":"t-0","at":1000000,"seen":"the revision went back"}"#;
-    keeps(&hold(None), held);
-    refuses_without_any_field::<DataLossHoldRecord>(held);
+    let undecided = r#"{"incident":7,"by":"t-0","at":1000000,"seen":"the revision went back"}"#;
+    assert_keeps_text(&hold(None), undecided);
+    assert_all_fields_required::<DataLossHoldRecord>(undecided);
     let accepted = AcceptedLoss {
         by: "yard".into(),
         at: 2_000_000,
         why: "a test".into(),
     };
     let text = r#"{"by":"yard","at":2000000,"why":"a test"}"#;
-    keeps(&accepted, text);
-    refuses_without_any_field::<AcceptedLoss>(text);
+    assert_keeps_text(&accepted, text);
+    assert_all_fields_required::<AcceptedLoss>(text);
     let text = r#"{"incident":7,"by":"t-0","at":1000000,"seen":"the revision went back","accepted":{"by":"yard","at":2000000,"why":"a test"}}"#;
-    keeps(&hold(Some(accepted)), text);
-    let odd = r#"{"incident":7,"by":"t-0","at":1,"seen":"","accepted":true}"#;
-    refuses::<DataLossHoldRecord>(&[odd]);
+    assert_keeps_text(&hold(Some(accepted)), text);
+    let invalid = r#"{"incident":7,"by":"t-0","at":1,"seen":"","accepted":true}"#;
+    assert_rejected::<DataLossHoldRecord>(&[invalid]);
 }
--- a/crates/records/src/units.rs
+++ b/crates/records/src/units.rs
@@ -1,40 +1,40 @@
-//! Times and amounts as whole numbers, so that sums never drift.
+//! Times and amounts as integers, so that sums have no rounding errors.
 //!
-//! Times are microseconds. Amounts (processors, accelerators, gigabytes) are millionths:
-//! what tasks need is rounded up and capacity is rounded down, so that rounding can only
-//! lead to a refusal, never to an overcommitted machine.
+//! Times are in microseconds. Amounts of processors, accelerators and gigabytes are in millionths.
+//! The amounts that tasks need are rounded up and capacity is rounded down, so that rounding can
+//! prevent a placement but never overcommits a machine.
 
-/// A point or span in microseconds of the process's own steady clock.
+/// A time or a duration, in microseconds of the process's own monotonic clock.
 pub type Micros = u64;
 
-/// One second.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
-/// One millisecond.
+/// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = 1_000;
 
-/// Steady clocks may run fast or slow by 0.05%, so two of them run apart by twice that. With
-/// the same again as a margin, 0.2%: one part in this many.
+/// Divisor that gives the drift allowance of a duration. A monotonic clock may run fast or slow by
+/// 0.05%, so two clocks may drift apart by 0.1%. The allowance is twice that, 0.2%.
 const DRIFT_DIVISOR: u64 = 500;
-/// Longest time that is read, in seconds.
+/// Maximum duration that is accepted from the wire, in seconds. Longer durations are reduced to it.
 const MAX_SECONDS: f64 = 1e10;
-/// Millionths in one.
+/// Number of millionths in one.
 const MILLIONTHS: f64 = 1e6;
-/// Noise of floating-point sums that rounding ignores, in millionths.
+/// Floating-point error that rounding ignores, in millionths.
 const FLOAT_NOISE: f64 = 1e-3;
 
-/// The span that must pass here so that `span` has surely passed elsewhere.
+/// Returns the local duration after which `span` has certainly passed on any other clock.
 #[must_use]
 pub fn add_drift(span: Micros) -> Micros {
     span + span / DRIFT_DIVISOR
 }
 
-/// The span that may pass here so that `span` has surely not passed elsewhere.
+/// Returns the local duration during which `span` has certainly not passed on any other clock.
 #[must_use]
 pub fn subtract_drift(span: Micros) -> Micros {
     span - span / DRIFT_DIVISOR
 }
 
-/// Seconds as found on the wire, as microseconds; 0 for what is negative or not finite.
+/// Converts seconds from the wire to microseconds. Negative and non-finite values become 0.
 #[must_use]
 pub fn from_seconds(seconds: f64) -> Micros {
     if seconds.is_finite() && seconds > 0.0 {
@@ -44,19 +44,19 @@
     }
 }
 
-/// Microseconds as seconds, for the wire and for logs.
+/// Converts microseconds to seconds, for the wire and for logs.
 #[must_use]
 pub fn to_seconds(time: Micros) -> f64 {
     time as f64 / SECOND as f64
 }
 
-/// What a task needs, in millionths, rounded up.
+/// Converts an amount that a task needs to millionths, rounded up.
 #[must_use]
 pub fn round_up_to_millionths(amount: f64) -> u64 {
     (amount * MILLIONTHS - FLOAT_NOISE).ceil().max(0.0) as u64
 }
 
-/// Capacity, in millionths, rounded down.
+/// Converts a capacity to millionths, rounded down.
 #[must_use]
 pub fn round_down_to_millionths(amount: f64) -> u64 {
     (amount * MILLIONTHS + FLOAT_NOISE).floor().max(0.0) as u64
