--- a/crates/recovery/src/detection.rs
+++ b/crates/recovery/src/detection.rs
@@ -1,116 +1,121 @@
-//! Workers' reports as evidence of lost records.
+//! Detects lost records from workers' heartbeats.
 //!
-//! A report that contradicts the records needs a read of them that began after it came: a
-//! token or a job may have been put on record a moment ago. Until then it is a suspicion, by
-//! which nothing is done. After its start a controller withholds answers about unknown jobs
-//! until workers have had the time to report: a store that was wiped looks like a new one.
+//! A heartbeat that contradicts the records proves a loss only after a read that was sent after the
+//! heartbeat arrived, because a token or a job may have been recorded a moment ago. Until such a
+//! read completes, the contradiction is a suspicion, on which the controller does not act.
+//!
+//! A new controller does not respond to requests about unknown jobs until workers have had time to
+//! send heartbeats, because a wiped store looks like a new one.
 
 use salttiller_records::units::{Micros, SECOND};
 
 use crate::finding::Finding;
 
-/// Report intervals in which every worker has reported, unless one report of it was lost.
-const REPORT_INTERVALS_TO_PROOF: u64 = 2;
-/// What is added to that for delays on the way.
-const PROOF_MARGIN: Micros = 2 * SECOND;
+/// Number of heartbeat intervals within which every worker has sent a heartbeat, unless one of
+/// its heartbeats was lost.
+const VERIFICATION_INTERVALS: u64 = 2;
+/// Additional time for network delays.
+const VERIFICATION_MARGIN: Micros = 2 * SECOND;
 
-/// What a worker's report says that can contradict the records.
+/// The content of a worker's heartbeat that may contradict the records.
 #[derive(Debug, Clone, Copy)]
-pub struct ReportEvidence<'a> {
-    /// Machine.
+pub struct HeartbeatEvidence<'a> {
+    /// Name of the worker's machine.
     pub machine: &'a str,
     /// Highest fencing token that the worker has seen.
     pub token: u64,
-    /// The last fencing token on record.
+    /// Last recorded fencing token.
     pub recorded_token: u64,
-    /// A job without a record of which the worker has a task.
+    /// A job that has no record although the worker has one of its tasks.
     pub unknown_job: Option<&'a str>,
 }
 
-impl ReportEvidence<'_> {
-    /// What the report would show, were the records complete.
+impl HeartbeatEvidence<'_> {
+    /// Returns what the heartbeat proves if the records are up to date.
     fn finding(&self) -> Option<Finding> {
         if self.token > self.recorded_token {
-            return Some(Finding::TokenNotOnRecord {
+            return Some(Finding::UnrecordedToken {
                 machine: self.machine.to_owned(),
                 reported: self.token,
                 recorded: self.recorded_token,
             });
         }
-        self.unknown_job.map(|job| Finding::JobNotOnRecord {
+        self.unknown_job.map(|job| Finding::UnrecordedJob {
             machine: self.machine.to_owned(),
             job: job.to_owned(),
         })
     }
 }
 
-/// Evidence that waits for a read.
+/// A possible finding that must be confirmed by a read.
 #[derive(Debug)]
 struct Suspicion {
-    /// When the report came.
-    reported_at: Micros,
+    /// Time at which the heartbeat arrived.
+    received_at: Micros,
     finding: Finding,
 }
 
-/// What a controller knows of the records' completeness. All times are readings of its
-/// monotonic clock.
+/// Compares workers' heartbeats with the records of the state service. All times are readings of
+/// the controller's monotonic clock.
 #[derive(Debug)]
-pub struct Detection {
-    proven_at: Micros,
-    /// The first suspicion since the last read that could settle one.
+pub struct LossDetector {
+    /// Time at which workers have had time to contradict the records since the controller's start.
+    verified_at: Micros,
+    /// First suspicion since the last read that could confirm one.
     suspicion: Option<Suspicion>,
 }
 
-impl Detection {
-    /// A controller that has just started; workers report once in `report`.
+impl LossDetector {
+    /// Returns the detector of a controller that starts at `now`. `heartbeat_interval` is the
+    /// workers' interval between heartbeats.
     #[must_use]
-    pub fn starting(now: Micros, report: Micros) -> Self {
-        Detection {
-            proven_at: now + REPORT_INTERVALS_TO_PROOF * report + PROOF_MARGIN,
+    pub fn new(now: Micros, heartbeat_interval: Micros) -> Self {
+        LossDetector {
+            verified_at: now + VERIFICATION_INTERVALS * heartbeat_interval + VERIFICATION_MARGIN,
             suspicion: None,
         }
     }
 
-    /// Whether workers have had the time to contradict the records.
+    /// Whether workers have had time to contradict the records since the controller's start.
     #[must_use]
-    pub fn is_proven(&self, now: Micros) -> bool {
-        now >= self.proven_at
+    pub fn is_verified(&self, now: Micros) -> bool {
+        now >= self.verified_at
     }
 
-    /// Takes note of a report. Returns whether it contradicts the records as they are known:
-    /// then it must not be acted on, and a read is needed.
+    /// Compares a heartbeat with the known records. Returns whether it contradicts them. If so, the
+    /// caller must not act on the heartbeat and must request a read.
     #[must_use]
-    pub fn check_report(&mut self, reported: ReportEvidence<'_>, now: Micros) -> bool {
-        let Some(finding) = reported.finding() else {
+    pub fn check_heartbeat(&mut self, evidence: HeartbeatEvidence<'_>, now: Micros) -> bool {
+        let Some(finding) = evidence.finding() else {
             return false;
         };
         let suspicion = Suspicion {
-            reported_at: now,
+            received_at: now,
             finding,
         };
         self.suspicion.get_or_insert(suspicion);
         true
     }
 
-    /// Settles a suspicion by a completed read that was sent at `sent`. `recorded_token` is
-    /// the last fencing token on record by it, `has_job` tells whether a job has a record.
-    /// Returns the finding if the read confirms it.
+    /// Confirms or discards a suspicion after the completion of a read that was sent at `sent`.
+    /// `recorded_token` is the last recorded fencing token according to the read, and `has_job`
+    /// returns whether a job has a record. Returns the finding if the read confirms it.
     #[must_use]
-    pub fn on_read(
+    pub fn check_read(
         &mut self,
         sent: Micros,
         recorded_token: u64,
         has_job: impl Fn(&str) -> bool,
     ) -> Option<Finding> {
-        // Sent before or with the report, it may show the records as they were before.
-        let settled = self.suspicion.take_if(|s| s.reported_at < sent)?;
-        let is_confirmed = match &settled.finding {
-            Finding::TokenNotOnRecord { reported, .. } => *reported > recorded_token,
-            Finding::JobNotOnRecord { job, .. } => !has_job(job),
-            // No report shows any other.
+        // A read that was not sent after the heartbeat arrived may show older records.
+        let suspicion = self.suspicion.take_if(|s| s.received_at < sent)?;
+        let is_confirmed = match &suspicion.finding {
+            Finding::UnrecordedToken { reported, .. } => *reported > recorded_token,
+            Finding::UnrecordedJob { job, .. } => !has_job(job),
+            // A heartbeat can't cause any other finding.
             _ => true,
         };
-        is_confirmed.then_some(settled.finding)
+        is_confirmed.then_some(suspicion.finding)
     }
 }
 
--- a/crates/recovery/src/detection/tests.rs
+++ b/crates/recovery/src/detection/tests.rs
@@ -1,12 +1,12 @@
-//! Tests of findings: what counts as evidence, and when.
+//! Tests of the detection of lost records from heartbeats.
 
 use super::*;
 
-/// When the report of a case comes.
-const REPORTED_AT: Micros = 10;
+/// Time at which the heartbeat of a case arrives.
+const HEARTBEAT_AT: Micros = 10;
 
-fn report(token: u64, recorded_token: u64, unknown_job: Option<&str>) -> ReportEvidence<'_> {
-    ReportEvidence {
+fn heartbeat(token: u64, recorded_token: u64, unknown_job: Option<&str>) -> HeartbeatEvidence<'_> {
+    HeartbeatEvidence {
         machine: "m-1",
         token,
         recorded_token,
@@ -14,7 +14,7 @@
     }
 }
 
-/// A read that completes after the report.
+/// A read that completes after the heartbeat arrived.
 struct Read {
     sent: Micros,
     recorded_token: u64,
@@ -31,7 +31,7 @@
 
 struct EvidenceCase {
     name: &'static str,
-    reported: ReportEvidence<'static>,
+    evidence: HeartbeatEvidence<'static>,
     reads: Vec<Read>,
     /// Whether a read confirms the finding.
     found: bool,
@@ -39,13 +39,13 @@
 
 fn case(
     name: &'static str,
-    reported: ReportEvidence<'static>,
+    evidence: HeartbeatEvidence<'static>,
     reads: Vec<Read>,
     found: bool,
 ) -> EvidenceCase {
     EvidenceCase {
         name,
-        reported,
+        evidence,
         reads,
         found,
     }
@@ -53,60 +53,89 @@
 
 fn evidence_cases() -> Vec<EvidenceCase> {
     let unchanged = || vec![read(20, 4, true)];
-    let token_unknown = report(9, 4, None);
-    let wiped = report(9, 0, None);
-    let job_unknown = report(4, 4, Some("req-1"));
-    let early_then_late = vec![read(10, 4, false), read(20, 4, false)];
+    let unrecorded_token = heartbeat(9, 4, None);
+    let wiped_store = heartbeat(9, 0, None);
+    let unrecorded_job = heartbeat(4, 4, Some("req-1"));
+    let early_and_late_read = vec![read(10, 4, false), read(20, 4, false)];
     vec![
-        case("nothing odd", report(4, 4, None), unchanged(), false),
         case(
-            "a first start",
-            report(0, 0, None),
+            "heartbeat agrees with the records",
+            heartbeat(4, 4, None),
+            unchanged(),
+            false,
+        ),
+        case(
+            "first start of a deployment",
+            heartbeat(0, 0, None),
             vec![read(20, 0, true)],
             false,
         ),
         case(
-            "a token just handed out",
-            report(5, 4, None),
+            "token was issued a moment ago",
+            heartbeat(5, 4, None),
             vec![read(20, 5, true)],
             false,
         ),
-        case("a token never handed out", token_unknown, unchanged(), true),
-        case("a wiped store", wiped, vec![read(20, 0, false)], true),
         case(
-            "read begun before",
-            token_unknown,
+            "token was never issued",
+            unrecorded_token,
+            unchanged(),
+            true,
+        ),
+        case(
+            "store was wiped",
+            wiped_store,
+            vec![read(20, 0, false)],
+            true,
+        ),
+        case(
+            "read was sent when the heartbeat arrived",
+            unrecorded_token,
             vec![read(10, 4, true)],
             false,
         ),
-        case("job just accepted", job_unknown, unchanged(), false),
-        case("job without a record", job_unknown, early_then_late, true),
+        case(
+            "job was accepted a moment ago",
+            unrecorded_job,
+            unchanged(),
+            false,
+        ),
+        case(
+            "job has no record",
+            unrecorded_job,
+            early_and_late_read,
+            true,
+        ),
     ]
 }
 
+/// Guards against a finding that is reported before a read that was sent after the heartbeat's
+/// arrival confirms it, and against lost records that such a read does not reveal.
 #[test]
-fn evidence_counts_after_a_read_that_began_later() {
+fn evidence_is_confirmed_by_a_later_read() {
     for case in evidence_cases() {
-        let (name, reported) = (case.name, case.reported);
-        let mut detection = Detection::starting(0, SECOND);
-        let suspicious = detection.check_report(reported, REPORTED_AT);
+        let (name, evidence) = (case.name, case.evidence);
+        let mut detector = LossDetector::new(0, SECOND);
+        let contradicts = detector.check_heartbeat(evidence, HEARTBEAT_AT);
         assert_eq!(
-            suspicious,
-            reported.token > reported.recorded_token || reported.unknown_job.is_some(),
+            contradicts,
+            evidence.token > evidence.recorded_token || evidence.unknown_job.is_some(),
             "{name}"
         );
         let mut finding = None;
         for read in case.reads {
-            let result = detection.on_read(read.sent, read.recorded_token, |_| read.job_known);
+            let result = detector.check_read(read.sent, read.recorded_token, |_| read.job_known);
             finding = finding.or(result);
         }
         assert_eq!(finding.is_some(), case.found, "{name}: {finding:?}");
     }
 }
 
+/// Guards against records that count as verified after a start before every worker has had time to
+/// send a heartbeat.
 #[test]
-fn a_start_is_proven_when_workers_had_the_time_to_report() {
-    let detection = Detection::starting(100, 3 * SECOND);
-    assert!(!detection.is_proven(100 + 7 * SECOND));
-    assert!(detection.is_proven(100 + 8 * SECOND));
+fn records_are_verified_after_two_heartbeat_intervals() {
+    let detector = LossDetector::new(100, 3 * SECOND);
+    assert!(!detector.is_verified(100 + 7 * SECOND));
+    assert!(detector.is_verified(100 + 8 * SECOND));
 }
--- a/crates/recovery/src/finding.rs
+++ b/crates/recovery/src/finding.rs
@@ -1,45 +1,47 @@
-//! Evidence that the state service lost records.
+//! Findings of lost records.
 
 use std::fmt;
 
-/// Evidence that the state service lost records: none of these can be while it keeps all that
-/// was committed. The text of a finding is put on record and shown to operators.
+/// Evidence that the state service lost records. None of these states can occur while the state
+/// service keeps all committed changes. The text of a finding is stored in the record of the hold
+/// and shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Finding {
-    /// Its revision is lower than one that it had shown before.
+    /// The revision of the state service is lower than one that was seen before.
     RevisionWentBack {
-        /// The revision that was seen.
+        /// Highest revision that was seen before.
         seen: u64,
-        /// The lower one.
+        /// Current, lower revision.
         now: u64,
     },
-    /// It shows other changes for revisions that were seen.
+    /// The state service returns other changes for revisions that were seen before.
     HistoryReplaced {
-        /// The last revision that was seen.
+        /// Last revision that was seen before.
         seen: u64,
     },
-    /// A record that is never deleted is gone.
+    /// A record of a kind that is never deleted is missing.
     RecordDeleted {
-        /// Its key.
+        /// Key of the record.
         key: String,
     },
-    /// A worker has seen a fencing token that was never handed out, by the records.
-    TokenNotOnRecord {
-        /// Machine.
+    /// A worker has seen a fencing token that was never issued according to the records.
+    UnrecordedToken {
+        /// Name of the worker's machine.
         machine: String,
-        /// The token that its worker reports.
+        /// Fencing token that the worker reports.
         reported: u64,
-        /// The last one on record.
+        /// Last recorded fencing token.
         recorded: u64,
     },
-    /// A worker has a task of a job without a record. Whoever started it had one.
-    JobNotOnRecord {
-        /// Machine.
+    /// A worker has a task of a job without a record. A controller starts tasks only of recorded
+    /// jobs.
+    UnrecordedJob {
+        /// Name of the worker's machine.
         machine: String,
-        /// Identifier of the job.
+        /// Id of the job.
         job: String,
     },
-    /// Another controller found it and put a hold on record.
+    /// Another controller found the loss and wrote the record of a hold.
     FoundByPeer {
         /// Host name of that controller.
         by: String,
@@ -58,7 +60,7 @@
                 write!(f, "other changes up to revision {seen} than had been seen")
             }
             Finding::RecordDeleted { key } => write!(f, "{key}, never deleted, is gone"),
-            Finding::TokenNotOnRecord {
+            Finding::UnrecordedToken {
                 machine,
                 reported,
                 recorded,
@@ -66,7 +68,7 @@
                 f,
                 "{machine} has seen token {reported}, the last on record is {recorded}"
             ),
-            Finding::JobNotOnRecord { machine, job } => {
+            Finding::UnrecordedJob { machine, job } => {
                 write!(f, "{machine} has a task of {job}, which has no record")
             }
             Finding::FoundByPeer { by, seen } => write!(f, "{seen} (found by {by})"),
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,9 +1,9 @@
-//! Detection of lost records of the state service. Nothing here does I/O: what a controller
-//! sees goes in, findings come out.
+//! Detects that the state service lost records. This package does no I/O: the controller passes in
+//! what it received and gets findings.
 //!
-//! - [`Detection`] judges workers' reports against the records.
-//! - [`RecentChanges`] tells one history of the state service from another.
-//! - [`Finding`] is evidence that records are lost.
+//! - [`LossDetector`] compares workers' heartbeats with the records.
+//! - [`RecentChanges`] distinguishes the known history of the state service from any other.
+//! - [`Finding`] is evidence of lost records.
 //!
 //! See docs/recovery.md.
 
@@ -14,6 +14,6 @@
 mod finding;
 mod recent_changes;
 
-pub use detection::{Detection, ReportEvidence};
+pub use detection::{HeartbeatEvidence, LossDetector};
 pub use finding::Finding;
 pub use recent_changes::RecentChanges;
--- a/crates/recovery/src/recent_changes.rs
+++ b/crates/recovery/src/recent_changes.rs
@@ -1,45 +1,46 @@
-//! The last changes that a controller saw, by which it recognises the state service's history.
+//! The last known changes, which identify the history of the state service.
 //!
-//! Kept are the last changes that were compared, and all since: were only the newest kept,
-//! many changes of another history could push out those of ours before they are ever compared.
+//! The last compared changes are kept, together with all later ones. If only the newest changes
+//! were kept, many changes of another history could displace all changes of the known history
+//! before they are compared.
 
 use salttiller_records::history::{last_whole_revisions, Fingerprint};
 
-/// The last changes, in ascending order of their revisions.
+/// The last known changes, in ascending order of their revisions.
 #[derive(Debug, Clone, Default)]
 pub struct RecentChanges {
     changes: Vec<Fingerprint>,
-    /// All changes up to this revision were noted.
-    reached: u64,
+    /// Revision up to which all changes were added.
+    last_revision: u64,
 }
 
 impl RecentChanges {
-    /// Nothing is known but that everything up to a revision was read.
+    /// Returns an empty list of changes that continues after a full read at `revision`.
     #[must_use]
     pub fn starting_at(revision: u64) -> Self {
         RecentChanges {
             changes: Vec::new(),
-            reached: revision,
+            last_revision: revision,
         }
     }
 
-    /// The last revision that was noted.
+    /// Returns the revision up to which all changes were added.
     #[must_use]
-    pub fn reached(&self) -> u64 {
-        self.reached
+    pub fn last_revision(&self) -> u64 {
+        self.last_revision
     }
 
-    /// Notes the changes of an answer that is complete up to `revision`. Those that were noted
+    /// Adds the changes of a response that is complete up to `revision`. Changes that were added
     /// before are ignored.
     pub fn append(&mut self, mut changes: Vec<Fingerprint>, revision: u64) {
-        let known_until = self.reached;
+        let known_until = self.last_revision;
         changes.retain(|change| change.version > known_until);
         changes.sort();
         self.changes.extend(changes);
-        self.reached = self.reached.max(revision);
+        self.last_revision = self.last_revision.max(revision);
     }
 
-    /// All changes up to a revision were compared: of these only the last are kept.
+    /// Marks the changes up to the revision `until` as compared and keeps only the last of them.
     pub fn confirm(&mut self, until: u64) {
         let first_unconfirmed = self
             .changes
@@ -49,18 +50,21 @@
         self.changes.extend(unconfirmed);
     }
 
-    /// The revision after which to ask for changes, so that the answer shows all known ones.
+    /// Returns the revision after which to request changes so that the response contains all known
+    /// changes.
     #[must_use]
     pub fn compare_after(&self) -> u64 {
         let oldest = self.changes.first();
-        oldest.map_or(self.reached, |change| change.version.saturating_sub(1))
+        oldest.map_or(self.last_revision, |change| {
+            change.version.saturating_sub(1)
+        })
     }
 
-    /// Whether an answer with the changes after [`RecentChanges::compare_after`] shows the same
-    /// history. Changes after those that are known don't matter.
+    /// Whether `shown`, the changes of a response after [`RecentChanges::compare_after`], belongs
+    /// to the known history. Changes after the last known revision are ignored.
     #[must_use]
     pub fn agrees_with(&self, shown: &[Fingerprint]) -> bool {
-        let is_known = |change: &&Fingerprint| change.version <= self.reached;
+        let is_known = |change: &&Fingerprint| change.version <= self.last_revision;
         let mut shown: Vec<&Fingerprint> = shown.iter().filter(is_known).collect();
         shown.sort();
         shown.into_iter().eq(self.changes.iter())
--- a/crates/recovery/src/recent_changes/tests.rs
+++ b/crates/recovery/src/recent_changes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of histories that are told apart.
+//! Tests of the comparison of histories.
 
 use super::*;
 
@@ -6,7 +6,8 @@
     Fingerprint::new(version, key.to_owned(), Some(key.as_bytes()))
 }
 
-/// Changes after a revision up to another; those from `other_from` on are of another history.
+/// Returns the changes after the revision `after` up to `until`. The changes from `other_from` on
+/// belong to another history.
 fn shown(after: u64, until: u64, other_from: u64) -> Vec<Fingerprint> {
     let key = |version| {
         if version >= other_from {
@@ -18,11 +19,13 @@
     (after + 1..=until).map(|v| change(v, key(v))).collect()
 }
 
+/// Guards against a replaced history that counts as the known one, and against a finding for the
+/// unchanged history. The changes arrive in responses that overlap and are out of order.
 #[test]
-fn histories_are_told_apart() {
+fn a_replaced_history_is_detected() {
     let mut recent = RecentChanges::starting_at(10);
     let history = shown(10, 80, 999);
-    // Answers overlap and come out of order; each change is noted once.
+    // Each change is added once although the responses overlap and are out of order.
     recent.append(history[..20].to_vec(), 30);
     recent.append(history[10..].to_vec(), 80);
     recent.append(history[..40].to_vec(), 50);
@@ -30,19 +33,20 @@
     let from = recent.compare_after();
     assert!((40..60).contains(&from), "{from}");
     let cases = [
-        ("the same", shown(from, 80, 999), true),
-        ("the same, grown", shown(from, 95, 81), true),
-        ("the last change is another", shown(from, 95, 80), false),
-        ("all are others", shown(from, 95, 0), false),
-        ("the last is missing", shown(from, 79, 999), false),
-        ("none", Vec::new(), false),
+        ("same history", shown(from, 80, 999), true),
+        ("same history with later changes", shown(from, 95, 81), true),
+        ("last known change differs", shown(from, 95, 80), false),
+        ("all changes differ", shown(from, 95, 0), false),
+        ("last known change is missing", shown(from, 79, 999), false),
+        ("no changes", Vec::new(), false),
     ];
-    for (name, shown, agree) in cases {
-        assert_eq!(recent.agrees_with(&shown), agree, "{name}");
+    for (name, shown, agrees) in cases {
+        assert_eq!(recent.agrees_with(&shown), agrees, "{name}");
     }
 }
 
-/// However many changes of another history came in unnoticed, it is told apart.
+/// Guards against a replaced history that is not detected because many of its changes arrived
+/// before the next comparison and displaced the changes of the known history.
 #[test]
 fn many_new_changes_do_not_hide_a_replacement() {
     let mut recent = RecentChanges::starting_at(10);
--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -21,7 +21,7 @@
 use salttiller_records::key::Key;
 use salttiller_records::record::{value, DataLossHoldRecord};
 use salttiller_records::units::{add_drift, Micros, SECOND};
-use salttiller_recovery::{Detection, Finding};
+use salttiller_recovery::{Finding, LossDetector};
 
 use super::cluster_state::random_id;
 use super::commits::PendingCommit;
@@ -58,7 +58,7 @@
 #[derive(Debug, Default)]
 pub(super) struct DataLossProtection {
     /// `None` if detection is disabled in the settings.
-    detection: Option<Detection>,
+    detection: Option<LossDetector>,
     hold: Option<Box<DataLossHold>>,
 }
 
@@ -66,7 +66,7 @@
     /// Starts the detection of lost records. `heartbeat_interval` is the workers' interval between
     /// heartbeats.
     pub(super) fn start_detection(&mut self, now: Micros, heartbeat_interval: Micros) {
-        self.detection = Some(Detection::starting(now, heartbeat_interval));
+        self.detection = Some(LossDetector::new(now, heartbeat_interval));
     }
 
     /// Whether a hold is in force.
--- a/src/controller/data_loss_hold/evidence.rs
+++ b/src/controller/data_loss_hold/evidence.rs
@@ -2,7 +2,7 @@
 //! jobs without a record.
 
 use salttiller_records::units::{Micros, SECOND};
-use salttiller_recovery::ReportEvidence;
+use salttiller_recovery::HeartbeatEvidence;
 
 use crate::controller::Controller;
 use crate::fault_injection::{is_disabled, Safeguard};
@@ -28,13 +28,13 @@
         let jobs = &self.cluster.state_store.replica.jobs;
         let mut tasks = heartbeat.tasks.iter();
         let unknown_job = tasks.find(|t| !is_decision_recent && !jobs.contains_key(&*t.job));
-        let reported = ReportEvidence {
+        let reported = HeartbeatEvidence {
             machine: &heartbeat.machine,
             token: heartbeat.token,
             recorded_token,
             unknown_job: unknown_job.map(|t| &*t.job),
         };
-        let contradicts = detection.check_report(reported, self.cluster.now);
+        let contradicts = detection.check_heartbeat(reported, self.cluster.now);
         if contradicts {
             self.cluster.state_store.request_barrier();
         }
@@ -57,7 +57,7 @@
         let Some(detection) = &mut self.data_loss.detection else {
             return;
         };
-        let finding = detection.on_read(sent, recorded_token, |job| jobs.contains_key(job));
+        let finding = detection.check_read(sent, recorded_token, |job| jobs.contains_key(job));
         if let Some(finding) = finding.filter(|_| !self.data_loss.is_hold_active()) {
             self.begin_hold(finding);
         }
--- a/src/controller/data_loss_hold/requests.rs
+++ b/src/controller/data_loss_hold/requests.rs
@@ -107,7 +107,7 @@
             return false;
         };
         let is_verified =
-            detection.is_proven(self.cluster.now) || is_disabled(Safeguard::ProvenStart);
+            detection.is_verified(self.cluster.now) || is_disabled(Safeguard::ProvenStart);
         let retry_after_s = if self.is_hold_active() {
             HOLD_RETRY_AFTER_S
         } else if is_verified {
--- a/src/state_store/history.rs
+++ b/src/state_store/history.rs
@@ -71,7 +71,7 @@
         // The state service itself reported the revision that was requested from, so even a
         // late response can't have a lower revision.
         let expected = watch.expected.as_ref();
-        let seen = expected.map_or(watch.from, RecentChanges::reached);
+        let seen = expected.map_or(watch.from, RecentChanges::last_revision);
         if answer.revision < seen {
             let now = answer.revision;
             return Some(Finding::RevisionWentBack { seen, now });
