--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,6 @@
-//! What tests of real processes need: servers on loopback that stand in for other systems,
-//! written from the protocol's text apart from what the protocol crate shares, and files in
-//! the temporary folder.
+//! Support for tests of real processes: servers on the loopback address that replace other systems,
+//! and files in the temporary directory. The servers are implemented from the text of the protocol,
+//! except for the code that they share with the controller through the protocol crate.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/testkit/src/platform_settings.rs
+++ b/crates/testkit/src/platform_settings.rs
@@ -1,10 +1,11 @@
-//! The platform's settings file of a controller, as the deployment's text describes it.
+//! The platform's settings file of a controller, in the form that the platform's specification
+//! describes.
 
 use std::net::SocketAddr;
 
 use serde_json::{json, Value};
 
-/// Settings of a deployment of two controllers in one zone, without teams.
+/// Settings of a controller in a deployment of two controllers in one zone, without teams.
 #[derive(Debug, Clone, Copy)]
 pub struct PlatformSettings {
     state_service: SocketAddr,
@@ -12,10 +13,10 @@
 }
 
 impl PlatformSettings {
-    /// Requests a second that the state service allows by default.
+    /// Default limit of requests per second to the state service.
     pub const REQUESTS_PER_SECOND: f64 = 200.0;
 
-    /// Settings of a deployment with this state service.
+    /// Returns the settings of a deployment that uses this state service.
     #[must_use]
     pub fn new(state_service: SocketAddr) -> Self {
         PlatformSettings {
@@ -24,14 +25,14 @@
         }
     }
 
-    /// Sets the requests a second that the state service allows.
+    /// Sets the limit of requests per second to the state service.
     #[must_use]
     pub fn requests_per_second(mut self, requests: f64) -> Self {
         self.requests_per_second = requests;
         self
     }
 
-    /// The content of the file.
+    /// Returns the content of the settings file.
     #[must_use]
     pub fn to_json(&self) -> Value {
         json!({
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server: a thread for each connection, one request at a time.
+//! A small HTTP server. Each connection has its own thread, which handles one request at a time.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -8,14 +8,14 @@
 
 use salttiller_protocol::http::{parse_request, write_response, Request, Response};
 
-/// Bytes read from a connection at once.
+/// Maximum number of bytes per read from a connection.
 const READ_BYTES: usize = 16 * 1024;
 
-/// What a server does with requests.
+/// Handler of a server's requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers a request, which may take its time; `None` closes the connection without an
-    /// answer.
-    fn answer(&self, request: &Request) -> Option<Response>;
+    /// Returns the response to a request. May block. `None` closes the connection without a
+    /// response.
+    fn handle(&self, request: &Request) -> Option<Response>;
 }
 
 /// A server that runs until it is dropped.
@@ -25,10 +25,10 @@
 }
 
 impl Server {
-    /// Serves on a free port of the loopback address.
+    /// Starts a server on a free port of the loopback address.
     ///
     /// # Errors
-    /// No port can be listened on.
+    /// Returns an error if the server can't listen on a port.
     pub fn start(handler: Arc<dyn Handler>) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -38,7 +38,7 @@
         Ok(Server { address, stopped })
     }
 
-    /// Address that it listens on.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -48,7 +48,7 @@
 impl Drop for Server {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Relaxed);
-        // Wakes the listener so that it sees the flag.
+        // Unblocks the listener, so that it checks the flag.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -64,12 +64,12 @@
         }
         let handler = handler.clone();
         let stopped = stopped.clone();
-        // The peer of a connection that breaks sees that itself.
+        // Errors of a connection are ignored, because the peer detects them as well.
         thread::spawn(move || serve(stream, &*handler, &stopped));
     }
 }
 
-/// Answers the requests of a connection until either side ends it.
+/// Handles the requests of a connection until either side closes it.
 fn serve(mut stream: TcpStream, handler: &dyn Handler, stopped: &AtomicBool) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut received = Vec::new();
@@ -77,7 +77,7 @@
         let Some(request) = read_request(&mut stream, &mut received)? else {
             return Ok(());
         };
-        let Some(response) = handler.answer(&request) else {
+        let Some(response) = handler.handle(&request) else {
             return Ok(());
         };
         let mut bytes = Vec::new();
@@ -87,14 +87,14 @@
     Ok(())
 }
 
-/// Reads one request; `None` at the end of the connection. `received` holds the bytes that
-/// were read beyond the request before.
+/// Reads one request. Returns `None` at the end of the connection. `received` contains the bytes
+/// that were read after the end of the previous request.
 fn read_request(stream: &mut TcpStream, received: &mut Vec<u8>) -> io::Result<Option<Request>> {
     let mut chunk = [0; READ_BYTES];
     loop {
         let parsed = parse_request(received).map_err(io::Error::other)?;
-        if let Some((request, used)) = parsed {
-            received.drain(..used);
+        if let Some((request, length)) = parsed {
+            received.drain(..length);
             return Ok(Some(request));
         }
         match stream.read(&mut chunk)? {
--- a/crates/testkit/src/state_service.rs
+++ b/crates/testkit/src/state_service.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the state service: records, transactions, leases and watches, with the
-//! faults that tests inject.
+//! A fake state service with records, transactions, leases and watches. Tests can inject faults
+//! into it.
 
 mod leases;
 mod requests;
@@ -17,55 +17,57 @@
 use crate::server::Server;
 pub use store::{Contents, Record, Records};
 
-/// What happens to all requests while it is injected.
+/// Fault that affects all requests while it is injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestFault {
-    /// The connection is closed without an answer.
+    /// The connection is closed without a response.
     NoAnswer,
-    /// The answer has this status; 429 comes with `Retry-After`.
+    /// The response has this status. A response with status 429 has a `Retry-After` header.
     Status(u16),
 }
 
-/// What the handlers of requests share.
+/// State that all request handlers share.
 struct Shared {
     state: Mutex<State>,
-    /// Wakes watches after a change, a restoration or a fault.
+    /// Notified when a commit, a restore or a fault may complete a watch.
     changed: Condvar,
 }
 
 struct State {
     store: Store,
     fault: Option<RequestFault>,
-    /// How often the store was replaced; a watch of a former one is cut off.
-    restorations: u32,
-    /// When each request arrived.
+    /// Number of times that the store was replaced. A watch that began before a replacement is
+    /// closed without a response.
+    restore_count: u32,
+    /// Arrival time of each request.
     request_times: Vec<Instant>,
 }
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A test that failed with the lock held has been reported; the others go on.
+        // The lock is poisoned if a test failed while holding it. That failure is already reported,
+        // and the state remains usable for other threads.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The stand-in; it runs until it is dropped.
+/// A fake state service that runs until it is dropped.
 pub struct StateService {
     server: Server,
     shared: Arc<Shared>,
 }
 
 impl StateService {
-    /// Starts an empty one on a free port of the loopback address.
+    /// Starts an empty state service on a free port of the loopback address.
     ///
     /// # Errors
-    /// No port can be listened on.
+    /// Returns an error if the server can't listen on a port.
     pub fn start() -> io::Result<Self> {
         let shared = Arc::new(Shared {
             state: Mutex::new(State {
                 store: Store::new(),
                 fault: None,
-                restorations: 0,
+                restore_count: 0,
                 request_times: Vec::new(),
             }),
             changed: Condvar::new(),
@@ -74,14 +76,14 @@
         Ok(StateService { server, shared })
     }
 
-    /// Address that it listens on.
+    /// Returns the address that the state service listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Puts (`Some`) and deletes (`None`) records in one transaction, without conditions;
-    /// returns its revision.
+    /// Puts (`Some`) and deletes (`None`) records in one transaction without conditions. Returns
+    /// the revision of the transaction.
     pub fn commit(&self, changes: &[(&str, Option<Value>)]) -> u64 {
         let changes = changes.iter().map(|(k, v)| ((*k).to_owned(), v.clone()));
         let revision = self.shared.lock().store.commit(changes.collect());
@@ -89,50 +91,51 @@
         revision
     }
 
-    /// Remembers all records at each revision from now on.
+    /// Keeps a copy of all records at each revision, starting with the current one.
     pub fn keep_history(&self) {
         self.shared.lock().store.keep_history();
     }
 
-    /// The records as they were at a revision, if that was remembered.
+    /// Returns the records at a revision, if the history was kept.
     #[must_use]
     pub fn records_at(&self, revision: u64) -> Option<Records> {
         self.shared.lock().store.records_at(revision)
     }
 
-    /// The last revision.
+    /// Returns the current revision.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.shared.lock().store.contents().revision
     }
 
-    /// What it holds now.
+    /// Returns a copy of the current contents.
     #[must_use]
     pub fn contents(&self) -> Contents {
         self.shared.lock().store.contents().clone()
     }
 
-    /// Loses everything, or is set back to an earlier copy. Leases end and watches are cut off.
+    /// Replaces the contents, for example by empty contents or by an earlier copy. All leases end,
+    /// and open watches are closed without a response.
     pub fn restore(&self, contents: Contents) {
         let mut state = self.shared.lock();
         state.store.restore(contents);
-        state.restorations += 1;
+        state.restore_count += 1;
         drop(state);
         self.shared.changed.notify_all();
     }
 
-    /// Keeps so many changes for watches.
+    /// Sets the number of changes that are kept for watches.
     pub fn set_kept_changes(&self, changes: usize) {
         self.shared.lock().store.set_kept_changes(changes);
     }
 
-    /// Injects a fault into all requests; `None` ends it.
+    /// Injects a fault into all requests. `None` ends the fault.
     pub fn inject_fault(&self, fault: Option<RequestFault>) {
         self.shared.lock().fault = fault;
         self.shared.changed.notify_all();
     }
 
-    /// When each request arrived.
+    /// Returns the arrival time of each request.
     #[must_use]
     pub fn request_times(&self) -> Vec<Instant> {
         self.shared.lock().request_times.clone()
--- a/crates/testkit/src/state_service/leases.rs
+++ b/crates/testkit/src/state_service/leases.rs
@@ -1,42 +1,47 @@
-//! Leases and the records that end with them.
+//! Leases, and the records that are deleted when their lease ends.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 #[derive(Debug, Clone, Copy)]
 struct Lease {
-    /// Time that a renewal gives.
+    /// Time to live after a renewal.
     duration: Duration,
-    expires: Instant,
+    expires_at: Instant,
 }
 
 /// All leases.
 #[derive(Debug, Default)]
 pub(super) struct Leases {
     leases: BTreeMap<u64, Lease>,
-    /// Lease by key of a record that ends with it.
+    /// Lease ids by the keys of the attached records.
     attached: BTreeMap<String, u64>,
-    /// The last number that was given to a lease.
+    /// Last lease id that was assigned.
     last_id: u64,
 }
 
 impl Leases {
-    /// Grants a lease; returns its number.
+    /// Grants a lease and returns its id.
     pub(super) fn grant(&mut self, duration: Duration) -> u64 {
         self.last_id += 1;
-        let expires = Instant::now() + duration;
-        self.leases
-            .insert(self.last_id, Lease { duration, expires });
+        let expires_at = Instant::now() + duration;
+        self.leases.insert(
+            self.last_id,
+            Lease {
+                duration,
+                expires_at,
+            },
+        );
         self.last_id
     }
 
-    /// Gives a lease its full time again; whether there is such a lease.
+    /// Renews a lease for its full duration. Returns whether the lease exists.
     #[must_use]
     pub(super) fn renew(&mut self, id: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&id) else {
             return false;
         };
-        lease.expires = Instant::now() + lease.duration;
+        lease.expires_at = Instant::now() + lease.duration;
         true
     }
 
@@ -44,7 +49,7 @@
         self.leases.contains_key(&id)
     }
 
-    /// Lets a record end with a lease, or with none.
+    /// Attaches a record to a lease, or detaches it from its lease.
     pub(super) fn attach(&mut self, key: &str, lease: Option<u64>) {
         match lease {
             Some(id) => self.attached.insert(key.to_owned(), id),
@@ -52,10 +57,13 @@
         };
     }
 
-    /// Ends the leases that have expired; returns the keys of the records that end with each.
+    /// Ends all expired leases. Returns the keys of the attached records of each lease.
     pub(super) fn expire(&mut self) -> Vec<Vec<String>> {
         let now = Instant::now();
-        let expired = self.leases.iter().filter(|(_, lease)| lease.expires <= now);
+        let expired = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at <= now);
         let ids: Vec<u64> = expired.map(|(id, _)| *id).collect();
         ids.into_iter().map(|id| self.end(id)).collect()
     }
@@ -68,7 +76,7 @@
         keys
     }
 
-    /// Ends all leases; numbers are not given again.
+    /// Ends all leases. Lease ids are not reused.
     pub(super) fn clear(&mut self) {
         self.leases.clear();
         self.attached.clear();
--- a/crates/testkit/src/state_service/requests.rs
+++ b/crates/testkit/src/state_service/requests.rs
@@ -1,4 +1,4 @@
-//! Answers to requests, by method and path.
+//! Request routing by method and path, and watches.
 
 use std::sync::PoisonError;
 use std::time::{Duration, Instant};
@@ -6,30 +6,30 @@
 use salttiller_protocol::http::{query_value, Request, Response};
 use salttiller_protocol::state_service::decode;
 
-use super::store::{ok, PageRange};
+use super::store::{ok_response, PageRange};
 use super::wire::{GrantRequest, Transaction};
 use super::{RequestFault, Shared, State};
 use crate::server::Handler;
 
-/// How often a watch that waits looks for leases that have expired.
+/// Interval at which a waiting watch checks for expired leases.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// When to come back, in seconds, with status 429.
+/// Value of `Retry-After` in a response with status 429, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
 impl Handler for Shared {
-    fn answer(&self, request: &Request) -> Option<Response> {
+    fn handle(&self, request: &Request) -> Option<Response> {
         let mut state = self.lock();
         state.request_times.push(Instant::now());
         state.store.expire_leases();
         if let Some(fault) = state.fault {
-            return faulty_answer(fault);
+            return fault_response(fault);
         }
         let path: Vec<&str> = request.path.split('/').skip(1).collect();
         if (request.method.as_str(), path.as_slice()) == ("GET", &["follow"]) {
             drop(state);
             return self.watch(&WatchQuery::parse(&request.query));
         }
-        let response = state.answer(request, &path);
+        let response = state.handle(request, &path);
         drop(state);
         self.changed.notify_all();
         Some(response)
@@ -37,8 +37,8 @@
 }
 
 impl State {
-    /// Answers a request other than a watch.
-    fn answer(&mut self, request: &Request, path: &[&str]) -> Response {
+    /// Handles a request other than a watch.
+    fn handle(&mut self, request: &Request, path: &[&str]) -> Response {
         let store = &mut self.store;
         let bad_request = || Response::new(400, Vec::new());
         match (request.method.as_str(), path) {
@@ -68,13 +68,13 @@
     }
 }
 
-/// Query of a watch.
+/// Query parameters of a watch.
 struct WatchQuery<'a> {
-    /// Changes after this revision are wanted.
+    /// Revision after which changes are requested.
     from: u64,
-    /// Of records whose keys have this prefix.
+    /// Prefix of the keys of the requested records.
     prefix: &'a str,
-    /// How long to wait for one.
+    /// Maximum time to wait for a change.
     wait: Duration,
 }
 
@@ -90,18 +90,18 @@
 }
 
 impl Shared {
-    /// Answers a watch, once there are changes or its time is over.
+    /// Returns the response to a watch once there are changes or the wait time has passed.
     fn watch(&self, query: &WatchQuery<'_>) -> Option<Response> {
         let deadline = Instant::now() + query.wait;
         let mut state = self.lock();
-        let restorations = state.restorations;
+        let restore_count = state.restore_count;
         loop {
             state.store.expire_leases();
-            if state.restorations != restorations {
+            if state.restore_count != restore_count {
                 return None;
             }
             if let Some(fault) = state.fault {
-                return faulty_answer(fault);
+                return fault_response(fault);
             }
             if !state.store.keeps_changes_after(query.from) {
                 return Some(Response::new(410, Vec::new()));
@@ -110,16 +110,17 @@
             let went_back = changes.revision < query.from;
             let now = Instant::now();
             if !changes.events.is_empty() || went_back || now >= deadline {
-                return Some(ok(&changes));
+                return Some(ok_response(&changes));
             }
             let wait = (deadline - now).min(LEASE_CHECK_INTERVAL);
-            let woken = self.changed.wait_timeout(state, wait);
-            state = woken.unwrap_or_else(PoisonError::into_inner).0;
+            let result = self.changed.wait_timeout(state, wait);
+            state = result.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 }
 
-fn faulty_answer(fault: RequestFault) -> Option<Response> {
+/// Returns the response to a request during a fault.
+fn fault_response(fault: RequestFault) -> Option<Response> {
     match fault {
         RequestFault::NoAnswer => None,
         RequestFault::Status(429) => Some(Response::refusal(429, RETRY_AFTER_S)),
--- a/crates/testkit/src/state_service/store.rs
+++ b/crates/testkit/src/state_service/store.rs
@@ -1,4 +1,4 @@
-//! The store: records, the log of changes, transactions.
+//! The store of the fake state service: records, the log of changes, and transactions.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -13,57 +13,57 @@
 use super::leases::Leases;
 use super::wire::{Conflict, Empty, Operation, Transaction};
 
-/// Most bytes of a page, as the protocol has it.
+/// Maximum size of a page in bytes, as defined by the protocol.
 const PAGE_BYTES: usize = 512 * 1024;
-/// Most records of a page, as the protocol has it.
+/// Maximum number of records per page, as defined by the protocol.
 const PAGE_RECORDS: usize = 1000;
-/// Bytes of a record in a page besides its key and value, roughly.
+/// Approximate size of a record in a page without its key and value, in bytes.
 const PAIR_OVERHEAD_BYTES: usize = 40;
-/// Changes that are kept for watches unless a test sets another number.
+/// Default number of changes that are kept for watches.
 const KEPT_CHANGES: usize = 10_000;
 
-/// A record.
+/// A stored record.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Record {
-    /// Revision of its last change.
+    /// Revision of the record's last change.
     pub version: u64,
-    /// Its value.
+    /// Value of the record.
     pub value: Value,
 }
 
-/// All records by key.
+/// All records, by key.
 pub type Records = BTreeMap<String, Record>;
 
-/// What the store holds; a copy of it is a backup to set the store back to.
+/// Contents of the store. A copy serves as a backup to which the store can be restored.
 #[derive(Debug, Clone, Default)]
 pub struct Contents {
-    /// Number of transactions so far.
+    /// Current revision, which is the number of transactions so far.
     pub revision: u64,
-    /// The records.
+    /// Records of the store.
     pub records: Records,
-    /// Changes, oldest first; only the last are kept.
+    /// The last changes, in ascending order of their revisions.
     log: VecDeque<Event>,
 }
 
-/// Which records a page shows.
+/// Selects the records of a page.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PageRange<'a> {
-    /// Keys have this prefix.
+    /// Prefix of the keys.
     pub(super) prefix: &'a str,
-    /// Keys are greater than this one; empty: from the first.
+    /// Key after which the page begins. Empty if the page begins with the first record.
     pub(super) after: &'a str,
-    /// Most records, no more than the protocol allows.
+    /// Requested maximum number of records. The protocol's maximum applies as well.
     pub(super) limit: Option<usize>,
 }
 
-/// The store.
+/// The records, their history and the leases.
 #[derive(Debug)]
 pub(super) struct Store {
     contents: Contents,
     leases: Leases,
-    /// Changes that are kept for watches.
+    /// Number of changes that are kept for watches.
     kept_changes: usize,
-    /// All records by revision, if they are remembered.
+    /// Copies of all records by revision, if the history is kept.
     history: Option<BTreeMap<u64, Records>>,
 }
 
@@ -87,10 +87,11 @@
 
     pub(super) fn keep_history(&mut self) {
         self.history.get_or_insert_default();
-        self.remember();
+        self.record_history();
     }
 
-    fn remember(&mut self) {
+    /// Adds a copy of the records to the history, if the history is kept.
+    fn record_history(&mut self) {
         if let Some(history) = &mut self.history {
             let records = self.contents.records.clone();
             history.insert(self.contents.revision, records);
@@ -123,7 +124,7 @@
         while self.contents.log.len() > self.kept_changes {
             self.contents.log.pop_front();
         }
-        self.remember();
+        self.record_history();
         self.contents.revision
     }
 
@@ -154,7 +155,7 @@
         });
     }
 
-    /// Deletes the records whose leases have expired.
+    /// Ends the expired leases and deletes their records.
     pub(super) fn expire_leases(&mut self) {
         for keys in self.leases.expire() {
             if !keys.is_empty() {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Answers with a page of records.
+    /// Returns the response with a page of records.
     pub(super) fn page(&self, range: PageRange<'_>) -> Response {
         let limit = range.limit.map_or(PAGE_RECORDS, |n| n.min(PAGE_RECORDS));
         let start = if range.after.is_empty() {
@@ -185,29 +186,29 @@
             }
             pairs.push(pair(key, record));
         }
-        ok(&Page {
+        ok_response(&Page {
             pairs,
             more,
             revision: self.contents.revision,
         })
     }
 
-    /// Answers with one record.
+    /// Returns the response with one record.
     pub(super) fn get(&self, key: &str) -> Response {
         let revision = self.contents.revision;
         match self.contents.records.get(key) {
-            Some(record) => ok(&pair(key, record)),
+            Some(record) => ok_response(&pair(key, record)),
             None => Response::new(404, encode(&Revision { revision })),
         }
     }
 
-    /// The changes after a revision of records whose keys have a prefix.
+    /// Returns the changes after a revision of the records whose keys have a prefix.
     pub(super) fn changes_after(&self, from: u64, prefix: &str) -> Changes {
-        let is_wanted = |event: &&Event| {
+        let is_requested = |event: &&Event| {
             let key = event.put.as_deref().or(event.delete.as_deref());
             event.version > from && key.is_some_and(|key| key.starts_with(prefix))
         };
-        let events = self.contents.log.iter().filter(is_wanted);
+        let events = self.contents.log.iter().filter(is_requested);
         Changes {
             revision: self.contents.revision,
             events: events.cloned().collect(),
@@ -222,7 +223,7 @@
         from + 1 >= oldest || complete
     }
 
-    /// Answers a transaction: all of it or nothing is carried out.
+    /// Executes a transaction atomically and returns the response.
     pub(super) fn transact(&mut self, transaction: Transaction) -> Response {
         let mut conditions = transaction.conditions.into_iter();
         if let Some(failed) = conditions.find(|c| self.version(&c.key) != c.version) {
@@ -243,10 +244,10 @@
         } else {
             self.apply(operations)
         };
-        ok(&Revision { revision })
+        ok_response(&Revision { revision })
     }
 
-    /// Version of a record; 0 if there is none.
+    /// Returns the version of a record, or 0 if there is no such record.
     fn version(&self, key: &str) -> u64 {
         let record = self.contents.records.get(key);
         record.map_or(0, |record| record.version)
@@ -266,13 +267,13 @@
         self.commit(changes)
     }
 
-    /// Answers with a new lease.
+    /// Grants a lease and returns the response.
     pub(super) fn grant(&mut self, duration: Duration) -> Response {
         let lease = self.leases.grant(duration);
-        ok(&GrantedLease { lease })
+        ok_response(&GrantedLease { lease })
     }
 
-    /// Answers the renewal of a lease.
+    /// Renews a lease and returns the response.
     pub(super) fn renew(&mut self, lease: u64) -> Response {
         let status = if self.leases.renew(lease) { 200 } else { 404 };
         Response::new(status, encode(&Empty {}))
@@ -287,7 +288,7 @@
     }
 }
 
-/// An answer with status 200.
-pub(super) fn ok<T: Serialize>(body: &T) -> Response {
+/// Returns a response with status 200.
+pub(super) fn ok_response<T: Serialize>(body: &T) -> Response {
     Response::new(200, encode(body))
 }
--- a/crates/testkit/src/state_service/wire.rs
+++ b/crates/testkit/src/state_service/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers that the protocol crate does not share, in MessagePack.
+//! MessagePack bodies of the requests and responses that the protocol crate does not define.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -6,46 +6,46 @@
 /// Body of `POST /commit`.
 #[derive(Debug, Default, Deserialize)]
 pub(super) struct Transaction {
-    /// All must hold, or nothing is changed.
+    /// Conditions of the transaction. If any of them fails, nothing is changed.
     #[serde(default, rename = "when")]
     pub(super) conditions: Vec<Condition>,
-    /// Changes, made at one revision.
+    /// Changes of the transaction, which all get the same revision.
     #[serde(default, rename = "apply")]
     pub(super) operations: Vec<Operation>,
 }
 
-/// A record must be at this version.
+/// Condition that a record has this version.
 #[derive(Debug, Deserialize)]
 pub(super) struct Condition {
     /// Key of the record.
     #[serde(rename = "k")]
     pub(super) key: String,
-    /// Its version; 0: there is no such record.
+    /// Expected version of the record. 0 if the record must not exist.
     #[serde(rename = "mark")]
     pub(super) version: u64,
 }
 
-/// A put or a deletion.
+/// A put or a deletion of a record.
 #[derive(Debug, Deserialize)]
 pub(super) struct Operation {
-    /// Key of the record that is put.
+    /// Key of the record, if the operation is a put.
     #[serde(default)]
     pub(super) put: Option<String>,
-    /// Key of the record that is deleted.
+    /// Key of the record, if the operation is a deletion.
     #[serde(default)]
     pub(super) delete: Option<String>,
-    /// The value that is put.
+    /// New value of the record, if the operation is a put.
     #[serde(default)]
     pub(super) value: Value,
-    /// The lease with which the record ends.
+    /// Id of the lease at whose end the record is deleted.
     #[serde(default, rename = "tenure")]
     pub(super) lease: Option<u64>,
 }
 
-/// Answer to a transaction of which a condition does not hold.
+/// Response to a transaction with a failed condition.
 #[derive(Debug, Serialize)]
 pub(super) struct Conflict {
-    /// Keys whose conditions do not hold.
+    /// Keys of the failed conditions.
     pub(super) failed: Vec<String>,
     /// Revision of the store.
     #[serde(rename = "almanac")]
@@ -55,11 +55,11 @@
 /// Body of `POST /grants`.
 #[derive(Debug, Deserialize)]
 pub(super) struct GrantRequest {
-    /// How long the lease lasts without renewal, in milliseconds.
+    /// Duration of the lease without renewal, in milliseconds.
     #[serde(rename = "lifeMs")]
     pub(super) duration_ms: u64,
 }
 
-/// An answer without content.
+/// An empty response body.
 #[derive(Debug, Serialize)]
 pub(super) struct Empty {}
