--- a/crates/records/src/model/range_set.rs
+++ b/crates/records/src/model/range_set.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-/// A set of task numbers, stored as ranges, so that 100,000 consecutive tasks need no more memory
-/// than one.
+/// A set of task numbers, stored as ranges, so that 100,000 consecutive tasks cost no more
+/// memory or time than one.
 ///
 /// A range consists of its first number and the number after its last. Stored ranges are neither
 /// adjacent nor overlapping.
