--- a/src/leader.rs
+++ b/src/leader.rs
@@ -4,7 +4,7 @@
 //!
 //! - `binding`: which region a job is bound to. As in the paper, this is the region with the
 //!   fewest unfinished jobs.
-//! - `rebinding`: which waiting tasks move to a region with free capacity.
+//! - `rebinding`: which pending tasks move to a region with free capacity.
 //! - `multi_region_binding`, `multi_region_gangs`: which gangs are bound to several regions at
 //!   once, and when their parts start.
 //! - `demand`: a forecast of how many processors flexible jobs need.
@@ -17,11 +17,11 @@
 //!
 //! The controller calls [`Leader::tick`] and the `on_` methods, then collects the [`Action`]s
 //! and carries them out. The leader reads the replica, the settings and the regions' reports
-//! from its arguments and changes only its own state, except that it queues rentals directly at
-//! the cloud client.
+//! from its arguments and changes only its own state, except that it queues its calls to the cloud
+//! directly at the cloud client.
 //!
-//! The leader's record is its only fence: every write is conditional on the record's revision.
-//! A superseded leader can at worst rent surplus machines.
+//! A superseded leader is fenced by the leader's record alone: every write is conditional on the
+//! record's revision. At worst, a superseded leader rents surplus machines.
 
 mod arrival_rate;
 mod binding;
@@ -72,9 +72,9 @@
 pub use reports::{ReceivedReport, Reports};
 
 /// Interval between plans. The regions report about as often, and each plan processes all
-/// waiting work.
+/// pending work.
 const PLAN_INTERVAL: Micros = 400 * MILLISECOND;
-/// Units of one processor: processor amounts are counted in millionths.
+/// Conversion factor for amounts of processors, which are counted in millionths of a processor.
 const MILLIONTHS_PER_CPU: f64 = 1e6;
 
 /// A controller's term as the leader.
@@ -125,8 +125,8 @@
         self.term.version()
     }
 
-    /// Performs the periodic work: binds jobs, polls the cloud and makes plans. Returns the time of
-    /// the next call.
+    /// Performs the periodic work: records upstream cancellations, binds jobs, polls the cloud and
+    /// makes plans. Returns the time of the next call.
     pub fn tick(
         &mut self,
         context: &SchedulingContext<'_>,
--- a/src/leader/arrival_rate.rs
+++ b/src/leader/arrival_rate.rs
@@ -24,8 +24,8 @@
     /// Length of the averaging window. The window is long enough to smooth bursts: a machine
     /// rented for a single burst is billed for at least one minute.
     const WINDOW: Micros = 90 * SECOND;
-    /// Time at the start of a term during which submitted jobs are not counted. Jobs that piled
-    /// up while there was no leader would otherwise raise the rate.
+    /// Time at the start of a term during which submitted jobs are not counted. Jobs that
+    /// accumulated while there was no leader would otherwise raise the rate.
     const BACKLOG_GRACE: Micros = 12 * SECOND;
     /// Minimum measurement time before a rate is returned.
     const MIN_SPAN: Micros = 20 * SECOND;
--- a/src/leader/binding.rs
+++ b/src/leader/binding.rs
@@ -4,7 +4,7 @@
 //! front-end host gives each computation to the head of its list of spheres. Two rules extend the
 //! paper: only regions that can hold the job are considered, and a gang may be bound to several
 //! regions. Inputs are the records (jobs, machines, owners), the planned capacity and the cloud's
-//! refusals. A binding is written once; the module `rebinding` corrects it.
+//! refusals. This module binds each job once; the module `rebinding` changes bindings afterwards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -1,5 +1,5 @@
-//! Handling of the cloud's answers: the leader records machine types, assigns rented and unknown
-//! machines to regions, and notes refused offers for the capacity backoff.
+//! Handling of the results of calls to the cloud: the leader records machine types, assigns rented
+//! and unknown machines to regions, and notes refused offers for the capacity backoff.
 
 use crate::cloud::{CloudEvent, ListedMachine, Offer};
 use crate::region::SchedulingContext;
@@ -13,8 +13,8 @@
 use super::outbox::RecordChange;
 use super::Leader;
 
-/// Number of unknown machines assigned to a region at a time. Small groups spread the machines of
-/// a type that no job depends on over the regions.
+/// Number of unknown machines assigned to a region at a time. Small groups distribute the machines
+/// of pools that are not scarce over the regions.
 const UNKNOWN_MACHINES_PER_ASSIGNMENT: usize = 8;
 /// A recorded price is updated when it differs from the current price by more than the current
 /// price divided by this number. Spot prices change all the time, and each record change counts
@@ -22,7 +22,7 @@
 const PRICE_TOLERANCE_DIVISOR: u64 = 10;
 
 impl Leader {
-    /// Handles an answer of the cloud.
+    /// Handles the result of a call to the cloud.
     pub fn on_cloud_event(&mut self, event: &CloudEvent, context: &SchedulingContext<'_>) {
         match event {
             CloudEvent::MachineTypes(machine_types) => {
@@ -93,8 +93,8 @@
         self.assign_machines(offer, machines, region, context);
     }
 
-    /// Assigns the listed machines that have no record. Like all others, they are then used, or
-    /// returned when idle.
+    /// Assigns the listed machines without a record to regions, which use them like other machines
+    /// or return them when they are idle.
     fn on_list(&mut self, list: &[ListedMachine], context: &SchedulingContext<'_>) {
         // A record that can't be read may belong to a listed machine.
         if !context.replica.unreadable_machine_records.is_empty() {
--- a/src/leader/cloud_polling.rs
+++ b/src/leader/cloud_polling.rs
@@ -9,8 +9,8 @@
 const LIST_INTERVAL: Micros = 30 * SECOND;
 /// Interval between list requests while machines without a record report.
 const UNKNOWN_MACHINE_LIST_INTERVAL: Micros = 4 * SECOND;
-/// Interval between list requests while no machine has a record: no task can run before the
-/// machines are listed.
+/// Interval between list requests while machines report but none has a record: no task can run
+/// before the machines are listed.
 const FIRST_START_LIST_INTERVAL: Micros = SECOND;
 /// Interval between requests for the machine types; spot prices change slowly.
 const MACHINE_TYPES_INTERVAL: Micros = 60 * SECOND;
--- a/src/leader/demand.rs
+++ b/src/leader/demand.rs
@@ -1,7 +1,7 @@
 //! Demand forecast: how many processors flexible jobs need, as thresholds for scale-out and
 //! scale-in.
 //!
-//! Inputs are the jobs as they are bound, the regions' reports and the waiting work. The forecast
+//! Inputs are the jobs as they are bound, the regions' reports and the pending work. The forecast
 //! is recomputed with each plan and makes no decisions itself. The paper has no counterpart,
 //! because its number of processors is fixed.
 
@@ -21,8 +21,8 @@
 const UTILISATION_WEIGHT: f64 = 0.04;
 /// Weight of the latest job in the smoothed job size.
 const JOB_SIZE_WEIGHT: f64 = 0.1;
-/// Lower and upper bound of the estimate accuracy. Job owners' estimates are often off by half and
-/// sometimes by more; a measurement outside the bounds reflects a few outliers rather than all
+/// Lower and upper bound of the estimate accuracy. Users' run-time estimates are often off by half
+/// and sometimes by more; a measurement outside the bounds reflects a few outliers rather than all
 /// jobs.
 const ACCURACY_BOUNDS: (f64, f64) = (0.3, 3.0);
 /// Minimum amount of finished work for a measurement of the estimate accuracy, as run time of a
@@ -66,18 +66,18 @@
         self.smoothed_job_size += (size - self.smoothed_job_size) * JOB_SIZE_WEIGHT;
     }
 
-    /// Recomputes the thresholds: the processors that the arriving work keeps busy, plus those that
-    /// start the backlog within its horizon.
+    /// Recomputes the thresholds: the processors that the arriving work keeps busy, plus those
+    /// needed to start the backlog within its start horizon.
     pub(super) fn update(
         &mut self,
-        waiting: &[UnplacedJob],
+        unplaced: &[UnplacedJob],
         capacity: &[PlannedCapacity],
         reports: &Reports,
         context: &SchedulingContext<'_>,
     ) {
         self.measure_accuracy(reports);
         self.measure_utilisation(capacity);
-        let backlog = self.backlog_cpus(waiting, context);
+        let backlog = self.backlog_cpus(unplaced, context);
         // The recent arrival rate serves as the forecast of future demand.
         let arriving = self
             .arrivals
@@ -93,7 +93,7 @@
         self.scale_in_threshold = arriving * (1.0 + headroom) + self.smoothed_job_size + backlog;
     }
 
-    /// Number of processors below which machines are rented for waiting flexible work.
+    /// Number of processors below which machines are rented for pending flexible work.
     pub(super) fn scale_out_threshold(&self) -> f64 {
         self.scale_out_threshold
     }
@@ -103,8 +103,8 @@
         self.scale_in_threshold
     }
 
-    /// Processors that the arriving work keeps busy by its owners' estimates, or `None` while the
-    /// measurement is too short.
+    /// Processors that the arriving work keeps busy according to users' run-time estimates, or
+    /// `None` while the measurement is too short.
     pub(super) fn arrival_rate(&mut self, now: Micros) -> Option<f64> {
         self.arrivals.rate(now)
     }
@@ -119,8 +119,8 @@
         self.estimate_accuracy
     }
 
-    /// Measures the estimate accuracy on recently finished tasks: owners' estimates may all be off
-    /// by half in the same direction.
+    /// Measures the estimate accuracy on recently finished tasks, because users' run-time estimates
+    /// may all be off by half in the same direction.
     fn measure_accuracy(&mut self, reports: &Reports) {
         let total = |work: fn(&RegionReport) -> f64| {
             let all = reports.values().map(|received| work(&received.report));
@@ -146,13 +146,13 @@
         self.smoothed_utilisation += (used - self.smoothed_utilisation) * UTILISATION_WEIGHT;
     }
 
-    /// Returns the processors that start the waiting flexible work within its horizon, at most as
-    /// many as run all of it at once.
-    fn backlog_cpus(&self, waiting: &[UnplacedJob], context: &SchedulingContext<'_>) -> f64 {
+    /// Returns the processors needed to start the pending flexible work within its start horizon,
+    /// at most as many as run all of this work at the same time.
+    fn backlog_cpus(&self, unplaced: &[UnplacedJob], context: &SchedulingContext<'_>) -> f64 {
         let is_counted =
             |job: &&UnplacedJob| job.is_flexible() && !job.is_indivisible() && !job.is_suspect;
         let mut backlog = 0.0;
-        for job in waiting.iter().filter(is_counted) {
+        for job in unplaced.iter().filter(is_counted) {
             let estimated = job.spec.estimated_run_time.max(SECOND) as f64;
             let run_time = self.estimate_accuracy * estimated;
             let horizons = run_time / start_horizon(&job.spec, context) as f64;
--- a/src/leader/indivisible_scale_out.rs
+++ b/src/leader/indivisible_scale_out.rs
@@ -140,7 +140,7 @@
 
     /// Requests rebinding of a job for which no machines can be rented in its region.
     fn rebind_indivisible(&mut self, job: &UnplacedJob, context: &SchedulingContext<'_>) {
-        if job.waiting_for < MIN_WAIT_TO_REBIND
+        if job.pending_for < MIN_WAIT_TO_REBIND
             || self.recent_rebindings.contains(&job.id)
             || job.unplaced_tasks != job.task_count()
         {
--- a/src/leader/machine_assignment.rs
+++ b/src/leader/machine_assignment.rs
@@ -2,8 +2,8 @@
 //!
 //! A machine belongs to the same region for its whole lifetime. Inputs are the machines on record
 //! by region, the batches being provisioned and the types that constrained jobs depend on. In the
-//! paper the spheres are fixed; here the sizes of regions vary, and the assignment rules are an
-//! extension of the paper.
+//! paper the spheres are fixed. In this scheduler the sizes of regions vary, so the assignment
+//! rules extend the paper.
 
 use std::collections::BTreeMap;
 
@@ -68,7 +68,8 @@
     /// Returns the region that machines of an offer are assigned to. A scarce pool is kept in one
     /// region up to the size that the largest gang requires, because a pool divided among regions
     /// holds no large gang. Other machines go to the region with the lowest load, with precedence
-    /// for regions in the same zone, so that a partitioned zone still has an owner inside.
+    /// for regions in the same zone, so that a partitioned zone still contains the owner of its
+    /// machines.
     pub(super) fn region_for(&self, offer: &Offer, context: &SchedulingContext<'_>) -> String {
         let regions = context.settings.regions();
         let loads = self.region_loads(&regions, offer, context);
--- a/src/leader/multi_region_gangs.rs
+++ b/src/leader/multi_region_gangs.rs
@@ -34,11 +34,11 @@
 struct PartStatus {
     /// Whether capacity is reserved for the current attempt.
     is_ready: bool,
-    /// Whether all tasks of the part are waiting.
-    is_waiting: bool,
-    /// Longest wait of the part's tasks.
-    waiting_for: Micros,
-    /// Whether the attempt failed.
+    /// Whether all tasks of the part are pending.
+    is_pending: bool,
+    /// Time for which the part has had pending tasks without interruption.
+    pending_for: Micros,
+    /// Whether the attempt failed, or the gang failed on several machines without a result.
     needs_new_attempt: bool,
 }
 
@@ -84,8 +84,8 @@
             .collect();
         let has_unbound_part = parts.iter().any(|(range, _)| range.is_unbound());
         for (range, status) in &parts {
-            let has_waited_too_long = status.waiting_for > MAX_PART_WAIT;
-            if status.is_waiting && (has_unbound_part || has_waited_too_long) {
+            let has_waited_too_long = status.pending_for > MAX_PART_WAIT;
+            if status.is_pending && (has_unbound_part || has_waited_too_long) {
                 self.outbox.send(gang.unbind_request(range));
             }
         }
@@ -98,7 +98,7 @@
             }
             return None;
         }
-        let all_parts_pending = parts.iter().all(|(_, s)| s.is_ready || s.is_waiting);
+        let all_parts_pending = parts.iter().all(|(_, s)| s.is_ready || s.is_pending);
         let has_failed_attempt = parts.iter().any(|(_, s)| s.needs_new_attempt);
         (all_parts_pending && has_failed_attempt).then(|| self.retry(gang))
     }
@@ -135,8 +135,8 @@
         let pending = report.pending_jobs.iter().find(|p| p.job == self.id);
         PartStatus {
             is_ready: self.is_reserved_in(report),
-            is_waiting: pending.is_some_and(|p| p.pending_tasks == range.end - range.first),
-            waiting_for: pending.map_or(0, |p| p.waiting_us),
+            is_pending: pending.is_some_and(|p| p.pending_tasks == range.end - range.first),
+            pending_for: pending.map_or(0, |p| p.waiting_us),
             needs_new_attempt: pending.is_some_and(|p| p.needs_new_attempt),
         }
     }
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Returns a message that notifies a part's owner that all parts have capacity.
+    /// Returns a request to a part's owner to start the part, because all parts have capacity.
     fn start_request(&self, range: &TaskRange) -> Message {
         Message::StartGang {
             job: self.id.to_owned(),
--- a/src/leader/outbox.rs
+++ b/src/leader/outbox.rs
@@ -12,7 +12,7 @@
 /// the state service accepts 64 KiB, and a job record may be several KiB.
 const MAX_CHANGES_PER_TRANSACTION: usize = 8;
 
-/// An effect that the leader asks the controller to carry out.
+/// An action that the controller carries out for the leader.
 #[derive(Debug)]
 pub enum Action {
     /// Commit a transaction.
--- a/src/leader/plan.rs
+++ b/src/leader/plan.rs
@@ -1,4 +1,4 @@
-//! The leader's plan, made every 0.4 s: gathers the capacity and the waiting work, then makes the
+//! The leader's plan, made every 0.4 s: gathers the capacity and the pending work, then makes the
 //! leader's decisions on them in a fixed order.
 
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 use super::unplaced_job::UnplacedJob;
 use super::Leader;
 
-/// Maximum age of a report whose waiting work is planned for. Much of the work in an older report
+/// Maximum age of a report whose pending work is planned for. Much of the work in an older report
 /// is already running.
 const MAX_REPORT_AGE: Micros = 3 * SECOND;
 /// Minimum age of the term before machines are rented. Earlier, some regions have not reported
@@ -34,14 +34,14 @@
         self.provisioning_reports.expire(context.now);
         self.update_capacity(context, reports, cloud_client);
         self.coordinate_multi_region_gangs(context, reports);
-        let mut waiting = self.unplaced_jobs(context, reports);
+        let mut unplaced = self.unplaced_jobs(context, reports);
         self.demand
-            .update(&waiting, &self.capacity, reports, context);
+            .update(&unplaced, &self.capacity, reports, context);
         self.scale_in(context);
-        self.rebind_waiting(&mut waiting, context);
+        self.rebind_pending(&mut unplaced, context);
         if self.term.age(context.now) > MIN_TERM_AGE_TO_RENT {
-            waiting.retain(|job| !job.is_suspect);
-            self.scale_out(&waiting, context, cloud_client);
+            unplaced.retain(|job| !job.is_suspect);
+            self.scale_out(&unplaced, context, cloud_client);
         }
     }
 
@@ -113,14 +113,14 @@
         })
     }
 
-    /// Returns the waiting jobs of all recent reports.
+    /// Returns the pending jobs of all recent reports.
     fn unplaced_jobs(
         &mut self,
         context: &SchedulingContext<'_>,
         reports: &Reports,
     ) -> Vec<UnplacedJob> {
         let suspects = suspect_jobs(reports);
-        let mut waiting = Vec::new();
+        let mut unplaced = Vec::new();
         let is_recent = |r: &&ReceivedReport| r.age(context.now) <= MAX_REPORT_AGE;
         for ReceivedReport { report, .. } in reports.values().filter(is_recent) {
             for pending in &report.pending_jobs {
@@ -130,15 +130,16 @@
                     self.constrained_types
                         .note(&job.spec, context.replica, context.now);
                 }
-                waiting.extend(job);
+                unplaced.extend(job);
             }
         }
-        waiting
+        unplaced
     }
 }
 
-/// Returns the jobs that any region reports as failing on several machines without a result. A
-/// finding of one region applies to the job's tasks in all regions.
+/// Returns the jobs that any region reports as failed on several machines without a result, or as
+/// a multi-region gang whose attempt failed. A report of one region applies to the job's tasks in
+/// all regions.
 fn suspect_jobs(reports: &Reports) -> BTreeSet<&str> {
     reports
         .values()
--- a/src/leader/planned_capacity.rs
+++ b/src/leader/planned_capacity.rs
@@ -1,4 +1,4 @@
-//! Planned capacity: the capacity of identical machines, of which a plan claims parts for waiting
+//! Planned capacity: the capacity of identical machines, parts of which a plan claims for pending
 //! tasks.
 
 use std::collections::BTreeMap;
@@ -107,8 +107,8 @@
     }
 }
 
-/// Claims capacity of the machines in turn for up to `wanted` tasks. Returns the number of tasks
-/// without capacity.
+/// Claims capacity of the machines, one entry after the other, for up to `wanted` tasks. Returns
+/// the number of tasks without capacity.
 #[must_use]
 pub(super) fn claim_from<'a>(
     machines: impl IntoIterator<Item = &'a mut PlannedCapacity>,
--- a/src/leader/rebinding.rs
+++ b/src/leader/rebinding.rs
@@ -1,4 +1,4 @@
-//! Rebinding: moves waiting tasks to regions with free capacity.
+//! Rebinding: moves pending tasks to regions with free capacity.
 //!
 //! A task that gets no machine in its region within a short time is rebound to the region with the
 //! most free capacity. Rebinding extends the paper, where a computation stays in its sphere.
@@ -70,7 +70,7 @@
     }
 }
 
-/// Region to which waiting tasks of a job are moved, and the number of tasks.
+/// Region to which pending tasks of a job are moved, and the number of tasks.
 #[derive(Debug)]
 struct RebindingTarget {
     region: String,
@@ -78,19 +78,19 @@
 }
 
 impl Leader {
-    /// Requests rebinding of tasks that waited for a short time without getting a machine, to the
-    /// region with the most free capacity. Afterwards `unplaced_tasks` of each waiting job is the
-    /// number of tasks for which no region has capacity.
-    pub(super) fn rebind_waiting(
+    /// Requests rebinding of tasks that got no machine within a short time, to the region with the
+    /// most free capacity. Afterwards `unplaced_tasks` of each job is the number of pending tasks
+    /// for which no capacity was claimed.
+    pub(super) fn rebind_pending(
         &mut self,
-        waiting: &mut [UnplacedJob],
+        unplaced: &mut [UnplacedJob],
         context: &SchedulingContext<'_>,
     ) {
         // Guards against capacity claimed for tasks that their team's quota keeps from starting,
         // while other tasks wait in regions without capacity: quota-blocked jobs come last.
-        waiting.sort_by_key(|job| job.is_quota_blocked);
-        let within_quota_count = waiting.partition_point(|job| !job.is_quota_blocked);
-        let (within_quota, quota_blocked) = waiting.split_at_mut(within_quota_count);
+        unplaced.sort_by_key(|job| job.is_quota_blocked);
+        let within_quota_count = unplaced.partition_point(|job| !job.is_quota_blocked);
+        let (within_quota, quota_blocked) = unplaced.split_at_mut(within_quota_count);
         let writes_per_plan = context.settings.min_store_write_rate * to_seconds(PLAN_INTERVAL);
         let mut remaining_rebindings = (writes_per_plan * REBINDING_WRITE_SHARE).ceil() as u32;
         for jobs in [within_quota, quota_blocked] {
@@ -103,12 +103,12 @@
         }
     }
 
-    /// Claims capacity for waiting jobs in their own regions.
-    fn claim_in_own_region(&mut self, waiting: &mut [UnplacedJob]) {
-        for job in waiting {
+    /// Claims capacity for pending jobs in their own regions.
+    fn claim_in_own_region(&mut self, unplaced: &mut [UnplacedJob]) {
+        for job in unplaced {
             // Guards against a job that keeps waiting although its region appears to have capacity
             // for it: that capacity is then not claimed for the job.
-            let waits_too_long = job.waiting_for > MAX_WAIT_WITH_CAPACITY;
+            let waits_too_long = job.pending_for > MAX_WAIT_WITH_CAPACITY;
             if job.is_indivisible() && waits_too_long && !job.is_quota_blocked {
                 continue;
             }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Requests rebinding of a job's waiting tasks if another region has capacity for them. Returns
+    /// Requests rebinding of a job's pending tasks if another region has capacity for them. Returns
     /// whether a rebinding was requested.
     #[must_use]
     fn rebind_job(&mut self, job: &mut UnplacedJob, context: &SchedulingContext<'_>) -> bool {
@@ -132,7 +132,7 @@
             return false;
         };
         log::debug!(
-            "region={} job={}: requesting rebinding of {} waiting tasks to {}",
+            "region={} job={}: requesting rebinding of {} pending tasks to {}",
             job.region,
             job.id,
             target.tasks,
@@ -166,7 +166,7 @@
         let would_be_divided = job.is_indivisible() && job.unplaced_tasks != job.task_count();
         job.unplaced_tasks > 0
             && !would_be_divided
-            && job.waiting_for >= MIN_WAIT_TO_REBIND
+            && job.pending_for >= MIN_WAIT_TO_REBIND
             && !self.recent_rebindings.contains(&job.id)
             && !(job.is_suspect && could_run_in_own_region())
     }
@@ -198,8 +198,8 @@
             })
     }
 
-    /// Asks the owner of a job's region to bind waiting tasks to region `to`, or to unbind them if
-    /// `to` is empty.
+    /// Sends a request to the owner of a job's region to bind pending tasks to region `to`, or to
+    /// unbind them if `to` is empty.
     pub(super) fn request_rebinding(
         &mut self,
         job: &UnplacedJob,
--- a/src/leader/scale_in.rs
+++ b/src/leader/scale_in.rs
@@ -45,7 +45,7 @@
 }
 
 impl Leader {
-    /// Asks the regions' owners to drain machines that flexible work doesn't need.
+    /// Sends requests to the regions' owners to drain machines that flexible work doesn't need.
     pub(super) fn scale_in(&mut self, context: &SchedulingContext<'_>) {
         // Guards against a new leader that has not measured the demand yet, possibly in the middle
         // of a burst: the machines drained would have to be rented again shortly afterwards.
--- a/src/leader/scale_out.rs
+++ b/src/leader/scale_out.rs
@@ -1,8 +1,8 @@
-//! Scale-out: rents machines for waiting divisible jobs.
+//! Scale-out: rents machines for pending divisible jobs.
 //!
-//! Inputs are the waiting tasks without capacity on available machines or machines being
+//! Inputs are the pending tasks without capacity on available machines or machines being
 //! provisioned, the demand forecast and the cloud's offers. No machines are rented for work that
-//! the existing machines, including busy ones, complete within the horizon. The paper has no
+//! the existing machines, including busy ones, complete within the start horizon. The paper has no
 //! counterpart, because its number of processors is fixed.
 
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Waiting jobs for which machines are rented together: all flexible jobs, or the constrained jobs
+/// Pending jobs for which machines are rented together: all flexible jobs, or the constrained jobs
 /// that fit on the same machine type.
 #[derive(Debug, Default)]
 struct JobGroup<'a> {
@@ -59,7 +59,7 @@
         self.jobs.iter().any(|job| job.spec.allows_spot)
     }
 
-    /// Returns the processors that start all waiting tasks within their horizon.
+    /// Returns the processors needed to start all pending tasks within their start horizon.
     fn backlog_cpus(&self, context: &SchedulingContext<'_>) -> f64 {
         self.jobs
             .iter()
@@ -122,11 +122,11 @@
 }
 
 impl Leader {
-    /// Rents the cheapest machines that start waiting work within its horizon, for indivisible jobs
-    /// first.
+    /// Rents the cheapest machines needed to start pending work within its start horizon, for
+    /// indivisible jobs first.
     pub(super) fn scale_out(
         &mut self,
-        waiting: &[UnplacedJob],
+        unplaced: &[UnplacedJob],
         context: &SchedulingContext<'_>,
         cloud_client: &mut CloudClient,
     ) {
@@ -134,7 +134,7 @@
             return;
         }
         let mut requests = RentalRequests::new(cloud_client);
-        let (indivisible, divisible): (Vec<_>, Vec<_>) = waiting
+        let (indivisible, divisible): (Vec<_>, Vec<_>) = unplaced
             .iter()
             .filter(|job| job.unplaced_tasks > 0)
             .partition(|job| job.is_indivisible());
--- a/src/leader/unknown_machines.rs
+++ b/src/leader/unknown_machines.rs
@@ -8,8 +8,8 @@
 use salttiller_records::units::{Micros, SECOND};
 
 /// Number of list delays for which a machine must have been unknown, and minimum age of the machine
-/// in list delays, before its existence is confirmed. A list is at most twice the nominal delay
-/// late, so a machine that stays unknown for longer really has no record.
+/// in list delays, before its existence is confirmed. A list is outdated by at most
+/// twice the nominal delay, so a machine that stays unknown for longer has no record.
 const LIST_DELAYS_UNTIL_CONFIRMED: Micros = 2;
 /// Number of list delays for which a removed machine is remembered, because a late list may still
 /// include it.
--- a/src/leader/unplaced_job.rs
+++ b/src/leader/unplaced_job.rs
@@ -1,4 +1,4 @@
-//! Unplaced jobs: the plan's view of jobs with waiting tasks in a region.
+//! Unplaced jobs: the plan's view of jobs with pending tasks in a region.
 
 use std::rc::Rc;
 
@@ -27,22 +27,22 @@
     }
 }
 
-/// A job with waiting tasks in one region.
+/// A job with pending tasks in one region.
 #[derive(Debug)]
 pub(super) struct UnplacedJob {
     pub(super) id: String,
     pub(super) region: String,
     pub(super) spec: Rc<JobSpec>,
-    /// Number of waiting tasks for which the plan has found no capacity yet.
+    /// Number of pending tasks for which the plan has found no capacity yet.
     pub(super) unplaced_tasks: u64,
-    /// Wait of the oldest waiting task.
-    pub(super) waiting_for: Micros,
+    /// Time for which the job has had pending tasks in the region without interruption.
+    pub(super) pending_for: Micros,
     /// The only machine type on which the job fits, if there is exactly one.
     pub(super) only_type: Option<String>,
     /// Whether the quota of the job's team is exhausted.
     pub(super) is_quota_blocked: bool,
-    /// Whether the job failed on several machines without a result. A suspect job is rebound to
-    /// free capacity, but no machines are rented for it.
+    /// Whether the job failed on several machines without a result. No machines are rented for a
+    /// suspect job, and it is rebound only if its own region has no machine that could hold a task.
     pub(super) is_suspect: bool,
 }
 
@@ -65,7 +65,7 @@
             region: report.region.clone(),
             spec: spec.clone(),
             unplaced_tasks: u64::from(pending.pending_tasks),
-            waiting_for: pending.waiting_us,
+            pending_for: pending.waiting_us,
             only_type: only_fitting_type(spec, context.replica),
             is_quota_blocked: is_quota_blocked(&spec.team, report),
             is_suspect,
@@ -85,7 +85,7 @@
         is_indivisible(&self.spec)
     }
 
-    /// Number of all tasks of the job, waiting or not.
+    /// Number of all tasks of the job, pending or not.
     pub(super) fn task_count(&self) -> u64 {
         u64::from(self.spec.task_count)
     }
--- a/src/leader/upstream_cancellations.rs
+++ b/src/leader/upstream_cancellations.rs
@@ -1,4 +1,4 @@
-//! Upstream cancellations: records jobs as cancelled that depend on a cancelled job.
+//! Upstream cancellations: records the cancellation of jobs that depend on a cancelled job.
 
 use crate::region::SchedulingContext;
 use crate::state_store::CommitPriority;
@@ -14,8 +14,9 @@
 
 impl Leader {
     /// Records jobs as cancelled because a job that they depend on was cancelled. Every controller
-    /// derives these cancellations from the records anyway, so their timing doesn't matter: the
-    /// records serve versions before 0.3, in case of a downgrade, and the index.
+    /// derives these cancellations from the other records, so the time of the write doesn't matter.
+    /// The cancellations are recorded for versions before 0.3, in case of a downgrade, and for the
+    /// index.
     pub(super) fn record_upstream_cancellations(&mut self, context: &SchedulingContext<'_>) {
         let cancelled = context.replica.pipelines.cancelled_upstream().iter();
         let changes: Vec<RecordChange> = cancelled
