--- a/src/controller/data_loss_hold.rs
+++ b/src/controller/data_loss_hold.rs
@@ -93,7 +93,7 @@
         // A controller that learns of the loss from the hold's record also reads all records again:
         // its replica may mix the lost history with changes of the history that replaced it.
         let mut events = Vec::new();
-        let replica_before_loss = self.cluster.state_store.forget_history(&mut events);
+        let replica_before_loss = self.cluster.state_store.discard_history(&mut events);
         self.on_state_store_events(events);
         if let Some(hold) = &mut self.data_loss.hold {
             // Records were lost again during the hold. The replica from before the first loss is
--- a/src/controller/monitoring.rs
+++ b/src/controller/monitoring.rs
@@ -209,7 +209,7 @@
     /// and none of their tasks starts.
     fn check_unknown_dependencies(&mut self) {
         let replica = &self.cluster.state_store.replica;
-        let waiting = replica.waiting_for_unknown();
+        let waiting = replica.waiting_for_missing_dependency();
         let count = waiting.len();
         if count > self.monitoring.jobs_with_unknown_dependencies {
             let first = waiting.first().map_or("", |job| job.as_str());
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -44,7 +44,10 @@
         }
         let jobs = [
             (WAITING_FOR_DEPENDENCIES, replica.pipelines.waiting().len()),
-            (WAITING_FOR_UNKNOWN, replica.waiting_for_unknown().len()),
+            (
+                WAITING_FOR_UNKNOWN,
+                replica.waiting_for_missing_dependency().len(),
+            ),
         ];
         for (line, count) in jobs {
             if count > 0 {
--- a/src/state_store.rs
+++ b/src/state_store.rs
@@ -7,8 +7,8 @@
 //!
 //! Two rules make the client safe:
 //! - A commit without a response has an *unknown* outcome. The client retries it unchanged,
-//!   with the same conditions, until the response is definite. A delayed duplicate then
-//!   fails its conditions and changes nothing.
+//!   with the same conditions, until the response is definite or the commit's deadline passes. A
+//!   delayed duplicate of a committed attempt fails its conditions and changes nothing.
 //! - `read_at` is the send time of the last completed read of all changes up to "now", and
 //!   `renewed_at` is the send time of the last successful lease renewal. Both times are
 //!   earlier than the moment for which the response holds.
@@ -78,7 +78,8 @@
     Changed(Vec<Key>),
     /// The replica was reloaded in full.
     Loaded,
-    /// A read barrier completed: the replica contains every commit made before it was sent.
+    /// A read barrier completed: the replica contains every commit made before the barrier was
+    /// sent.
     BarrierCompleted {
         /// Send time of the barrier.
         sent_at: Micros,
@@ -182,7 +183,8 @@
         self.barrier.request();
     }
 
-    /// Sends the calls that are due. Returns them and the latest time of the next pump.
+    /// Returns the calls that are due, which the caller sends, and the latest time of the next
+    /// pump.
     #[must_use]
     pub fn pump(
         &mut self,
@@ -315,16 +317,16 @@
 
     /// Discards the known history after the state service lost it: reloads all records,
     /// requests a new owner lease, releases the leader lease and refuses the queued commits,
-    /// which were meant for the old history. Returns the replica of the old history.
+    /// whose conditions refer to the old history. Returns the replica of the old history.
     #[must_use]
-    pub fn forget_history(&mut self, events: &mut Vec<StateStoreEvent>) -> Replica {
+    pub fn discard_history(&mut self, events: &mut Vec<StateStoreEvent>) -> Replica {
         // Late responses to these calls would mix the old history with the new one.
         self.calls.abandon_all_but_commits();
         self.long_poll.reset(self.pumped_at);
         self.barrier.reset(self.pumped_at);
         self.loader.restart(0);
-        self.freshness.forget_reads();
-        self.history.forget();
+        self.freshness.discard_reads();
+        self.history.discard();
         self.owner_lease.request_new();
         self.leader_lease.release();
         self.commits.refuse_all(events);
--- a/src/state_store/authority.rs
+++ b/src/state_store/authority.rs
@@ -51,7 +51,7 @@
     }
 
     /// Discards the time of the last completed read.
-    pub(super) fn forget_reads(&mut self) {
+    pub(super) fn discard_reads(&mut self) {
         self.read_at = None;
     }
 
--- a/src/state_store/barrier.rs
+++ b/src/state_store/barrier.rs
@@ -38,8 +38,8 @@
     }
 
     /// Whether to send a barrier now; `read_at` is the send time of the last completed read.
-    /// If no barrier is due or outstanding, moves `wake` forward to the time at which the
-    /// next one is due.
+    /// If no barrier is due or outstanding, lowers `wake` to the time at which the next one
+    /// is due.
     #[must_use]
     pub(super) fn is_due(
         &self,
--- a/src/state_store/calls.rs
+++ b/src/state_store/calls.rs
@@ -52,7 +52,7 @@
         WakeTime(at)
     }
 
-    /// Moves the time forward to `at` if `at` is earlier.
+    /// Lowers the time to `at` if `at` is earlier.
     pub(super) fn no_later_than(&mut self, at: Micros) {
         self.0 = self.0.min(at);
     }
--- a/src/state_store/commits.rs
+++ b/src/state_store/commits.rs
@@ -1,7 +1,7 @@
 //! Commits: priority queues, the write rate limit and retries.
 //!
 //! A commit without a response may have been executed. The queue retries it unchanged, with
-//! the same conditions, until the response is definite.
+//! the same conditions, until the response is definite or the commit's deadline passes.
 
 mod pending;
 mod write_rate;
@@ -22,7 +22,7 @@
 
 /// Minimum delay before a commit without a definite response is retried.
 const RETRY_DELAY: Micros = 100 * MILLISECOND;
-/// Upper bound of the jitter added to a retry, so that controllers don't retry in step.
+/// Upper bound of the jitter added to the delay, so that controllers don't retry simultaneously.
 const MAX_RETRY_JITTER: Micros = 150 * MILLISECOND;
 
 /// Commits that have not been sent yet, by priority.
@@ -137,7 +137,7 @@
         calls.post(operation, "/commit".into(), &body, timeout);
     }
 
-    /// Counts a response and adapts the write rate to it.
+    /// Counts a commit as no longer outstanding and adapts the write rate to its response.
     fn on_response(&mut self, result: &Result<Response, CallError>, is_leader: bool) {
         self.in_flight -= 1;
         self.write_rate.on_response(result, is_leader);
--- a/src/state_store/history.rs
+++ b/src/state_store/history.rs
@@ -23,7 +23,7 @@
     /// Whether the next barrier verifies the history because a read failed or a lease
     /// expired.
     verify_next: bool,
-    /// Time from which a barrier verifies the history in any case.
+    /// Time from which a barrier verifies the history even if `verify_next` is false.
     verify_at: Micros,
 }
 
@@ -68,8 +68,8 @@
         if is_disabled(Safeguard::KnownHistory) {
             return None;
         }
-        // The state service itself reported the revision that was requested from, so even a
-        // late response can't have a lower revision.
+        // The revision after which the changes were requested came from the state service itself,
+        // so even a late response can't have a lower revision.
         let expected = watch.expected.as_ref();
         let seen = expected.map_or(watch.from, RecentChanges::reached);
         if answer.revision < seen {
@@ -120,7 +120,7 @@
     }
 
     /// Discards the known changes.
-    pub(super) fn forget(&mut self) {
+    pub(super) fn discard(&mut self) {
         self.recent = Some(RecentChanges::default());
     }
 }
--- a/src/state_store/lease.rs
+++ b/src/state_store/lease.rs
@@ -14,7 +14,7 @@
 //! | any       | `release`            | Released                                      |
 //! | any       | `request_new`        | Requested, at once                            |
 //!
-//! A response that arrives in any other state than the one that waits for it is ignored.
+//! A response is ignored if it arrives in a state that doesn't wait for it.
 
 use salttiller_records::units::{subtract_drift, Micros, MILLISECOND};
 
--- a/src/state_store/loader.rs
+++ b/src/state_store/loader.rs
@@ -15,7 +15,7 @@
 /// Minimum delay before the read restarts after a failed page.
 const RETRY_DELAY: Micros = 300 * MILLISECOND;
 /// Upper bound of the jitter added to the delay, so that controllers don't restart their reads
-/// in step.
+/// simultaneously.
 const MAX_RETRY_JITTER: Micros = 200 * MILLISECOND;
 
 /// A completed full read.
--- a/src/state_store/pipelines.rs
+++ b/src/state_store/pipelines.rs
@@ -51,9 +51,9 @@
 pub struct Pipelines {
     /// Open jobs by the dependency that they name.
     dependents: BTreeMap<String, BTreeSet<String>>,
-    /// Jobs that are open on record and wait for dependencies.
+    /// Jobs whose record is open and that wait for dependencies.
     waiting: BTreeSet<String>,
-    /// Jobs that are open on record but cancelled along with a dependency.
+    /// Jobs whose record is open although they are cancelled along with a dependency.
     cancelled_upstream: BTreeSet<String>,
     /// Jobs to which a change has not been propagated yet.
     unpropagated: BTreeSet<String>,
@@ -67,7 +67,7 @@
         &self.waiting
     }
 
-    /// Jobs that are cancelled along with a dependency and still open on record.
+    /// Jobs that are cancelled along with a dependency and whose record is still open.
     pub fn cancelled_upstream(&self) -> &BTreeSet<String> {
         &self.cancelled_upstream
     }
@@ -129,7 +129,7 @@
         readiness
     }
 
-    /// Removes an open job from the index. Returns the readiness that the job had there.
+    /// Removes an open job from the index. Returns the readiness under which the job was indexed.
     pub fn remove(&mut self, id: &str, spec: &JobSpec) -> Readiness {
         for dependency in &spec.dependencies {
             if let Some(dependents) = self.dependents.get_mut(dependency) {
--- a/src/state_store/pipelines/propagation.rs
+++ b/src/state_store/pipelines/propagation.rs
@@ -25,7 +25,7 @@
     ) -> Option<Rc<JobSpec>> {
         let stored = spec.stored_spec.as_ref().unwrap_or(spec);
         if stored.dependencies.is_empty() && !self.dependents.contains_key(id) {
-            // The job has no dependents any more, so the stored spec applies.
+            // The job has neither dependencies nor dependents, so the stored spec applies.
             return spec.stored_spec.clone();
         }
         let mut effective = JobSpec::clone(stored);
@@ -56,7 +56,7 @@
         effective.submitted_at = ready_at;
     }
 
-    /// Raises the priority of a job and moves its deadline forward as its dependents require.
+    /// Raises the priority of a job and shortens its deadline as its dependents require.
     fn inherit_from_dependents(&self, effective: &mut JobSpec, id: &str, jobs: &impl JobRecords) {
         for dependent in self.dependents(id) {
             let record = self.record(dependent, jobs);
--- a/src/state_store/pipelines/tests.rs
+++ b/src/state_store/pipelines/tests.rs
@@ -125,15 +125,15 @@
 }
 
 /// Guards against a job that starts although one of its dependencies has no record. The job
-/// waits and is listed among those that wait for unknown jobs.
+/// waits and is listed among the jobs that wait for a missing dependency.
 #[test]
 fn a_job_waits_for_a_dependency_without_a_record() {
     let mut records = Records::default();
     records.open("2", &["1"], json!({}));
     assert_eq!(records.states(&["1", "2"]), "-w");
-    assert_eq!(records.replica.waiting_for_unknown(), ["2"]);
+    assert_eq!(records.replica.waiting_for_missing_dependency(), ["2"]);
     records.done("1", 5);
-    assert!(records.replica.waiting_for_unknown().is_empty());
+    assert!(records.replica.waiting_for_missing_dependency().is_empty());
 }
 
 /// Guards against dependencies of an urgent job that keep their own low priority, and against
@@ -170,7 +170,7 @@
         (s.submitted_at, s.deadline),
         (150_000_000, Some(245_000_000))
     );
-    // Job 3 is cancelled, so no job inherits from it any more.
+    // Job 3 is cancelled, so no job inherits from it.
     records.cancelled("3");
     let s = spec(&records, "2");
     assert_eq!((s.priority, s.deadline), (Priority::Low, None));
--- a/src/state_store/rate_limiter.rs
+++ b/src/state_store/rate_limiter.rs
@@ -8,8 +8,8 @@
 /// Minimum capacity, so that a bucket with a very low rate still allows two calls in a row.
 const MIN_CAPACITY: f64 = 2.0;
 
-/// A bucket of tokens that is refilled at a fixed rate and holds the tokens of one second at
-/// most, or [`MIN_CAPACITY`] if that is more.
+/// A bucket of tokens. Its capacity is the number of tokens of one second at the initial rate, but
+/// at least [`MIN_CAPACITY`].
 #[derive(Debug)]
 pub(super) struct TokenBucket {
     /// Tokens per second.
--- a/src/state_store/replica.rs
+++ b/src/state_store/replica.rs
@@ -107,7 +107,7 @@
     pub quotas: BTreeMap<String, Versioned<QuotaRecord>>,
     /// Machine types.
     pub machine_types: BTreeMap<String, Versioned<MachineType>>,
-    /// Ready jobs that are gangs spread over several regions.
+    /// Ready jobs that are gangs bound to several regions.
     pub multi_region_gangs: BTreeSet<String>,
     /// Machine records that can't be read. While there are any, the known machines may be
     /// incomplete.
--- a/src/state_store/replica/apply.rs
+++ b/src/state_store/replica/apply.rs
@@ -165,7 +165,7 @@
         self.add_to_indexes(job);
         written?;
         self.update_dependents(job);
-        // The dependencies of a job that has ended inherit nothing from it any more.
+        // The dependencies of a job no longer inherit from the job once it has ended.
         if self.open_spec(job).is_none() {
             for dependency in dependencies {
                 self.propagate(&dependency);
--- a/src/state_store/replica/jobs.rs
+++ b/src/state_store/replica/jobs.rs
@@ -23,13 +23,14 @@
 }
 
 impl Replica {
-    /// Stage of a job: cancelled if a dependency is, otherwise the stage on record.
+    /// Stage of a job: cancelled if the job is cancelled along with a dependency, otherwise the
+    /// stage in its record.
     pub fn stage(&self, id: &str) -> Option<JobStage> {
-        let on_record = self.jobs.get(id)?.value.stage;
+        let recorded_stage = self.jobs.get(id)?.value.stage;
         if self.pipelines.cancelled_upstream().contains(id) {
             return Some(JobStage::Cancelled);
         }
-        Some(on_record)
+        Some(recorded_stage)
     }
 
     /// Whether all dependencies of a job are done.
@@ -52,15 +53,15 @@
     }
 
     /// Jobs that wait for a dependency without a record.
-    pub fn waiting_for_unknown(&self) -> Vec<&String> {
-        let needs_unknown = |id: &&String| {
+    pub fn waiting_for_missing_dependency(&self) -> Vec<&String> {
+        let lacks_dependency = |id: &&String| {
             self.open_spec(id).is_some_and(|spec| {
                 let mut dependencies = spec.dependencies.iter();
                 dependencies.any(|dependency| !self.jobs.contains_key(dependency))
             })
         };
         let waiting = self.pipelines.waiting().iter();
-        waiting.filter(needs_unknown).collect()
+        waiting.filter(lacks_dependency).collect()
     }
 
     /// Jobs whose effective spec changed because of another job's record, since the last call.
@@ -119,7 +120,7 @@
             return true;
         }
         if self.ready_jobs.contains(dependent) {
-            log::debug!("job={dependent}: ready, {ended} was the last job that it needs");
+            log::debug!("job={dependent}: ready, its last dependency {ended} is done");
             self.propagate(dependent);
         }
         false
