--- a/src/state_store/replica/jobs.rs
+++ b/src/state_store/replica/jobs.rs
@@ -120,7 +120,7 @@
             return true;
         }
         if self.ready_jobs.contains(dependent) {
-            log::debug!("job={dependent}: ready, its last dependency {ended} is done");
+            log::debug!("job={dependent}: ready, {ended} was the last job that it needs");
             self.propagate(dependent);
         }
         false
