--- a/src/leader.rs
+++ b/src/leader.rs
@@ -101,7 +101,7 @@
     pub fn new(version: u64, context: &SchedulingContext<'_>) -> Self {
         let mut constrained_types = ConstrainedTypes::default();
         for (_, _, spec) in context.replica.open_jobs() {
-            constrained_types.note(spec, context.replica, context.now);
+            constrained_types.record_job(spec, context.replica, context.now);
         }
         Leader {
             term: Term::new(version, context.now),
--- a/src/leader/binding.rs
+++ b/src/leader/binding.rs
@@ -78,7 +78,7 @@
     ) -> Option<JobRecord> {
         let spec = &job.spec;
         self.constrained_types
-            .note(spec, context.replica, context.now);
+            .record_job(spec, context.replica, context.now);
         let only_type = only_fitting_type(spec, context.replica);
         let flexibility = Flexibility::of(only_type.as_deref());
         if flexibility == Flexibility::Flexible {
--- a/src/leader/plan.rs
+++ b/src/leader/plan.rs
@@ -128,7 +128,7 @@
                 let job = UnplacedJob::from_report(pending, report, is_suspect, context);
                 if let Some(job) = &job {
                     self.constrained_types
-                        .note(&job.spec, context.replica, context.now);
+                        .record_job(&job.spec, context.replica, context.now);
                 }
                 waiting.extend(job);
             }
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -27,8 +27,8 @@
     share.copied().unwrap_or_default()
 }
 
-/// Sets the region's share to `target`, or to the part of it that the limit allows beside the
-/// shares of the other regions. Returns `None` if the share does not change.
+/// Returns the change that sets the region's share to `target`, or to the part of `target` that the
+/// limit leaves after the shares of the other regions. Returns `None` if the share does not change.
 #[must_use]
 pub fn with_share(
     record: Option<&QuotaRecord>,
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -7,6 +7,7 @@
     QuotaAmount { cpus, gpus }
 }
 
+/// Guards against accepting a job that is larger than its team's limit and so can never run.
 #[test]
 fn jobs_larger_than_the_limit_never_fit() {
     for (kind, tasks, each, fits) in [
--- a/src/region.rs
+++ b/src/region.rs
@@ -236,8 +236,8 @@
         self.inventory.assignment_mut(machine, id, task)
     }
 
-    /// Runs the upkeep if it is due, and places pending tasks. Returns the monotonic time of
-    /// the next call.
+    /// Runs the upkeep if it is due, and places pending tasks. Returns the monotonic time at which
+    /// the next call is due.
     pub fn tick(&mut self, context: &SchedulingContext<'_>) -> Micros {
         if context.now >= self.next_upkeep_at {
             self.next_upkeep_at = context.now + UPKEEP_INTERVAL;
--- a/src/region/constrained_types.rs
+++ b/src/region/constrained_types.rs
@@ -39,7 +39,7 @@
 impl ConstrainedTypes {
     /// Records the demand of a job if the job is constrained. Returns whether the capacity to
     /// reserve has changed.
-    pub fn note(&mut self, spec: &JobSpec, replica: &Replica, now: Micros) -> bool {
+    pub fn record_job(&mut self, spec: &JobSpec, replica: &Replica, now: Micros) -> bool {
         let Some(machine_type) = only_fitting_type(spec, replica) else {
             return false;
         };
--- a/src/region/context.rs
+++ b/src/region/context.rs
@@ -31,7 +31,7 @@
 impl SchedulingContext<'_> {
     /// Whether no task of a job may run any more: the job has ended, has been reported
     /// cancelled, or has no record.
-    pub(super) fn is_job_over(&self, id: &str) -> bool {
+    pub(super) fn has_job_ended(&self, id: &str) -> bool {
         let stage = self.replica.stage(id);
         stage != Some(JobStage::Open) || self.reported_cancelled.contains(id)
     }
--- a/src/region/failure_attribution.rs
+++ b/src/region/failure_attribution.rs
@@ -20,10 +20,10 @@
 const MIN_SUSPECT_MACHINES: usize = 3;
 /// Maximum number of failed machines kept for a job: enough to retry the job on others.
 const MAX_FAILED_MACHINES: usize = 32;
-/// Maximum backoff between attempts of a job. Must stay below 90 s, the longest time for which
-/// a job may be pending while a machine has free capacity for it.
+/// Maximum backoff between attempts of a job. The value must stay below 90 s, the longest time for
+/// which a job may be pending while a machine has free capacity for it.
 const MAX_BACKOFF: Micros = 30 * SECOND;
-/// Maximum backoff of a suspect job. Longer than [`MAX_BACKOFF`], since attempts of a suspect
+/// Maximum backoff of a suspect job. The value exceeds [`MAX_BACKOFF`], since attempts of a suspect
 /// job fail only after some run time.
 const MAX_SUSPECT_BACKOFF: Micros = 40 * SECOND;
 /// Number of failures after which the backoff stops doubling.
@@ -42,8 +42,8 @@
     /// The failures are not attributed to the job.
     #[default]
     Healthy,
-    /// The job failed on every machine where it ran. The job is retried at intervals, one task or
-    /// one gang at a time.
+    /// The job failed on several machines without a result. The job is retried at intervals: an
+    /// array with one task at a time, a gang as a whole.
     Suspect,
 }
 
@@ -144,7 +144,8 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return 0;
         };
-        // A service never has results, so a suspect service could never become healthy again.
+        // A service counts as having results, so it never becomes suspect: a service produces no
+        // results, and a suspect job becomes healthy again only with a result.
         let has_results = job.spec.kind == JobKind::Service
             || !job.tasks.done().is_empty()
             || context.replica.progress.contains_key(&**id);
--- a/src/region/failure_attribution/tests.rs
+++ b/src/region/failure_attribution/tests.rs
@@ -31,7 +31,7 @@
     ] {
         let mut cluster = TestCluster::new(6);
         cluster.submit("req-1", kind, "red", tasks, cpus, 2 * SECOND);
-        cluster.broken.insert("req-1".into());
+        cluster.failing_jobs.insert("req-1".into());
         run_for(&mut cluster, 3, 300);
         let starts = cluster.starts["req-1"];
         assert!(
@@ -47,7 +47,7 @@
     }
     // Several jobs, all with results on other machines, fail on one machine.
     let mut cluster = TestCluster::new(6);
-    cluster.faulty.insert("m-3".into());
+    cluster.faulty_machines.insert("m-3".into());
     for i in 0..6 {
         cluster.submit(&format!("req-{i}"), "a", "red", 8, 2_000_000, 2 * SECOND);
     }
@@ -67,9 +67,9 @@
 fn faulty_machine_is_cordoned_despite_suspect_job() {
     let mut cluster = TestCluster::new(6);
     cluster.submit("req-1", "a", "red", 30, 1_000_000, 2 * SECOND);
-    cluster.broken.insert("req-1".into());
+    cluster.failing_jobs.insert("req-1".into());
     let now = run_for(&mut cluster, 3, 40);
-    cluster.faulty.insert("m-2".into());
+    cluster.faulty_machines.insert("m-2".into());
     for i in 2..8 {
         cluster.submit(&format!("req-{i}"), "a", "red", 8, 2_000_000, now * SECOND);
     }
@@ -77,16 +77,16 @@
     assert_eq!(cordoned(&cluster), ["m-2"]);
 }
 
-/// Guards against a large failing job that keeps taking machines from other jobs. A suspect job
-/// ranks after all others, requests capacity for one task at most, and runs completely once a
-/// retry succeeds. With the safeguard disabled it keeps taking machines.
+/// Guards against a large failing job that keeps occupying machines that other jobs need. A suspect
+/// job ranks after all others, requests capacity for one task at most, and runs completely once a
+/// retry succeeds. With the safeguard disabled, the job keeps occupying machines.
 #[test]
 fn suspect_job_does_not_delay_others() {
     let simulate = |disabled: Option<Safeguard>| {
         crate::fault_injection::disable(disabled);
         let mut cluster = TestCluster::new(4);
         cluster.submit("req-1", "a", "red", 400, 2_000_000, 2 * SECOND);
-        cluster.broken.insert("req-1".into());
+        cluster.failing_jobs.insert("req-1".into());
         let now = run_for(&mut cluster, 3, 60);
         let before = cluster.starts["req-1"];
         for i in 2..10 {
@@ -115,7 +115,7 @@
         "expected a new attempt of one task at most: {suspect:?}"
     );
     // Once its tasks succeed, all tasks of the job are started.
-    cluster.broken.clear();
+    cluster.failing_jobs.clear();
     run_for(&mut cluster, now, 900);
     let started = cluster
         .first_starts
--- a/src/region/gang_state.rs
+++ b/src/region/gang_state.rs
@@ -16,10 +16,10 @@
     has_unbound_part: bool,
     /// The multi-region attempt that was started last; 0 if none.
     last_started_attempt: u64,
-    /// When the local part reached the start barrier: all its tasks are assigned, and the other
-    /// parts are not known to be.
+    /// Time at which the local part reached the start barrier; `None` unless all tasks of the part
+    /// are assigned and wait for the other parts.
     barrier_since: Option<Micros>,
-    /// Whether the gang is restarting, since it lost a task or left the start barrier. The gang is
+    /// Whether the gang is restarting because it lost a task or left the start barrier. The gang is
     /// placed again once no task of it is on a machine.
     is_restarting: bool,
 }
@@ -63,7 +63,7 @@
         !self.is_restarting && !self.has_unbound_part
     }
 
-    /// Takes over from the job's record the attempt and whether a part is unbound. If either
+    /// Updates the attempt and whether a part is unbound from the job's record. If either has
     /// changed, the local part leaves the start barrier.
     pub(super) fn update_from_record(&mut self, record: &JobRecord) -> AttemptChange {
         let has_unbound_part = record.task_ranges.iter().any(TaskRange::is_unbound);
@@ -88,7 +88,8 @@
         self.barrier_since.and(self.attempt())
     }
 
-    /// Leaves the start barrier once `timeout` has passed there. Returns whether it left.
+    /// Leaves the start barrier if the local part has been at it for `timeout`. Returns whether the
+    /// local part left the barrier.
     pub(super) fn leave_expired_barrier(&mut self, now: Micros, timeout: Micros) -> bool {
         let is_expired = self
             .barrier_since
--- a/src/region/gangs.rs
+++ b/src/region/gangs.rs
@@ -83,8 +83,9 @@
         false
     }
 
-    /// Releases the reservation of a gang whose local tasks are all assigned. The tasks of a
-    /// gang over several regions then stay at the start barrier until its timeout.
+    /// Releases the reservation of a gang whose local tasks are all assigned. The tasks of a gang
+    /// over several regions then wait at the start barrier until all parts are at it, or until the
+    /// barrier times out.
     fn on_gang_assigned(
         &mut self,
         id: &JobId,
@@ -122,7 +123,7 @@
             return;
         };
         let id = id.clone();
-        if job.gang.attempt_at_barrier() != Some(attempt) || job.is_over {
+        if job.gang.attempt_at_barrier() != Some(attempt) || job.has_ended {
             return;
         }
         log::info!(
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Takes the local part of a multi-region gang off the start barrier once the barrier has
+    /// Removes the local part of a multi-region gang from the start barrier once the barrier has
     /// timed out. Guards against holding capacity forever for a gang of which another part is
     /// never placed.
     pub(super) fn leave_expired_barrier(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
@@ -161,9 +162,9 @@
         self.restart_gang(id, context);
     }
 
-    /// Restarts a gang that lost a task or left its start barrier: takes its remaining tasks off
-    /// their machines. The gang is placed again as a whole, under a new attempt, once its last task
-    /// has left its machine.
+    /// Restarts a gang that lost a task or left its start barrier: withdraws its undispatched tasks
+    /// and stops the others. The gang is placed again as a whole, under a new attempt, once its
+    /// last task has left its machine.
     pub(super) fn restart_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/src/region/hand_over.rs
+++ b/src/region/hand_over.rs
@@ -1,6 +1,6 @@
-//! Hand-over of pending tasks to another region.
+//! Handover of pending tasks to another region.
 //!
-//! The leader requests a hand-over. The region to which the tasks are bound commits the new
+//! The leader requests a handover. The region to which the tasks are bound commits the new
 //! binding to the job's record.
 
 use salttiller_records::key::Key;
@@ -33,7 +33,7 @@
         let Some(record) = context.replica.jobs.get(&*id) else {
             return;
         };
-        if job.is_over || job.commit_in_flight || to == self.name || context.is_job_over(&id) {
+        if job.has_ended || job.commit_in_flight || to == self.name || context.has_job_ended(&id) {
             return;
         }
         let Some(tasks) = tasks_to_hand_over(job, count) else {
--- a/src/region/hand_over/tests.rs
+++ b/src/region/hand_over/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the task ranges in job records after a hand-over.
+//! Tests of the task ranges in job records after a handover.
 
 use super::*;
 
@@ -9,10 +9,10 @@
         .collect()
 }
 
-/// A hand-over rebinds only tasks of the region that hands them over, and adjacent ranges of
-/// one region are merged.
+/// Guards against a handover that rebinds tasks of other regions. A handover rebinds only tasks of
+/// the region that hands them over, and adjacent ranges of one region are merged.
 #[test]
-fn hand_over_moves_only_tasks_of_former_region() {
+fn handover_moves_only_tasks_of_former_region() {
     let before = ranges(&[(0, 4, "t-0"), (4, 6, "t-1"), (6, 8, "t-0")]);
     for (tasks, after) in [
         (
--- a/src/region/heartbeat_outcome.rs
+++ b/src/region/heartbeat_outcome.rs
@@ -7,7 +7,8 @@
 pub enum HeartbeatOutcome {
     /// The heartbeat is answered with status 200 and these commands.
     Accepted(Vec<Command>),
-    /// The heartbeat is late or repeated. It has no effect and is not answered with status 200.
+    /// The heartbeat is late or repeated. Such a heartbeat has no effect and is not answered with
+    /// status 200.
     Stale,
     /// The machine has seen a higher fencing token than this owner's.
     Superseded,
--- a/src/region/interruption.rs
+++ b/src/region/interruption.rs
@@ -37,13 +37,13 @@
                 let Some(job) = self.jobs.get(id) else {
                     continue;
                 };
-                // The stop is sent in the answer to the machine's next heartbeat. The other
-                // tasks of a gang receive theirs with the heartbeats of their own machines.
+                // The stop is sent in the answer to the machine's next heartbeat. The other tasks
+                // of a gang are stopped in the answers to the heartbeats of their own machines.
                 let needed = job.spec.checkpoint_time
                     + 2 * context.settings.heartbeat_interval
                     + CHECKPOINT_MARGIN;
                 if can_checkpoint(&job.spec)
-                    && !job.is_over
+                    && !job.has_ended
                     && interruption_at < context.now + needed
                 {
                     due.insert(id.clone());
@@ -54,7 +54,7 @@
     }
 
     /// Stops a job's tasks with a grace period for a checkpoint. A gang is stopped as a whole,
-    /// since it can only checkpoint as a whole. Of other jobs, the tasks on machines that
+    /// since it can only checkpoint as a whole. For any other job, only the tasks on machines that
     /// `is_affected` selects are stopped.
     pub(super) fn stop_with_checkpoint(
         &mut self,
--- a/src/region/job.rs
+++ b/src/region/job.rs
@@ -21,7 +21,7 @@
     pub(super) spec: Rc<JobSpec>,
     pub(super) tasks: JobTasks,
     /// Whether the job has ended: no task of it may run and no result needs to be recorded.
-    pub(super) is_over: bool,
+    pub(super) has_ended: bool,
     /// Time at which a task of the job was last assigned to a machine, or the job was bound to
     /// the region.
     pub(super) last_assigned_at: Micros,
@@ -46,7 +46,7 @@
         Job {
             spec: spec.clone(),
             tasks: JobTasks::new(now),
-            is_over: false,
+            has_ended: false,
             last_assigned_at: now,
             not_before: 0,
             failures: JobFailures::default(),
@@ -77,7 +77,7 @@
 
     /// Ends the job: no task is started and no result is recorded any more.
     pub(super) fn end(&mut self) {
-        self.is_over = true;
+        self.has_ended = true;
         self.tasks.end();
     }
 
--- a/src/region/job_lifecycle.rs
+++ b/src/region/job_lifecycle.rs
@@ -41,7 +41,7 @@
         if let Some(spec) = record.spec.as_ref().or(known_spec) {
             self.queue.team_changed(&spec.team);
         }
-        if context.is_job_over(id) {
+        if context.has_job_ended(id) {
             if let Some(id) = known_id {
                 self.end_job(&id, context);
             }
@@ -75,7 +75,9 @@
 
     /// Reserves capacity of a machine type if the job fits on no other type.
     fn reserve_constrained_type(&mut self, spec: &JobSpec, context: &SchedulingContext<'_>) {
-        let changed = self.inventory.note_job(spec, context.replica, context.now);
+        let changed = self
+            .inventory
+            .record_job(spec, context.replica, context.now);
         if changed {
             self.update_reserved_capacity(context);
         }
@@ -182,7 +184,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        if job.spec.kind == JobKind::Gang && !job.is_over && !job.tasks.on_machines().is_empty() {
+        if job.spec.kind == JobKind::Gang && !job.has_ended && !job.tasks.on_machines().is_empty() {
             self.restart_gang(id, context);
         }
         self.clean_up_if_inactive(id);
@@ -199,7 +201,7 @@
             return;
         }
         job.gang.on_all_tasks_left();
-        if !job.is_over && !job.tasks.bound().is_empty() {
+        if !job.has_ended && !job.tasks.bound().is_empty() {
             return;
         }
         if let Some(key) = job.queue_key.take() {
--- a/src/region/machine.rs
+++ b/src/region/machine.rs
@@ -25,11 +25,12 @@
 /// State of a machine as derived from its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// The machine has not sent a heartbeat under this ownership's fencing token yet.
+    /// The machine has not sent a heartbeat under the current fencing token yet.
     Provisioning,
-    /// The machine has sent a heartbeat under this ownership's fencing token.
+    /// The machine has sent a heartbeat under the current fencing token.
     Ready,
-    /// The machine has sent no heartbeat for longer than its lease, so it runs no task.
+    /// The machine runs no task: it has sent no heartbeat for longer than its lease, or the cloud
+    /// has confirmed that it no longer exists.
     LeaseExpired,
 }
 
@@ -70,7 +71,7 @@
 }
 
 /// A machine with its record, its tasks and the state derived from its heartbeats. All times
-/// are times of the steady clock.
+/// are monotonic times.
 #[derive(Debug)]
 pub(super) struct Machine {
     pub(super) record: MachineRecord,
@@ -84,7 +85,7 @@
     /// The machine's current entry in the machine index.
     pub(super) index_entry: IndexEntry,
     pub(super) state: MachineState,
-    /// Newest heartbeat under this ownership's fencing token.
+    /// Newest heartbeat under the current fencing token.
     pub(super) last_heartbeat: HeartbeatId,
     /// Time at which this owner last answered a heartbeat, or the last time at which a former
     /// owner may have answered one. The machine's lease starts at this time at the latest.
@@ -207,8 +208,8 @@
             && self.capacity != Resources::ZERO
     }
 
-    /// Whether a task on the machine justifies its cost. In a pool with reserved capacity
-    /// (`reserved`) only tasks of constrained jobs do, in any other pool all tasks.
+    /// Whether any task on the machine justifies the machine's cost. In a pool with reserved
+    /// capacity (`reserved`), only tasks of constrained jobs do; in any other pool, all tasks do.
     pub(super) fn justifies_its_cost(&self, reserved: bool) -> bool {
         self.tasks
             .values()
@@ -225,7 +226,7 @@
         matches!(self.reachability, Reachability::Unreachable { .. })
     }
 
-    /// Whether the machine has sent no heartbeat under this ownership's fencing token.
+    /// Whether the machine has sent no heartbeat under the current fencing token.
     pub(super) fn has_never_reported(&self) -> bool {
         self.last_heartbeat == HeartbeatId::NONE
     }
@@ -290,9 +291,9 @@
         }
     }
 
-    /// Applies a newer heartbeat under the current token. Returns whether the worker's session
-    /// restarted although its heartbeats had been answered without a gap, which shows that the
-    /// answers do not reach the machine.
+    /// Applies a newer heartbeat under the current token. Returns whether the worker began a
+    /// new incarnation although its heartbeats had been answered without a gap, which shows that
+    /// the answers do not reach the machine.
     pub(super) fn record_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
--- a/src/region/machine_checks.rs
+++ b/src/region/machine_checks.rs
@@ -18,7 +18,8 @@
 pub(super) const MIN_BILLED_AGE: Micros = 50 * SECOND;
 /// Margin after the end of a lease before the lease counts as expired.
 const LEASE_MARGIN: Micros = SECOND;
-/// Time after its lease expired during which a machine may still report before it is released.
+/// Time after the expiry of its lease during which a machine may still report before it is
+/// released.
 const EXPIRED_LEASE_GRACE: Micros = 5 * SECOND;
 /// Minimum time between two checks of a machine.
 const MIN_CHECK_INTERVAL: Micros = SECOND / 2;
@@ -96,7 +97,7 @@
 struct CheckPass<'a> {
     context: &'a SchedulingContext<'a>,
     /// Whether most machines send heartbeats. If they do not, this controller is probably at
-    /// fault. Computed on first use, since most passes find every machine alive.
+    /// fault. The value is computed on first use, since most passes find every machine alive.
     most_report: OnceCell<bool>,
 }
 
@@ -302,8 +303,8 @@
                 return CheckOutcome::Release(CordonReason::Idle);
             }
             // Guards against keeping a large machine of a reserved pool only for small flexible
-            // tasks that filled the capacity beside a large task. Draining it keeps further
-            // flexible tasks away.
+            // tasks that used the capacity left free by a large task. Draining prevents further
+            // flexible tasks from being assigned to the machine.
             if machine.cordoned.is_none() {
                 log::debug!(
                     "region={} machine={name}: draining, only flexible tasks left",
--- a/src/region/machine_inventory.rs
+++ b/src/region/machine_inventory.rs
@@ -26,7 +26,7 @@
 use crate::worker_protocol::Heartbeat;
 
 /// Delay of the first check of a new machine.
-const FIRST_CHECK_AFTER: Micros = 2 * SECOND;
+const FIRST_CHECK_DELAY: Micros = 2 * SECOND;
 
 /// The region's machines and their indexes.
 #[derive(Debug, Default)]
@@ -148,7 +148,7 @@
                 .insert((machine.last_heartbeat_at, shared.clone()));
         }
         self.machines.insert(shared, machine);
-        self.schedule_check(name, now + FIRST_CHECK_AFTER);
+        self.schedule_check(name, now + FIRST_CHECK_DELAY);
         self.reindex(name);
     }
 
@@ -206,8 +206,8 @@
     /// Records a job's demand if the job is constrained. Returns whether the capacity to reserve
     /// has changed.
     #[must_use]
-    pub(super) fn note_job(&mut self, spec: &JobSpec, replica: &Replica, now: Micros) -> bool {
-        self.constrained_types.note(spec, replica, now)
+    pub(super) fn record_job(&mut self, spec: &JobSpec, replica: &Replica, now: Micros) -> bool {
+        self.constrained_types.record_job(spec, replica, now)
     }
 
     /// Updates the capacity reserved for recent constrained jobs. Returns whether it changed.
--- a/src/region/machine_records.rs
+++ b/src/region/machine_records.rs
@@ -19,8 +19,8 @@
 
 /// Share of the state service's write rate that activations of all regions may use.
 const ACTIVATION_WRITE_SHARE: f64 = 0.4;
-/// Share of the state service's write rate that removals of all regions may use. Nothing waits
-/// for removals.
+/// Share of the state service's write rate that removals of all regions may use. No task
+/// waits for a removal; only a handover of the region does.
 const REMOVAL_WRITE_SHARE: f64 = 0.1;
 /// Number of booting machines from which machines are activated before their first heartbeat.
 const MIN_BOOTING_FOR_EARLY_ACTIVATION: usize = 40;
@@ -102,7 +102,7 @@
 }
 
 /// Time after its assignment at which a machine is activated ahead of its first heartbeat: two
-/// fifths of its boot time, so that the commit ends before the first of many machines are up.
+/// fifths of its boot time, so that the commit ends before the first of many machines have booted.
 fn early_activation_delay(boot_time: Micros) -> Micros {
     boot_time * 2 / 5
 }
@@ -135,7 +135,7 @@
 
     /// Requests the activation of machines before their first heartbeat while so many are booting
     /// that separate activations would exceed the write rate. The next owner of the region must
-    /// wait for all activated machines, so this is not done for a few machines.
+    /// wait for all activated machines, so a small number of machines is not activated early.
     fn request_early_activations(&mut self, context: &SchedulingContext<'_>) {
         let pools = self.inventory.index().pools();
         let booting: usize = pools.map(|(_, pool)| pool.provisioning.len()).sum();
--- a/src/region/placement.rs
+++ b/src/region/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: assigns pending tasks to machines.
 //!
-//! Placement runs after each event. It considers only the jobs that [`PlacementTriggers`] names,
-//! in queue order, and finds machines through the machine index.
+//! Placement runs after each event. Placement considers only the jobs that the changes recorded in
+//! [`PlacementTriggers`] may affect, in queue order, and finds machines through the machine index.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -91,7 +91,7 @@
 struct MachineRank {
     /// The job is flexible, and constrained jobs need this machine type.
     is_reserved_type: bool,
-    job_failed_there: bool,
+    job_failed_on_machine: bool,
     tasks: u32,
     image_missing: bool,
     /// The job allows spot machines, so the on-demand machine is better left to a job that does
@@ -135,10 +135,10 @@
             .map(|machine| (machine.free(), machine))
             .collect();
         let is_affected = |id: &JobId| {
-            triggers.concerns_all()
-                || triggers.concerns_job(id)
+            triggers.affects_all()
+                || triggers.affects_job(id)
                 || self.jobs.get(id).is_some_and(|job| {
-                    (job.quota_blocked && triggers.concerns_team(&job.spec.team))
+                    (job.quota_blocked && triggers.affects_team(&job.spec.team))
                         || machines
                             .iter()
                             .any(|(free, machine)| fits_on(&job.spec, *free, machine))
@@ -200,7 +200,8 @@
         }
         let is_aged_start = job.queue_key.as_ref().is_some_and(QueueKey::is_aged_start);
         if is_aged_start && !self.queue.allows_aged_start(context.now) {
-            // Another aged job has used the early start: this job keeps its regular rank.
+            // Another aged job has used the current aged start. The trigger makes placement
+            // consider this job again at its regular rank.
             self.triggers.job_changed(id);
             return PlacementStep::Stop;
         }
@@ -223,7 +224,7 @@
         };
         self.transition(id, task, TaskState::Assigned, Some(target), context.now);
         if is_aged_start {
-            // The job's other tasks are served at its regular rank.
+            // The job's other tasks are placed at its regular rank.
             self.queue.record_aged_start(context.now);
             self.triggers.job_changed(id);
             return PlacementStep::Stop;
@@ -273,7 +274,7 @@
                 spec.task_fits_in(free).then(|| MachineRank {
                     is_reserved_type: is_flexible
                         && self.inventory.index().reserved(pool).is_some(),
-                    job_failed_there: job.failures.failed_on(name),
+                    job_failed_on_machine: job.failures.failed_on(name),
                     tasks,
                     image_missing: !machine.has_image(&spec.image),
                     wastes_on_demand: !pool.spot && spec.allows_spot,
@@ -327,7 +328,8 @@
         )
     }
 
-    /// Returns the zones in which a gang could be placed; a single `None` if any zone will do.
+    /// Returns the zones in which a gang could be placed; a single `None` if any zone is
+    /// permitted.
     pub(super) fn candidate_zones(&self, job: &Job) -> Vec<Option<Rc<str>>> {
         if let Some(zone) = job.gang.zone() {
             return vec![Some(Rc::from(zone))];
--- a/src/region/preemption.rs
+++ b/src/region/preemption.rs
@@ -39,7 +39,8 @@
     }
 }
 
-/// Capacity that a job has in a zone, and that preemption could free for it there.
+/// Capacity for a job in a zone: the capacity that is already free, and the capacity that
+/// preemption could free.
 #[derive(Debug, Default)]
 struct PreemptionOptions {
     /// Number of tasks that can be placed without preemption, or on machines where tasks are
@@ -64,8 +65,8 @@
 type Victims = BTreeMap<JobId, BTreeSet<Rc<str>>>;
 
 impl PreemptionOptions {
-    /// Returns the victims on the machines with the least cost, as many as give capacity for the
-    /// job; `None` if no preemption is needed or none would help.
+    /// Returns the victims on the machines with the least cost, as many as the job's tasks need;
+    /// `None` if no preemption is needed or none would help.
     fn cheapest_victims(mut self, preemptor: &Preemptor<'_>) -> Option<Victims> {
         let tasks = preemptor.tasks;
         let gain: u64 = self.candidates.iter().map(|c| c.gain).sum();
@@ -214,8 +215,8 @@
         let Preemptor { id, job, .. } = preemptor;
         pool.permits(&job.spec)
             && !(job.is_flexible() && pool_index.reserved.is_some())
-            // Guards against stopping tasks over and over for a job that may not use the freed
-            // capacity, because it is reserved for another.
+            // Guards against repeatedly stopping tasks for a job that may not use the freed
+            // capacity, because that capacity is reserved for another job.
             && !self.is_reserved_for_another(id, job, pool, pool_index, context)
     }
 
@@ -258,11 +259,11 @@
         };
         let is_beyond_guarantee = !self.queue.is_guaranteed(id, &job.spec);
         let is_guaranteed = preemptor.is_guaranteed;
-        !job.is_over
+        !job.has_ended
             && job.spec.kind != JobKind::Service
             // Guards against preempting a job within its team's guarantee for one of higher
-            // priority beyond a guarantee: the first has the better queue rank, so it would take
-            // the freed capacity and be preempted again, over and over.
+            // priority beyond a guarantee: the guaranteed job has the better queue rank, so it
+            // would take the freed capacity and be preempted repeatedly.
             && (is_guaranteed || is_beyond_guarantee)
             && (has_lower_priority(&job.spec, &preemptor.job.spec)
                 || (is_guaranteed
--- a/src/region/progress.rs
+++ b/src/region/progress.rs
@@ -32,13 +32,13 @@
         // state service contains the last task's progress followed by the cancellation, the
         // replica already shows the cancelled record with its revision when the progress event
         // is handled, so a condition on that revision would not prevent the overwrite.
-        if context.is_job_over(id) {
+        if context.has_job_ended(id) {
             return;
         }
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        if job.commit_in_flight || job.is_over || job.spec.kind == JobKind::Service {
+        if job.commit_in_flight || job.has_ended || job.spec.kind == JobKind::Service {
             return;
         }
         let mut done = context.replica.done_tasks(id);
--- a/src/region/queue.rs
+++ b/src/region/queue.rs
@@ -13,18 +13,18 @@
 
 use super::job::Job;
 use super::objectives::latest_start;
-use super::reservation::MAX_TEAM_BLOCK;
+use super::reservation::MAX_SAME_TEAM_BLOCK_TIME;
 use super::{Region, SchedulingContext};
 use crate::quota;
 use crate::state_store::replica::SubmissionKey;
 
-/// Time before its latest start from which a job is ranked before smaller jobs.
+/// Time before a job's latest start from which the job is ranked before smaller jobs.
 const DEADLINE_WINDOW: Micros = 15 * SECOND;
 
 /// Time since submission from which a pending job is ranked by age alone (priority aging).
 /// Guards against starvation of the largest jobs of a class, or of a class whose objectives are
-/// all missed, under sustained overload. Leaves one of the four minutes within which a job must
-/// start.
+/// all missed, under sustained overload. The threshold leaves one of the four minutes within which
+/// a job must start.
 const AGING_THRESHOLD: Micros = 180 * SECOND;
 
 /// Interval between aged starts: starts of one task of an aged job ahead of the job's regular
@@ -292,7 +292,7 @@
         job: &Job,
         context: &SchedulingContext<'_>,
     ) -> QueuePosition {
-        if job.tasks.pending().is_empty() || job.is_over {
+        if job.tasks.pending().is_empty() || job.has_ended {
             return QueuePosition::default();
         }
         let spec = &job.spec;
@@ -343,7 +343,8 @@
 
     /// Returns the time after which a job without tasks on machines gets an aged start; `None`
     /// if the job is not eligible. Guards against starvation of low-priority jobs while jobs of
-    /// higher priority keep arriving: an old job starts a single task at intervals.
+    /// higher priority keep arriving: an old job starts a single task, [`MAX_SAME_TEAM_BLOCK_TIME`]
+    /// after its last assignment at the earliest.
     fn aged_start_in(&self, job: &Job, context: &SchedulingContext<'_>) -> Option<Micros> {
         let is_eligible = job.tasks.on_machines().is_empty()
             && job.spec.kind == JobKind::Array
@@ -352,7 +353,8 @@
             return None;
         }
         let by_age = aged_at(&job.spec).saturating_sub(context.wall);
-        let by_last_start = (job.last_assigned_at + MAX_TEAM_BLOCK).saturating_sub(context.now);
+        let by_last_start =
+            (job.last_assigned_at + MAX_SAME_TEAM_BLOCK_TIME).saturating_sub(context.now);
         let by_rate_limit = self.queue.next_aged_start_at.saturating_sub(context.now);
         Some(by_age.max(by_last_start).max(by_rate_limit))
     }
--- a/src/region/quota_demand.rs
+++ b/src/region/quota_demand.rs
@@ -19,7 +19,7 @@
 const RANK_TIME_BITS: u32 = 56;
 
 /// Returns the rank by which jobs of a team in all regions get shares when the team's limit is
-/// used up: by priority, then by age. The least rank goes first.
+/// used up: by priority, then by age. The job with the least rank gets its share first.
 fn scheduling_rank(spec: &JobSpec) -> u64 {
     let below_highest = Priority::Production as u64 - spec.priority as u64;
     let time_mask = (1 << RANK_TIME_BITS) - 1;
@@ -75,8 +75,8 @@
     /// of gangs and of the next jobs includes tasks for which there is no free capacity yet. This
     /// guards against a machine that becomes free and then stays idle for a report interval
     /// because the share for its next task must first be acquired. The demand is limited to what
-    /// the region's machines can hold: a share kept for tasks that cannot run here is missing in
-    /// the regions where they can.
+    /// the region's machines can hold: a share kept for tasks that cannot run in this region is
+    /// missing in the regions where they can run.
     pub(super) fn update_quota_demand(&mut self, context: &SchedulingContext<'_>) {
         self.quotas.clear_demand();
         // Guards against a small region that requests its whole capacity once for each job in the
--- a/src/region/quota_share.rs
+++ b/src/region/quota_share.rs
@@ -11,7 +11,7 @@
 use salttiller_records::units::{Micros, SECOND};
 use salttiller_records::QuotaAmount;
 
-use super::reservation::{MAX_TEAM_BLOCK, SHARE_YIELD_TIME};
+use super::reservation::{MAX_SAME_TEAM_BLOCK_TIME, SHARE_YIELD_TIME};
 use super::task::Assignment;
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::quota::{self, ShareChange};
@@ -45,8 +45,8 @@
     pub(super) fn charge(&mut self, assignment: &Assignment) {
         let share = self.by_team.entry(assignment.team.clone()).or_default();
         share.used = share.used.plus(assignment.quota);
-        if assignment.started_by_us {
-            share.used_by_our_starts = share.used_by_our_starts.plus(assignment.quota);
+        if assignment.started_under_own_token {
+            share.used_by_own_starts = share.used_by_own_starts.plus(assignment.quota);
         }
     }
 
@@ -54,8 +54,8 @@
     pub(super) fn credit(&mut self, assignment: &Assignment) {
         let share = self.by_team.entry(assignment.team.clone()).or_default();
         share.used = share.used.minus(assignment.quota);
-        if assignment.started_by_us {
-            share.used_by_our_starts = share.used_by_our_starts.minus(assignment.quota);
+        if assignment.started_under_own_token {
+            share.used_by_own_starts = share.used_by_own_starts.minus(assignment.quota);
         }
     }
 
@@ -85,7 +85,7 @@
         self.by_team.keys().cloned().collect()
     }
 
-    /// Clears the demand of pending tasks before it is determined anew.
+    /// Clears the demand of pending tasks before it is recomputed.
     pub(super) fn clear_demand(&mut self) {
         for share in self.by_team.values_mut() {
             share.clear_demand();
@@ -140,7 +140,7 @@
         } else {
             available
                 .minus(share.inherited)
-                .minus(share.used_by_our_starts)
+                .minus(share.used_by_own_starts)
         }
     }
 
@@ -213,7 +213,7 @@
 struct QuotaShare {
     used: QuotaAmount,
     /// The part of `used` that was started under the current fencing token.
-    used_by_our_starts: QuotaAmount,
+    used_by_own_starts: QuotaAmount,
     /// The former owner's share, which counts as used until all machines are reconciled.
     inherited: QuotaAmount,
     /// Demand of pending tasks that could be placed at once.
@@ -225,15 +225,16 @@
     /// The share that is being committed. If it is smaller than the recorded one, it applies at
     /// once.
     committing: Option<QuotaAmount>,
-    /// Whether the limit leaves less than the team needs here.
+    /// Whether the limit leaves less than the team needs in this region.
     is_limited: bool,
-    /// Since when a part of the share has been reserved but unused for a job that lacks the rest.
+    /// Time since which a part of the share has been reserved but unused, for a job that lacks the
+    /// rest.
     unused_since: Option<Micros>,
-    /// Time until which such a part is left to other regions.
+    /// Time until which the unused part of the share is left to other regions.
     yield_until: Micros,
     /// Recent peak of the need.
     peak: QuotaAmount,
-    /// When the peak was recorded.
+    /// Time at which the peak was recorded.
     peak_at: Micros,
 }
 
@@ -261,7 +262,7 @@
         if is_reconciled {
             self.used
         } else {
-            self.inherited.plus(self.used_by_our_starts)
+            self.inherited.plus(self.used_by_own_starts)
         }
     }
 
@@ -269,17 +270,17 @@
     fn needed(&self, used: QuotaAmount, blocked_elsewhere: Option<u64>) -> QuotaAmount {
         // Guards against two regions that each hold a part of the limit, neither enough for its
         // gang: the region whose first job has the higher priority, or is older at the same
-        // priority, goes first. The other regions take nothing and give back what they don't use.
-        // When only age counted, a high-priority gang stayed pending forever while older jobs of
-        // lower priority in another region followed one another.
+        // priority, gets its share first. The other regions acquire nothing and return what they
+        // do not use. When only age counted, a high-priority gang stayed pending indefinitely while
+        // one older job of lower priority after another ran in another region.
         let must_yield =
             blocked_elsewhere.is_some_and(|rank| self.first_rank.is_none_or(|own| rank < own));
         if must_yield {
             return used;
         }
         // Guards against keeping a share for tasks without capacity while another region has free
-        // capacity and lacks the share. These tasks take over the share of the tasks that run
-        // here now.
+        // capacity and lacks the share. These tasks get the share of the tasks that currently
+        // run in this region once those end.
         let ahead = match blocked_elsewhere {
             Some(_) => self.demand_ahead.minus(used),
             None => self.demand_ahead,
@@ -295,8 +296,8 @@
     }
 
     /// Returns the target of the share; `None` if it may stay as it is. A share grows by more than
-    /// the current need, and shrinks only after a while or when other regions find the limit used
-    /// up, since each change counts against the request rate of the state service.
+    /// the current need, and shrinks only after a while or when the quota blocks jobs in other
+    /// regions, since each change counts against the request rate of the state service.
     fn target(
         &mut self,
         used: QuotaAmount,
@@ -336,9 +337,10 @@
     }
 
     /// Tracks how long a part of the recorded share has been reserved but unused because the first
-    /// job needs more. Guards against holding it for a gang that never gets the rest, because
-    /// never-ending work uses that in another region: after [`MAX_TEAM_BLOCK`], other regions may
-    /// use the reserved part for [`SHARE_YIELD_TIME`].
+    /// job needs more. Guards against holding that part for a gang that never gets the rest,
+    /// because jobs in another region use the rest without end: after
+    /// [`MAX_SAME_TEAM_BLOCK_TIME`], other regions may use the reserved part for
+    /// [`SHARE_YIELD_TIME`].
     fn track_unused(&mut self, used: QuotaAmount, recorded: QuotaAmount, now: Micros) {
         let is_reserved_unused = self.is_limited && used != recorded;
         if !is_reserved_unused || is_disabled(Safeguard::ShareHoldLimit) {
@@ -346,7 +348,7 @@
             return;
         }
         let since = *self.unused_since.get_or_insert(now);
-        if now > since + MAX_TEAM_BLOCK {
+        if now > since + MAX_SAME_TEAM_BLOCK_TIME {
             self.unused_since = None;
             self.yield_until = now + SHARE_YIELD_TIME;
         }
--- a/src/region/quota_updates.rs
+++ b/src/region/quota_updates.rs
@@ -1,5 +1,4 @@
-//! Quota shares of the region against the records: the headroom left in each share, and the
-//! commits that change shares.
+//! Headroom of the region in its recorded quota shares, and commits that change the shares.
 
 use salttiller_records::key::Key;
 use salttiller_records::record::value;
@@ -28,7 +27,7 @@
             .headroom(team, recorded, self.reconciliation.is_complete())
     }
 
-    /// Acquires the quota that pending tasks need, and gives back quota that is not needed.
+    /// Acquires the quota that pending tasks need, and returns quota that is not needed.
     pub(super) fn update_quota_shares(&mut self, context: &SchedulingContext<'_>) {
         self.update_quota_demand(context);
         for team in self.quotas.teams() {
--- a/src/region/reachability.rs
+++ b/src/region/reachability.rs
@@ -2,7 +2,8 @@
 //!
 //! Received heartbeats do not prove that answers arrive, because only the path back to the
 //! machine may be broken. Such a machine would be assigned tasks repeatedly and start none of
-//! them. Evidence comes from session restarts and from starts that were not carried out.
+//! them. Evidence comes from new incarnations of the worker and from starts that were not carried
+//! out.
 
 use std::rc::Rc;
 
@@ -28,16 +29,16 @@
     /// This number of consecutive starts was not carried out.
     Suspect(u32),
     /// Answers have not reached the machine as of `since`, and no task is assigned to it. The
-    /// worker restarts its session when its lease expires, so a session that lasts for longer
-    /// than a lease shows that answers arrive again.
+    /// worker begins a new incarnation when its lease expires, so an incarnation that lasts for
+    /// longer than a lease shows that answers arrive again.
     Unreachable { since: Micros, times: u32 },
 }
 
 /// Evidence that a heartbeat gives about earlier answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AnswerEvidence {
-    /// The worker's session restarted although every heartbeat was answered.
-    SessionRestarted,
+    /// The worker began a new incarnation although every heartbeat was answered.
+    NewIncarnation,
     /// At least one of the starts sent was not carried out.
     StartIgnored,
     /// All starts sent were carried out.
@@ -47,11 +48,11 @@
 }
 
 impl AnswerEvidence {
-    /// Derives the evidence. A restarted session takes precedence over the outcome of the starts
-    /// in the last answer.
-    pub(super) fn new(session_restarted: bool, starts_sent: bool, start_ignored: bool) -> Self {
-        if session_restarted {
-            AnswerEvidence::SessionRestarted
+    /// Derives the evidence. A new incarnation takes precedence over the outcome of the starts in
+    /// the last answer.
+    pub(super) fn new(is_new_incarnation: bool, starts_sent: bool, start_ignored: bool) -> Self {
+        if is_new_incarnation {
+            AnswerEvidence::NewIncarnation
         } else if !starts_sent {
             AnswerEvidence::NoStartSent
         } else if start_ignored {
@@ -64,7 +65,7 @@
 
 impl Reachability {
     /// Returns the state after a heartbeat. `recovery_time` is the time for which an unreachable
-    /// machine's session must last before the machine counts as reachable again.
+    /// machine's incarnation must last before the machine counts as reachable again.
     #[must_use]
     pub(super) fn after(
         self,
@@ -72,16 +73,16 @@
         now: Micros,
         recovery_time: Micros,
     ) -> Reachability {
-        use AnswerEvidence::{SessionRestarted, StartIgnored, StartsCarriedOut};
+        use AnswerEvidence::{NewIncarnation, StartIgnored, StartsCarriedOut};
         use Reachability::{Reachable, Suspect, Unreachable};
         let unreachable = |times| Unreachable { since: now, times };
         match (self, evidence) {
-            (Reachable | Suspect(_), SessionRestarted) => unreachable(1),
+            (Reachable | Suspect(_), NewIncarnation) => unreachable(1),
             (Reachable, StartIgnored) => Suspect(1),
             (Suspect(ignored), StartIgnored) if ignored + 1 >= MAX_IGNORED_STARTS => unreachable(1),
             (Suspect(ignored), StartIgnored) => Suspect(ignored + 1),
             (Suspect(_), StartsCarriedOut) => Reachable,
-            (Unreachable { times, .. }, SessionRestarted | StartIgnored) => unreachable(times + 1),
+            (Unreachable { times, .. }, NewIncarnation | StartIgnored) => unreachable(times + 1),
             (Unreachable { since, .. }, _) if now > since + recovery_time => Reachable,
             (unchanged, _) => unchanged,
         }
--- a/src/region/reachability/tests.rs
+++ b/src/region/reachability/tests.rs
@@ -8,7 +8,7 @@
 /// state after. Guards against assigning tasks to machines that answers do not reach.
 #[test]
 fn heartbeat_evidence_changes_reachability() {
-    use AnswerEvidence::{NoStartSent, SessionRestarted, StartIgnored, StartsCarriedOut};
+    use AnswerEvidence::{NewIncarnation, NoStartSent, StartIgnored, StartsCarriedOut};
     use Reachability::{Reachable, Suspect};
     let unreachable = |since, times| Reachability::Unreachable { since, times };
     let now = 100;
@@ -16,19 +16,20 @@
         (Reachable, NoStartSent, Reachable),
         (Reachable, StartsCarriedOut, Reachable),
         (Reachable, StartIgnored, Suspect(1)),
-        (Reachable, SessionRestarted, unreachable(now, 1)),
+        (Reachable, NewIncarnation, unreachable(now, 1)),
         (Suspect(1), NoStartSent, Suspect(1)),
         (Suspect(1), StartsCarriedOut, Reachable),
         (Suspect(1), StartIgnored, unreachable(now, 1)),
-        (Suspect(1), SessionRestarted, unreachable(now, 1)),
-        // A machine is reachable again only after its session has lasted for longer than a lease.
+        (Suspect(1), NewIncarnation, unreachable(now, 1)),
+        // A machine is reachable again only after its incarnation has lasted for longer than
+        // a lease.
         (unreachable(80, 1), NoStartSent, unreachable(80, 1)),
         (unreachable(80, 1), StartsCarriedOut, unreachable(80, 1)),
         (unreachable(79, 1), NoStartSent, Reachable),
         (unreachable(79, 1), StartsCarriedOut, Reachable),
-        // A machine that is found unreachable again restarts the time and increments the count.
+        // Finding a machine unreachable again restarts the time and increments the count.
         (unreachable(79, 1), StartIgnored, unreachable(now, 2)),
-        (unreachable(79, 3), SessionRestarted, unreachable(now, 4)),
+        (unreachable(79, 3), NewIncarnation, unreachable(now, 4)),
     ] {
         assert_eq!(
             before.after(evidence, now, LEASE),
@@ -38,17 +39,17 @@
     }
 }
 
-/// A restarted session takes precedence over the outcome of starts. Without a start there is no
+/// A new incarnation takes precedence over the outcome of starts. Without a start there is no
 /// evidence.
 #[test]
-fn session_restart_outweighs_starts() {
+fn new_incarnation_outweighs_starts() {
     for (restarted, sent, ignored, expected) in [
         (false, false, false, AnswerEvidence::NoStartSent),
         (false, true, false, AnswerEvidence::StartsCarriedOut),
         (false, true, true, AnswerEvidence::StartIgnored),
-        (true, false, false, AnswerEvidence::SessionRestarted),
-        (true, true, false, AnswerEvidence::SessionRestarted),
-        (true, true, true, AnswerEvidence::SessionRestarted),
+        (true, false, false, AnswerEvidence::NewIncarnation),
+        (true, true, false, AnswerEvidence::NewIncarnation),
+        (true, true, true, AnswerEvidence::NewIncarnation),
     ] {
         assert_eq!(AnswerEvidence::new(restarted, sent, ignored), expected);
     }
--- a/src/region/reassignment.rs
+++ b/src/region/reassignment.rs
@@ -89,7 +89,7 @@
         let from = self.inventory.machine(from_name)?;
         let assignment = from.tasks.get(&(task.job.clone(), task.task))?;
         let holds_fewer = to.tasks.len() < from.tasks.len();
-        let is_due = holds_fewer || context.now >= task.since + reassignment_delay(context);
+        let is_due = holds_fewer || context.now >= task.assigned_at + reassignment_delay(context);
         // If the placements of a job's tasks depend on each other, their pool is already chosen,
         // and a task may only move within it.
         let is_placement_kept = !job.has_dependent_placement() || to.pool == from.pool;
--- a/src/region/reconciliation.rs
+++ b/src/region/reconciliation.rs
@@ -1,8 +1,8 @@
 //! Reconciliation after a change of ownership.
 //!
-//! A new owner does not know which tasks its predecessor started. Tasks that were bound before
-//! the change stay unreconciled and are not restarted until every machine that the predecessor
-//! may have used has sent a heartbeat under the new fencing token or is proven to run nothing.
+//! A new owner does not know which tasks a former owner started. Tasks that were bound before the
+//! change stay unreconciled and are not restarted until every machine that a former owner may have
+//! used has sent a heartbeat under the new fencing token or is proven to run nothing.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
--- a/src/region/reservation.rs
+++ b/src/region/reservation.rs
@@ -16,15 +16,15 @@
 use super::{Region, SchedulingContext};
 use crate::fault_injection::{is_disabled, Safeguard};
 
-/// Age since submission from which a gang may get a reservation. Until then smaller gangs go
-/// first, since more gangs start in time that way. One minute leaves three minutes for capacity to
-/// become free, of the four minutes in which the gang must start.
+/// Age since submission from which a gang may get a reservation. Until then, smaller gangs are
+/// placed first, since more gangs start in time that way. One minute leaves three minutes for
+/// capacity to become free, of the four minutes in which the gang must start.
 const MIN_RESERVATION_AGE: Micros = 60 * SECOND;
 
 /// Maximum time for which a gang that lacks quota keeps a job of the same team from starting a
-/// task. This is half of the limit of 90 s for a job pending beside free machines, since the job
-/// may already have been pending in another region.
-pub(super) const MAX_TEAM_BLOCK: Micros = 45 * SECOND;
+/// task. The value is half of the 90 s for which a job may be pending while a machine has free
+/// capacity for it, since the job may already have been pending in another region.
+pub(super) const MAX_SAME_TEAM_BLOCK_TIME: Micros = 45 * SECOND;
 
 /// Time for which other regions may use the quota share reserved for such a gang: enough for them
 /// to learn of it, for two share changes and for a report.
@@ -48,7 +48,7 @@
     outranked: bool,
     /// The zone whose machines are reserved, if the gang must be in a single zone.
     zone: Option<Rc<str>>,
-    /// When there is expected to be capacity for the whole gang; 0 if unknown.
+    /// Time at which capacity for the whole gang is expected to be free; 0 if unknown.
     expected_free_at: Micros,
     updated_at: Micros,
 }
@@ -94,18 +94,18 @@
         if self.quota_blocked && self.team != job.spec.team {
             return false;
         }
-        // Guards against a job that stays pending beside free machines while the gang acquires its
-        // team's share from other regions: the job may start one task at a time, after each
-        // `MAX_TEAM_BLOCK`.
+        // Guards against a job that stays pending although machines are free, while the gang
+        // acquires its team's share from other regions: the job may start one task at a time, after
+        // each `MAX_SAME_TEAM_BLOCK_TIME`.
         let since_last_assignment = context.now.saturating_sub(job.last_assigned_at);
         if self.quota_blocked
-            && since_last_assignment > MAX_TEAM_BLOCK
+            && since_last_assignment > MAX_SAME_TEAM_BLOCK_TIME
             && !is_disabled(Safeguard::ShareHoldLimit)
         {
             return false;
         }
         // Guards against machines that stay idle for a gang that jobs of higher priority overtake
-        // again and again.
+        // repeatedly.
         if self.outranked {
             return false;
         }
@@ -124,7 +124,7 @@
     now + spec.estimated_run_time * 3 / 2 + BACKFILL_OVERHEAD
 }
 
-/// A zone in which a gang could be placed (`None`: any zone); the greatest is the best.
+/// A zone in which a gang could be placed (`None`: any zone); the greatest candidate is the best.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneCandidate {
     fits_when_empty: bool,
@@ -167,7 +167,8 @@
         self.triggers.everything_changed();
     }
 
-    /// Gives a gang that finds too little free capacity the reservation, if no gang has it.
+    /// Reserves capacity for a gang that finds too little free capacity, unless another gang has
+    /// the region's reservation.
     pub(super) fn reserve_for_gang(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
         if self.reservation.is_some() {
             return;
@@ -306,5 +307,5 @@
 }
 
 fn may_keep_reservation(job: &Job) -> bool {
-    !job.is_over && job.queue_key.is_some() && !job.needs_new_attempt() && !job.commit_in_flight
+    !job.has_ended && job.queue_key.is_some() && !job.needs_new_attempt() && !job.commit_in_flight
 }
--- a/src/region/task.rs
+++ b/src/region/task.rs
@@ -46,7 +46,7 @@
     /// Whether the task fits on no other machine type.
     pub(super) constrained: bool,
     /// Whether the task was started under the current fencing token.
-    pub(super) started_by_us: bool,
+    pub(super) started_under_own_token: bool,
     /// Whether the task belongs to a gang over several regions and must not start before all
     /// parts of the gang are assigned.
     pub(super) awaits_start_barrier: bool,
@@ -54,7 +54,8 @@
     pub(super) image_missing: bool,
     /// Grace period with which the task is to be stopped; `None` if it is to keep running.
     pub(super) stop_grace: Option<Micros>,
-    /// Time at which the task was assigned, dispatched, or found on the machine.
+    /// Time at which the task was assigned, left the start barrier, was dispatched, or was adopted
+    /// from a former owner, whichever was last.
     pub(super) since: Micros,
     /// Time at which the task was first reported as running.
     pub(super) running_since: Option<Micros>,
--- a/src/region/task_reports.rs
+++ b/src/region/task_reports.rs
@@ -77,7 +77,7 @@
         let is_recorded = self.jobs.get(&task.job).is_none_or(|job| {
             job.tasks.done().contains(task.task) && !job.tasks.unrecorded_done().contains(task.task)
         });
-        if reason != ExitReason::Done || context.is_job_over(&task.job) || is_recorded {
+        if reason != ExitReason::Done || context.has_job_ended(&task.job) || is_recorded {
             TaskOutcome::Reply(Command::reap(task.job.clone(), task.task, task.attempt))
         } else {
             TaskOutcome::AwaitsRecord
@@ -144,10 +144,10 @@
         true
     }
 
-    /// Tracks a job that has ended if it is not known yet, since a task of it that still runs
-    /// counts against its team's quota until the task has left its machine.
+    /// Adds a job that has ended to the tracked jobs, since its running tasks count against its
+    /// team's quota until they have left their machines. Does nothing for other jobs.
     fn track_ended_job(&mut self, id: &JobId, context: &SchedulingContext<'_>) {
-        if !context.is_job_over(id) {
+        if !context.has_job_ended(id) {
             return;
         }
         let record = context.replica.jobs.get(&**id);
@@ -156,7 +156,7 @@
         };
         let only_type = only_fitting_type(spec, context.replica);
         self.jobs.entry(id.clone()).or_insert_with(|| Job {
-            is_over: true,
+            has_ended: true,
             ..Job::new(spec, only_type, context.now)
         });
     }
@@ -182,7 +182,7 @@
             );
             return Some("task is on two machines, stopped on this one");
         }
-        let is_expected = context.is_job_over(&task.job)
+        let is_expected = context.has_job_ended(&task.job)
             || job.tasks.unreconciled().contains(task.task)
             || assigned_to.is_some();
         if is_expected {
@@ -232,7 +232,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if job.is_over || !job.tasks.is_open(task.task) {
+        if job.has_ended || !job.tasks.is_open(task.task) {
             if attempt == Attempt::Current {
                 self.transition(&task.job, task.task, TaskState::Done, None, context.now);
                 self.clean_up_if_inactive(&task.job);
--- a/src/region/task_transition.rs
+++ b/src/region/task_transition.rs
@@ -5,10 +5,10 @@
 //! the team's quota, the undispatched tasks and the placement triggers. The caller decides
 //! whether the transition is valid.
 //!
-//! Two kinds of change affect none of this state and are made elsewhere. Tasks on no machine
-//! move between the sets of their job in groups (`job_lifecycle`, `hand_over`, `commits`,
-//! `reconciliation`). An assignment that stays on its machine is marked as dispatched or
-//! reported in place (`heartbeats`).
+//! Two kinds of change need no transition and are made elsewhere. Tasks on no machine move between
+//! the sets of their job in groups (`job_lifecycle`, `hand_over`, `commits`, `reconciliation`). An
+//! assignment that stays on its machine is updated in place when its start is dispatched
+//! (`heartbeat_answers`) and when the machine reports the task (`task_reports`).
 //!
 //! | from | event | to |
 //! | --- | --- | --- |
@@ -140,7 +140,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if !job.is_over && job.tasks.enter_pending(task, now) {
+        if !job.has_ended && job.tasks.enter_pending(task, now) {
             self.triggers.job_changed(id);
         }
     }
@@ -149,7 +149,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if !job.is_over && job.tasks.is_open(task) {
+        if !job.has_ended && job.tasks.is_open(task) {
             job.tasks.add_result(task);
             self.unrecorded_jobs.insert(id.clone());
         }
@@ -203,10 +203,10 @@
         memory: job.spec.memory,
         team: Rc::from(job.spec.team.as_str()),
         constrained: job.only_type.is_some(),
-        started_by_us: is_new,
+        started_under_own_token: is_new,
         awaits_start_barrier: is_new && job.gang.is_multi_region(),
         image_missing,
-        stop_grace: job.is_over.then_some(0),
+        stop_grace: job.has_ended.then_some(0),
         since: now,
         running_since: None,
     }
--- a/src/region/tests/fixture.rs
+++ b/src/region/tests/fixture.rs
@@ -17,8 +17,8 @@
     pub(super) settings: Settings,
     /// The revision of the last change.
     pub(super) revision: u64,
-    /// Teams whose limit other regions find used up, with the scheduling rank of the first job
-    /// that lacks a share.
+    /// Teams whose quota blocks jobs in other regions, with the scheduling rank of the first
+    /// blocked job.
     pub(super) quota_blocked_teams: BTreeMap<String, u64>,
     pub(super) may_start: bool,
     pub(super) reported_cancelled: BTreeSet<String>,
--- a/src/region/tests/ownership.rs
+++ b/src/region/tests/ownership.rs
@@ -122,7 +122,7 @@
         region.is_reconciled(),
         "the lease has ended since the last answer"
     );
-    // Heartbeats of an incarnation that has ended are stale.
+    // Heartbeats of the incarnation whose lease has expired are stale.
     let late = heartbeat("m-1", 99, 7, &[("req-1", 0, 5)]);
     let context = fixture.context(31 * SECOND);
     region.on_heartbeat(&heartbeat("m-1", 40, 7, &[]), &context);
--- a/src/region/tests/placement.rs
+++ b/src/region/tests/placement.rs
@@ -100,7 +100,8 @@
 fn undispatched_tasks_are_reassigned() {
     for (busy, at, reassigned) in [
         (false, 3200, true),
-        // The other machine holds more tasks: reassigned only after an eighth of an interval.
+        // The other machine holds more tasks: reassigned only after an eighth of a heartbeat
+        // interval.
         (true, 3200, false),
         (true, 3500, true),
         // The heartbeat of the assigned machine is due.
@@ -145,7 +146,8 @@
 }
 
 /// A machine that executes no commands gets no more tasks after two attempts. The tasks assigned to
-/// it run on another machine, and the machine is used again once its incarnation lasts.
+/// it run on another machine, and the machine is used again once its incarnation has lasted
+/// for longer than a lease.
 #[test]
 fn an_unreachable_machine_gets_no_tasks() {
     let mut cluster = TestCluster::new(2);
--- a/src/region/tests/scheduling_order.rs
+++ b/src/region/tests/scheduling_order.rs
@@ -1,4 +1,4 @@
-//! Tests of the order in which pending jobs are served, also under lasting overload.
+//! Tests of the order in which pending jobs are placed, also under sustained overload.
 
 use salttiller_records::units::SECOND;
 use serde_json::json;
@@ -125,9 +125,9 @@
 
 /// Guards against low-priority jobs that starve while jobs of higher priority never leave a machine
 /// free. A low-priority job starts within four minutes, one task at a time, and the jobs of higher
-/// priority are still served.
+/// priority still start.
 #[test]
-fn low_priority_starts_under_lasting_overload() {
+fn low_priority_starts_under_sustained_overload() {
     let mut cluster = TestCluster::new(3);
     cluster.submit_with("req-1", "red", ("a", "0"), 4, 2_000_000, 2 * SECOND);
     let mut started_at = None;
--- a/src/region/tests/test_cluster.rs
+++ b/src/region/tests/test_cluster.rs
@@ -50,9 +50,9 @@
     /// Number of task starts by job.
     pub(in crate::region) starts: BTreeMap<String, u32>,
     /// Jobs whose tasks fail on every machine.
-    pub(in crate::region) broken: BTreeSet<String>,
+    pub(in crate::region) failing_jobs: BTreeSet<String>,
     /// Machines on which all tasks fail.
-    pub(in crate::region) faulty: BTreeSet<String>,
+    pub(in crate::region) faulty_machines: BTreeSet<String>,
 }
 
 impl TestCluster {
@@ -78,8 +78,8 @@
                 .collect(),
             first_starts: BTreeMap::new(),
             starts: BTreeMap::new(),
-            broken: BTreeSet::new(),
-            faulty: BTreeSet::new(),
+            failing_jobs: BTreeSet::new(),
+            faulty_machines: BTreeSet::new(),
         }
     }
 
@@ -178,7 +178,8 @@
         let mut report = heartbeat(machine, self.sequence, TOKEN, &[]);
         let tasks = self.running.get_mut(machine).unwrap();
         for (task, ends_at) in tasks.iter() {
-            let fails = self.broken.contains(&task.job) || self.faulty.contains(machine);
+            let fails =
+                self.failing_jobs.contains(&task.job) || self.faulty_machines.contains(machine);
             report
                 .tasks
                 .push(task.reported_as(match (*ends_at <= now, fails) {
--- a/src/region/triggers.rs
+++ b/src/region/triggers.rs
@@ -63,17 +63,17 @@
     }
 
     /// Whether placement must consider all pending jobs.
-    pub(super) fn concerns_all(&self) -> bool {
+    pub(super) fn affects_all(&self) -> bool {
         self.everything || self.machines.len() > MAX_CHANGED_MACHINES
     }
 
     /// Whether a change of this job itself is recorded.
-    pub(super) fn concerns_job(&self, id: &JobId) -> bool {
+    pub(super) fn affects_job(&self, id: &JobId) -> bool {
         self.jobs.contains(id)
     }
 
     /// Whether a change of a team's quota share is recorded.
-    pub(super) fn concerns_team(&self, team: &str) -> bool {
+    pub(super) fn affects_team(&self, team: &str) -> bool {
         self.teams.contains(team)
     }
 
--- a/src/region/undispatched.rs
+++ b/src/region/undispatched.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct UndispatchedTask {
     /// Time of the assignment.
-    pub(super) since: Micros,
+    pub(super) assigned_at: Micros,
     /// Job of the task.
     pub(super) job: JobId,
     /// Number of the task in its job.
@@ -25,14 +25,22 @@
 pub(super) struct UndispatchedTasks(BTreeSet<UndispatchedTask>);
 
 impl UndispatchedTasks {
-    /// Adds a task that was assigned at `since`.
-    pub(super) fn insert(&mut self, since: Micros, job: JobId, task: u32) {
-        self.0.insert(UndispatchedTask { since, job, task });
+    /// Adds an assigned task.
+    pub(super) fn insert(&mut self, assigned_at: Micros, job: JobId, task: u32) {
+        self.0.insert(UndispatchedTask {
+            assigned_at,
+            job,
+            task,
+        });
     }
 
     /// Removes a task whose start was dispatched or whose assignment was withdrawn.
-    pub(super) fn remove(&mut self, since: Micros, job: JobId, task: u32) {
-        self.0.remove(&UndispatchedTask { since, job, task });
+    pub(super) fn remove(&mut self, assigned_at: Micros, job: JobId, task: u32) {
+        self.0.remove(&UndispatchedTask {
+            assigned_at,
+            job,
+            task,
+        });
     }
 
     /// Whether there are no undispatched tasks.
