--- a/crates/archive/src/database.rs
+++ b/crates/archive/src/database.rs
@@ -63,7 +63,7 @@
     /// Opens a deployment's archive, or creates it if there is no such file.
     ///
     /// # Errors
-    /// Errors of [`Archive::open`] and of creating the file.
+    /// Returns an error if the file can't be created, or an error of [`Archive::open`].
     pub fn open_or_create(path: &Path, deployment: &str) -> Result<Self, ArchiveError> {
         if !path.exists() {
             file::create(path, deployment)?;
@@ -74,8 +74,8 @@
     /// Opens an archive. If `deployment` is given, the archive must belong to that deployment.
     ///
     /// # Errors
-    /// The file is missing, not an archive, of a later format, of another deployment, damaged
-    /// or in use.
+    /// Returns an error if the file is missing, is not an archive, has a later format, belongs to
+    /// another deployment, is damaged or is in use.
     pub fn open(path: &Path, deployment: Option<&str>) -> Result<Self, ArchiveError> {
         file::check_magic(path)?;
         let found = catch_store_panic(path, || {
@@ -108,7 +108,7 @@
     /// transaction. No other process can read the file while it is kept open.
     ///
     /// # Errors
-    /// The file can't be opened.
+    /// Returns an error if the file can't be opened.
     pub fn keep_open(mut self) -> Result<Self, ArchiveError> {
         self.kept_open = Some(RefCell::new(file::open_database(&self.path)?));
         Ok(self)
@@ -138,7 +138,7 @@
     /// arrival time of the response that led to the actions.
     ///
     /// # Errors
-    /// The actions contradict the archive, or it can't be written.
+    /// Returns an error if the actions contradict the archive, or if it can't be written.
     pub fn apply(&self, actions: &[Action], wall_clock: Micros) -> Result<(), ArchiveError> {
         self.write(|transaction| {
             actions
@@ -150,7 +150,7 @@
     /// Deletes an incomplete snapshot, which a recorder leaves behind when it is killed.
     ///
     /// # Errors
-    /// The archive can't be read or written.
+    /// Returns an error if the archive can't be read or written.
     pub fn delete_incomplete_snapshot(&self) -> Result<(), ArchiveError> {
         self.write(|transaction| transaction.delete_incomplete_snapshot())
     }
@@ -172,7 +172,7 @@
     /// Runs `read` on a consistent view of the archive.
     ///
     /// # Errors
-    /// Errors of `read` and of opening the file.
+    /// Returns an error if the file can't be opened, or the error of `read`.
     pub fn read<T>(
         &self,
         read: impl FnOnce(&ArchiveView) -> Result<T, ArchiveError>,
@@ -187,7 +187,8 @@
     /// Verifies the page checksums of the embedded store.
     ///
     /// # Errors
-    /// [`ArchiveError::Damaged`] if a checksum does not match, or the file can't be read.
+    /// Returns [`ArchiveError::Damaged`] if a checksum does not match, or another error if the file
+    /// can't be read.
     pub fn check_integrity(&self) -> Result<(), ArchiveError> {
         catch_store_panic(&self.path, || {
             if self.database()?.check_integrity().in_file(&self.path)? {
--- a/crates/archive/src/database/file.rs
+++ b/crates/archive/src/database/file.rs
@@ -1,4 +1,4 @@
-//! Creating, identifying and opening the archive's file.
+//! Creates, identifies and opens the archive's file.
 
 use std::fs::File;
 use std::io::{ErrorKind, Read};
@@ -51,7 +51,7 @@
     let created = initialize(&temporary, deployment).and_then(|()| {
         std::fs::hard_link(&temporary, path).map_err(|cause| ArchiveError::io(path, cause))
     });
-    // A remaining temporary file takes space but is never opened.
+    // The error is ignored: a temporary file that remains takes space but is never opened.
     let _ = std::fs::remove_file(&temporary);
     created
 }
--- a/crates/archive/src/database/tests.rs
+++ b/crates/archive/src/database/tests.rs
@@ -132,6 +132,8 @@
     },
 ];
 
+/// Guards against damage that verification does not report, and against damage that is reported for
+/// an intact archive.
 #[test]
 fn verification_reports_missing_and_changed_entries() {
     for case in DAMAGE_CASES {
@@ -162,6 +164,7 @@
     }
 }
 
+/// Guards against a partly applied list of actions when a later action contradicts the archive.
 #[test]
 fn inconsistent_actions_are_rejected_atomically() {
     let folder = TempFolder::new("contradiction").unwrap();
@@ -182,6 +185,7 @@
     assert_eq!(archive.read(ArchiveView::segments).unwrap(), before);
 }
 
+/// Guards against a file of a later format that is opened, or reported as damaged.
 #[test]
 fn newer_format_is_reported() {
     let folder = TempFolder::new("newer").unwrap();
--- a/crates/archive/src/database/transaction/segments.rs
+++ b/crates/archive/src/database/transaction/segments.rs
@@ -104,7 +104,8 @@
     ) -> Result<Vec<Change>, ArchiveError> {
         let mut changes = Vec::new();
         let batches = self.batches.range(batch_keys(segment, 0));
-        // Newest first: a snapshot needs only the last of possibly many batches.
+        // The batches are read newest first, because a snapshot needs only the last of possibly
+        // many batches.
         for row in batches.in_file(&self.path)?.rev() {
             let (key, bytes) = row.in_file(&self.path)?;
             let batch = decode_batch(&self.path, key.value(), bytes.value())?;
--- a/crates/archive/src/database/view.rs
+++ b/crates/archive/src/database/view.rs
@@ -4,7 +4,7 @@
 
 use redb::{ReadOnlyTable, ReadTransaction};
 
-use salttiller_records::history::{last_whole_revisions, Fingerprint, RECOGNISED_CHANGES};
+use salttiller_records::history::{last_complete_revisions, Fingerprint, IDENTIFYING_CHANGES};
 
 use super::tables::{
     batch_keys, decode_batch, for_each_record, read_rows, BatchKey, EntryBytes, RecordKey, BATCHES,
@@ -42,7 +42,7 @@
     /// Returns all segments, oldest first.
     ///
     /// # Errors
-    /// The archive can't be read.
+    /// Returns an error if the archive can't be read.
     pub fn segments(&self) -> Result<Vec<Row<Segment>>, ArchiveError> {
         read_rows(&self.path, &self.segments, EntryName::Segment)
     }
@@ -50,7 +50,7 @@
     /// Returns all snapshots, oldest first, including an incomplete one.
     ///
     /// # Errors
-    /// The archive can't be read.
+    /// Returns an error if the archive can't be read.
     pub fn snapshots(&self) -> Result<Vec<Row<Snapshot>>, ArchiveError> {
         read_rows(&self.path, &self.snapshots, EntryName::Snapshot)
     }
@@ -58,7 +58,7 @@
     /// Returns the complete snapshots of a segment, oldest first.
     ///
     /// # Errors
-    /// The archive can't be read.
+    /// Returns an error if the archive can't be read.
     pub fn complete_snapshots(&self, segment: u64) -> Result<Vec<CompleteSnapshot>, ArchiveError> {
         let complete = self.snapshots()?.into_iter();
         Ok(complete
@@ -70,7 +70,7 @@
     /// Calls `visit` with every record of a snapshot, in key order.
     ///
     /// # Errors
-    /// Errors of `visit`, or the archive can't be read.
+    /// Returns an error if the archive can't be read, or the error of `visit`.
     pub fn for_each_record(
         &self,
         snapshot: u64,
@@ -83,7 +83,7 @@
     /// in ascending order.
     ///
     /// # Errors
-    /// Errors of `visit`, or the archive can't be read.
+    /// Returns an error if the archive can't be read, or the error of `visit`.
     pub fn for_each_batch(
         &self,
         segment: &Row<Segment>,
@@ -103,7 +103,7 @@
     /// with the state service, and all changes after them.
     ///
     /// # Errors
-    /// The archive can't be read.
+    /// Returns an error if the archive can't be read.
     pub fn recent_changes(&self, row: &Row<Segment>) -> Result<Vec<Fingerprint>, ArchiveError> {
         let segment = &row.value;
         let keys = batch_keys(row.id, segment.first_batch);
@@ -116,12 +116,12 @@
             if batch.until <= segment.verified_until {
                 compared += batch.changes.len();
             }
-            if compared > RECOGNISED_CHANGES {
+            if compared > IDENTIFYING_CHANGES {
                 break;
             }
         }
         let mut recent = Vec::new();
-        if compared <= RECOGNISED_CHANGES && segment.first_batch == 0 {
+        if compared <= IDENTIFYING_CHANGES && segment.first_batch == 0 {
             recent.extend(segment.preceding_changes.iter().cloned());
         }
         recent.extend(newest_first.into_iter().rev().flatten());
@@ -131,7 +131,7 @@
     /// Returns the size of the file in bytes.
     ///
     /// # Errors
-    /// The file's metadata can't be read.
+    /// Returns an error if the file's metadata can't be read.
     pub fn file_bytes(&self) -> Result<u64, ArchiveError> {
         std::fs::metadata(&self.path)
             .map(|metadata| metadata.len())
@@ -147,7 +147,7 @@
 ) -> Vec<Fingerprint> {
     let split = changes.partition_point(|change| change.version <= verified_until);
     let unverified = changes.split_off(split);
-    let mut recent = last_whole_revisions(changes);
+    let mut recent = last_complete_revisions(changes);
     recent.extend(unverified);
     recent
 }
--- a/crates/archive/src/encoding/tests.rs
+++ b/crates/archive/src/encoding/tests.rs
@@ -107,6 +107,7 @@
     assert_eq!(decode_entry::<T>(&bytes).unwrap(), entry);
 }
 
+/// Guards against a change of the stored form of entries or of the digest.
 #[test]
 fn encoded_bytes_of_entries_are_unchanged() {
     check_encoding(record(), RECORD);
@@ -120,6 +121,8 @@
     assert_eq!(hex(&digest.finish().digest), DIGEST);
 }
 
+/// Guards against damaged entries that are accepted: truncated bytes, a changed byte, and a valid
+/// entry of another type.
 #[test]
 fn damaged_entries_are_refused() {
     let whole = encode_entry(&record());
--- a/crates/archive/src/encoding/tests/fixtures.rs
+++ b/crates/archive/src/encoding/tests/fixtures.rs
@@ -63,6 +63,7 @@
     0x82, 0xa1, b'n', 0xcd, 0x01, 0x2c, 0xa2, b's', b't', 0xa1, b'o',
 ];
 
+/// Guards against a change of the stored form of any kind of entry.
 #[test]
 fn stored_entries_match_their_fixtures() {
     check_fixture("format", &1u64);
--- a/crates/archive/src/error.rs
+++ b/crates/archive/src/error.rs
@@ -79,7 +79,7 @@
     /// The archive does not cover the requested point in time.
     #[error("{0}")]
     NotCovered(PointInTime),
-    /// The state service gave no usable answer for too long.
+    /// The state service gave no usable response for longer than the limit.
     #[error("state service: {0}")]
     StateService(#[source] RequestError),
 }
--- a/crates/archive/src/export.rs
+++ b/crates/archive/src/export.rs
@@ -14,7 +14,8 @@
 /// Exports the records at a point in time.
 ///
 /// # Errors
-/// [`ArchiveError::NotCovered`], or the archive can't be read.
+/// Returns [`ArchiveError::NotCovered`] if the archive does not cover the point in time, or another
+/// error if the archive can't be read.
 pub fn export(archive: &Archive, point: PointInTime) -> Result<ExportDocument, ArchiveError> {
     archive.read(|view| {
         let found = reconstruct(view, point)?;
@@ -51,7 +52,7 @@
 /// Lists an archive's segments and snapshots.
 ///
 /// # Errors
-/// The archive can't be read.
+/// Returns an error if the archive can't be read.
 pub fn list(archive: &Archive) -> Result<ListDocument, ArchiveError> {
     archive.read(|view| {
         let segments = view.segments()?;
--- a/crates/archive/src/model.rs
+++ b/crates/archive/src/model.rs
@@ -15,7 +15,8 @@
 /// An entry of a table with its number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row<T> {
-    /// Number of the segment or snapshot. Numbers only increase.
+    /// Number of the segment or snapshot. An entry has a higher number than the entries before it in
+    /// the table.
     pub id: u64,
     /// The entry.
     pub value: T,
@@ -44,7 +45,7 @@
     /// Decodes the record's value.
     ///
     /// # Errors
-    /// The stored bytes are not valid MessagePack.
+    /// Returns an error if the stored bytes are not valid MessagePack.
     pub fn decode_value(&self) -> Result<Value, rmp_serde::decode::Error> {
         rmp_serde::from_slice(&self.value)
     }
--- a/crates/archive/src/reconstruct.rs
+++ b/crates/archive/src/reconstruct.rs
@@ -73,8 +73,8 @@
 /// Reconstructs the records at a point in time.
 ///
 /// # Errors
-/// [`ArchiveError::NotCovered`] if there is no snapshot to start from, or the archive can't be
-/// read.
+/// Returns [`ArchiveError::NotCovered`] if there is no snapshot to start from, or another error if
+/// the archive can't be read.
 pub fn reconstruct(view: &ArchiveView, point: PointInTime) -> Result<Reconstruction, ArchiveError> {
     let (segment, revision, base) = find_base(view, point)?;
     let mut records = load_snapshot(view, base.id)?;
@@ -118,7 +118,7 @@
 /// Returns the records of a snapshot.
 ///
 /// # Errors
-/// The archive can't be read.
+/// Returns an error if the archive can't be read.
 pub fn load_snapshot(view: &ArchiveView, snapshot: u64) -> Result<RecordMap, ArchiveError> {
     let mut records = RecordMap::new();
     view.for_each_record(snapshot, |keyed| {
@@ -131,7 +131,7 @@
 /// Applies a segment's changes within a range of revisions to `records` and returns their number.
 ///
 /// # Errors
-/// The archive can't be read.
+/// Returns an error if the archive can't be read.
 pub fn apply_changes(
     view: &ArchiveView,
     segment: &Row<Segment>,
--- a/crates/archive/src/recorder/answers.rs
+++ b/crates/archive/src/recorder/answers.rs
@@ -1,4 +1,4 @@
-//! Handling of responses of the state service, and of failed requests.
+//! Handles responses of the state service, and failed requests.
 
 use salttiller_protocol::state_service::{Changes, Page};
 use salttiller_records::history::Fingerprint;
--- a/crates/archive/src/recorder/history.rs
+++ b/crates/archive/src/recorder/history.rs
@@ -1,6 +1,7 @@
-//! The end of the recorded history, by which the recorder recognises that history.
+//! The end of the recorded history, which the recorder compares with the history of the state
+//! service.
 
-use salttiller_records::history::{last_whole_revisions, Fingerprint};
+use salttiller_records::history::{last_complete_revisions, Fingerprint};
 
 use crate::fault_injection::{is_disabled, Safeguard};
 use crate::model::Change;
@@ -31,7 +32,7 @@
         let recent = if is_disabled(Safeguard::PrecedingChanges) {
             Vec::new()
         } else {
-            last_whole_revisions(preceding_changes)
+            last_complete_revisions(preceding_changes)
         };
         RecordedHistory::resumed(after, after, recent)
     }
@@ -87,10 +88,10 @@
         // Guards against the loss of all changes that identify the recorded history: if the list
         // were shortened before a comparison, many changes of another history could displace
         // them. The list is therefore shortened only here.
-        self.recent = last_whole_revisions(std::mem::take(&mut self.recent));
+        self.recent = last_complete_revisions(std::mem::take(&mut self.recent));
     }
 
-    /// Removes all recent changes; the cursor stays.
+    /// Removes all recent changes. The cursor does not change.
     pub(super) fn clear_changes(&mut self) {
         self.recent.clear();
     }
--- a/crates/archive/src/recorder/schedule.rs
+++ b/crates/archive/src/recorder/schedule.rs
@@ -4,7 +4,7 @@
 
 use super::request::Request;
 
-/// Time between two comparisons of the history without an interruption.
+/// Time between two comparisons of the history while no request fails.
 const VERIFICATION_INTERVAL: Micros = 30 * SECOND;
 /// Backoff after the first failure. The backoff doubles with each consecutive failure.
 const MIN_BACKOFF: Micros = SECOND;
--- a/crates/archive/src/recorder/tests.rs
+++ b/crates/archive/src/recorder/tests.rs
@@ -166,6 +166,8 @@
     );
 }
 
+/// Guards against requests that are repeated too soon or too late after failures: the delay must
+/// grow to the maximum backoff and no further, unless the state service requests a longer delay.
 #[test]
 fn failures_back_off_and_respect_retry_after() {
     let mut recorder = Recorder::new(PACING, 0);
@@ -192,6 +194,8 @@
     assert!(recorder.next_request(now).not_before >= now + 60 * SECOND);
 }
 
+/// Guards against archiving a change that is neither a put nor a deletion, is both, or is outside
+/// of the requested revisions.
 #[test]
 fn invalid_changes_are_not_recorded() {
     let mut recorder = Recorder::new(PACING, 0);
--- a/crates/archive/src/recorder/tests/model.rs
+++ b/crates/archive/src/recorder/tests/model.rs
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Answers a request. Only the changes of the last `retained` revisions are available.
+    /// Returns the response to a request. Only the changes of the last `retained` revisions are
+    /// available.
     pub(super) fn answer(&self, request: &Request, retained: u64) -> Answer {
         match request {
             Request::Revision => self.page_after(""),
--- a/crates/archive/src/recorder/tests/run.rs
+++ b/crates/archive/src/recorder/tests/run.rs
@@ -89,7 +89,7 @@
     interrupted: bool,
     replacements: u32,
     /// Whether the store was replaced silently and the recorder has not compared the history
-    /// since. The recorder can't tell two replacements without a comparison in between apart.
+    /// since. The recorder can't distinguish two replacements without a comparison between them.
     undetected_replacement: bool,
 }
 
--- a/crates/archive/src/retention.rs
+++ b/crates/archive/src/retention.rs
@@ -28,7 +28,7 @@
 /// Deletes, in one transaction, the snapshots and changes that the policy does not retain.
 ///
 /// # Errors
-/// The archive can't be read or written. In this case, nothing is deleted.
+/// Returns an error if the archive can't be read or written. In this case, nothing is deleted.
 pub fn prune(
     archive: &Archive,
     policy: RetentionPolicy,
--- a/crates/archive/src/session.rs
+++ b/crates/archive/src/session.rs
@@ -23,7 +23,7 @@
 /// Limits after which a session ends. `None` means no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SessionLimits {
-    /// Number of complete snapshots.
+    /// Number of snapshots that the session completes.
     pub snapshots: Option<u64>,
     /// Duration of the session.
     pub duration: Option<Duration>,
@@ -70,8 +70,8 @@
     /// Records until a limit is reached or [`Session::stop`] is set.
     ///
     /// # Errors
-    /// The archive can't be read or written, or the state service was unavailable for longer than
-    /// the limit.
+    /// Returns an error if the archive can't be read or written, or if the state service was
+    /// unavailable for longer than the limit.
     pub fn run(&self, limits: SessionLimits) -> Result<SessionSummary, ArchiveError> {
         let started = Instant::now();
         let mut client = Client::new(self.state_service);
--- a/crates/archive/src/store_panic.rs
+++ b/crates/archive/src/store_panic.rs
@@ -25,7 +25,7 @@
 /// not printed.
 ///
 /// # Errors
-/// Errors of `access`, or [`Damage::StoreAssertion`] if `access` panics.
+/// Returns the error of `access`, or [`Damage::StoreAssertion`] if `access` panics.
 pub(crate) fn catch_store_panic<T>(
     path: &Path,
     access: impl FnOnce() -> Result<T, ArchiveError>,
--- a/crates/archive/src/verify.rs
+++ b/crates/archive/src/verify.rs
@@ -29,7 +29,7 @@
 /// Verifies an archive.
 ///
 /// # Errors
-/// The first damage found, or the file can't be read.
+/// Returns the first damage found, or another error if the file can't be read.
 pub fn verify(archive: &Archive) -> Result<VerifiedCounts, ArchiveError> {
     archive.check_integrity()?;
     archive.read(|view| {
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -10,8 +10,9 @@
 
 use crate::http::{parse_response_within, write_request, HttpError, Response};
 
-/// Maximum size of a response that a tool reads, in bytes. The response to a watch has no limit of
-/// its own: the state service keeps 10,000 changes of a few KiB each.
+/// Maximum size of a response body that a tool reads, in bytes. The protocol does not limit the
+/// response to a watch, which may contain all changes that the state service retains: 10,000
+/// changes of a few KiB each.
 pub const MAX_TOOL_RESPONSE: usize = 64 * 1024 * 1024;
 
 /// Maximum number of bytes per read from the connection.
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -41,7 +41,7 @@
 }
 
 impl HttpError {
-    /// Status code of the response that is sent before the connection is closed.
+    /// Returns the status code of the response that is sent before the connection is closed.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
--- a/crates/protocol/src/state_service.rs
+++ b/crates/protocol/src/state_service.rs
@@ -22,7 +22,7 @@
 pub struct Page {
     /// Records of the page.
     pub pairs: Vec<Pair>,
-    /// Whether more records follow. Missing in the message: `false`.
+    /// Whether more records follow. A message without this field is the last page.
     #[serde(default)]
     pub more: bool,
     /// Revision of the store when the page was read.
@@ -53,7 +53,7 @@
     /// Revision of the store when the response was created.
     #[serde(rename = "almanac")]
     pub revision: u64,
-    /// All changes after the requested revision.
+    /// All changes after the requested revision whose keys have the requested prefix.
     pub events: Vec<Event>,
 }
 
--- a/crates/records/src/amount.rs
+++ b/crates/records/src/amount.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether neither resource exceeds that of `other`.
+    /// Whether neither amount exceeds the amount of the same resource in `other`.
     #[must_use]
     pub fn within(self, other: QuotaAmount) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus
--- a/crates/records/src/bitmap.rs
+++ b/crates/records/src/bitmap.rs
@@ -1,11 +1,11 @@
 //! Sets of numbers, encoded as bitmaps in hexadecimal text. The sets are the finished tasks of a
 //! chunk of task numbers, and the activated machines of a batch. Each digit represents four
-//! numbers: the first digit has the four lowest numbers, and the lowest bit of a digit has the
-//! lowest of its numbers.
+//! numbers: the first digit represents the four lowest numbers, and the lowest bit of a digit
+//! represents the lowest of its numbers.
 
 use crate::model::RangeSet;
 
-/// Number of task numbers per chunk. A progress record has one chunk.
+/// Number of task numbers per chunk. A progress record contains one chunk.
 pub const CHUNK_SIZE: u32 = 4096;
 /// Number of bits per hexadecimal digit.
 const DIGIT_BITS: u32 = 4;
@@ -35,8 +35,8 @@
         .collect()
 }
 
-/// Adds the numbers of a bitmap of [`encode_bitmap`] to `set`. A character that is not a
-/// hexadecimal digit counts as zero.
+/// Decodes a bitmap that [`encode_bitmap`] returned, and adds its numbers to `set`. A character
+/// that is not a hexadecimal digit counts as zero.
 pub fn decode_bitmap(text: &str, chunk: u32, set: &mut RangeSet) {
     let base = chunk.saturating_mul(CHUNK_SIZE);
     for (index, digit) in digits(text).enumerate() {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Returns how many numbers a bitmap of [`encode_bitmap`] contains.
+/// Returns how many numbers a bitmap that [`encode_bitmap`] returned contains.
 #[must_use]
 pub fn count_bits(text: &str) -> u32 {
     digits(text).map(u32::count_ones).sum()
--- a/crates/records/src/history.rs
+++ b/crates/records/src/history.rs
@@ -5,7 +5,7 @@
 
 /// Number of changes that are kept to identify a history. More changes are kept if the oldest of
 /// their revisions would otherwise be incomplete.
-pub const RECOGNISED_CHANGES: usize = 32;
+pub const IDENTIFYING_CHANGES: usize = 32;
 
 /// A summary of a change that shows whether another history has the same change.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -31,12 +31,12 @@
     }
 }
 
-/// Returns the last [`RECOGNISED_CHANGES`] of `changes`, which must be in ascending order of their
-/// revisions. All changes of a revision are kept or none, because a comparison requests complete
-/// revisions.
+/// Returns the last changes of `changes`, which must be in ascending order of their revisions. The
+/// result has at least [`IDENTIFYING_CHANGES`] changes, or all changes if there are fewer. All
+/// changes of a revision are kept or none, because a comparison requests complete revisions.
 #[must_use]
-pub fn last_whole_revisions(mut changes: Vec<Fingerprint>) -> Vec<Fingerprint> {
-    let Some(first) = changes.len().checked_sub(RECOGNISED_CHANGES) else {
+pub fn last_complete_revisions(mut changes: Vec<Fingerprint>) -> Vec<Fingerprint> {
+    let Some(first) = changes.len().checked_sub(IDENTIFYING_CHANGES) else {
         return changes;
     };
     let Some(oldest) = changes.get(first).map(|change| change.version) else {
--- a/crates/records/src/model/job_spec.rs
+++ b/crates/records/src/model/job_spec.rs
@@ -110,8 +110,8 @@
     /// Time from the submission to the deadline.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Micros>,
-    /// Wall-clock time of the submission. In the effective spec of a job with dependencies, the
-    /// wall-clock time at which the last dependency ended.
+    /// Wall-clock time of the submission. In the effective spec of a ready job with dependencies,
+    /// the wall-clock time at which the job became ready.
     #[serde(rename = "a")]
     pub submitted_at: Micros,
     /// Jobs that must be done before any task of this job starts. The field is omitted if it is
--- a/crates/records/src/record/job.rs
+++ b/crates/records/src/record/job.rs
@@ -63,13 +63,15 @@
     }
 }
 
-/// `job/ID`: a job. Fields that are not needed after the end of the job are then omitted.
+/// `job/ID`: a job. The record of a done or cancelled job omits the fields that are no longer
+/// needed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// Stage of the job.
     #[serde(rename = "st")]
     pub stage: JobStage,
-    /// Spec as submitted, or the effective spec in the replica. The spec of a cancelled job is kept
+    /// Spec as submitted; in a controller's replica of the store, the effective spec of a job with
+    /// dependencies or dependents. The spec of a cancelled job is kept
     /// because its tasks may still count against the team's limit. The spec of a done job is
     /// removed.
     #[serde(
@@ -82,7 +84,7 @@
     /// Regions that the tasks are bound to. Empty if the job is not bound yet.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
     pub task_ranges: Vec<TaskRange>,
-    /// Attempt that all parts of a multi-region gang start under, and their common zone if they
+    /// Start attempt that all parts of a multi-region gang share, and their common zone if they
     /// must run in one zone. `None` for any other job.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub multi_region: Option<MultiRegionAttempt>,
@@ -92,8 +94,8 @@
     pub ended_at: Option<Micros>,
 }
 
-/// Serializes the spec as submitted. Values that the replica derives from other records are never
-/// stored.
+/// Serializes the spec as submitted. The values that a controller's replica derives from other
+/// records are never stored.
 #[expect(clippy::ref_option, reason = "serde passes the field's own type")]
 fn serialize_stored_spec<S: Serializer>(
     spec: &Option<Rc<JobSpec>>,
--- a/crates/records/src/record/machine.rs
+++ b/crates/records/src/record/machine.rs
@@ -54,8 +54,8 @@
     /// Whether the machines are spot machines.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// Names of the machines. An empty name replaces a machine that is proven gone. Positions never
-    /// change, because the activation bitmaps refer to them.
+    /// Names of the machines. An empty name replaces the name of a machine that is proven gone.
+    /// Positions never change, because the activation bitmaps refer to them.
     #[serde(rename = "m")]
     pub machines: Vec<String>,
 }
--- a/crates/records/src/record/ownership.rs
+++ b/crates/records/src/record/ownership.rs
@@ -20,7 +20,7 @@
     pub run: u64,
     /// Fencing token of the owner's commands.
     pub token: u64,
-    /// Id of the incident while the owner holds because records were lost; see
+    /// Id of the incident while the owner is in a data-loss hold; see
     /// [`DataLossHoldRecord`](super::DataLossHoldRecord). Versions before 0.6 do not know this
     /// field.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
--- a/crates/records/src/resources.rs
+++ b/crates/records/src/resources.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether no resource exceeds that of `capacity`.
+    /// Whether no amount exceeds the amount of the same resource in `capacity`.
     #[must_use]
     pub fn fits_in(self, capacity: Resources) -> bool {
         self.cpus <= capacity.cpus && self.gpus <= capacity.gpus && self.memory <= capacity.memory
--- a/crates/records/src/units.rs
+++ b/crates/records/src/units.rs
@@ -4,7 +4,8 @@
 //! The amounts that tasks need are rounded up and capacity is rounded down, so that rounding can
 //! prevent a placement but never overcommits a machine.
 
-/// A time or a duration, in microseconds of the process's own monotonic clock.
+/// A time or a duration, in microseconds. Times are readings of the process's own monotonic clock,
+/// unless they are documented as wall-clock times.
 pub type Micros = u64;
 
 /// One second, in microseconds.
--- a/crates/recovery/src/detection.rs
+++ b/crates/recovery/src/detection.rs
@@ -59,7 +59,8 @@
 /// the controller's monotonic clock.
 #[derive(Debug)]
 pub struct LossDetector {
-    /// Time at which workers have had time to contradict the records since the controller's start.
+    /// Time after which the records count as verified, because workers have had enough time since
+    /// the controller's start to contradict them.
     verified_at: Micros,
     /// First suspicion since the last read that could confirm one.
     suspicion: Option<Suspicion>,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Whether workers have had time to contradict the records since the controller's start.
+    /// Whether workers have had enough time since the controller's start to contradict the records.
     #[must_use]
     pub fn is_verified(&self, now: Micros) -> bool {
         now >= self.verified_at
--- a/crates/recovery/src/finding.rs
+++ b/crates/recovery/src/finding.rs
@@ -45,7 +45,7 @@
     FoundByPeer {
         /// Host name of that controller.
         by: String,
-        /// Text of its finding.
+        /// Text of that controller's finding.
         seen: String,
     },
 }
--- a/crates/recovery/src/recent_changes.rs
+++ b/crates/recovery/src/recent_changes.rs
@@ -4,7 +4,7 @@
 //! were kept, many changes of another history could displace all changes of the known history
 //! before they are compared.
 
-use salttiller_records::history::{last_whole_revisions, Fingerprint};
+use salttiller_records::history::{last_complete_revisions, Fingerprint};
 
 /// The last known changes, in ascending order of their revisions.
 #[derive(Debug, Clone, Default)]
@@ -15,7 +15,7 @@
 }
 
 impl RecentChanges {
-    /// Returns an empty list of changes that continues after a full read at `revision`.
+    /// Returns an empty list, to which the changes after a full read at `revision` can be added.
     #[must_use]
     pub fn starting_at(revision: u64) -> Self {
         RecentChanges {
@@ -46,7 +46,7 @@
             .changes
             .partition_point(|change| change.version <= until);
         let unconfirmed = self.changes.split_off(first_unconfirmed);
-        self.changes = last_whole_revisions(std::mem::take(&mut self.changes));
+        self.changes = last_complete_revisions(std::mem::take(&mut self.changes));
         self.changes.extend(unconfirmed);
     }
 
--- a/crates/salttillerctl/src/archive.rs
+++ b/crates/salttillerctl/src/archive.rs
@@ -101,7 +101,7 @@
 /// Runs a command of `salttillerctl archive`.
 ///
 /// # Errors
-/// The command failed.
+/// Returns an error if the command fails.
 pub(crate) fn run(command: &Command) -> Result<(), Failure> {
     match command {
         Command::Run { source, max_s } => {
@@ -143,7 +143,7 @@
 /// Prints the JSON schema of a document.
 ///
 /// # Errors
-/// Standard output can't be written.
+/// Returns an error if standard output can't be written.
 pub(crate) fn print_schema(document: Document) -> Result<(), Failure> {
     let schema = match document {
         Document::ArchiveExport => schema_for!(ExportDocument),
--- a/crates/salttillerctl/src/archive_settings.rs
+++ b/crates/salttillerctl/src/archive_settings.rs
@@ -39,7 +39,8 @@
 /// Reads the archive's settings from an INI file. Returns the defaults if `path` is `None`.
 ///
 /// # Errors
-/// The file can't be read, has an unknown section or key, or has a value that is out of range.
+/// Returns an error if the file can't be read, has an unknown section or key, or has a value that
+/// is out of range.
 pub(crate) fn read_archive_settings(path: Option<&Path>) -> Result<ArchiveSettings, SettingsError> {
     let Some(path) = path else {
         return Ok(ArchiveSettings::default());
--- a/crates/salttillerctl/src/archive_settings/tests.rs
+++ b/crates/salttillerctl/src/archive_settings/tests.rs
@@ -2,6 +2,8 @@
 
 use super::*;
 
+/// Guards against invalid settings that are accepted, against valid settings that are refused or
+/// ignored, and against an error that does not name the key or value concerned.
 #[test]
 fn valid_settings_are_read_and_invalid_settings_are_refused() {
     let cases: [(&str, Result<f64, &str>); 7] = [
--- a/crates/salttillerctl/src/output.rs
+++ b/crates/salttillerctl/src/output.rs
@@ -11,7 +11,7 @@
 /// Writes a file atomically: a reader sees either the previous or the complete new content.
 ///
 /// # Errors
-/// The file, or the temporary file next to it, can't be written.
+/// Returns an error if the file, or the temporary file next to it, can't be written.
 pub(crate) fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut temporary_name = path.as_os_str().to_owned();
     temporary_name.push(format!(".new-{}", std::process::id()));
@@ -33,7 +33,7 @@
 /// Prints a document as JSON.
 ///
 /// # Errors
-/// Standard output can't be written.
+/// Returns an error if standard output can't be written.
 pub(crate) fn print_json<T: Serialize>(document: &T) -> Result<(), Failure> {
     serde_json::to_string_pretty(document)
         .map_err(io::Error::from)
--- a/crates/salttillerctl/src/recover.rs
+++ b/crates/salttillerctl/src/recover.rs
@@ -69,7 +69,7 @@
 /// Runs a command of `salttillerctl recover`.
 ///
 /// # Errors
-/// The command failed.
+/// Returns an error if the command fails.
 pub(crate) fn run(command: &Command) -> Result<(), Failure> {
     match command {
         Command::Status { config, json } => {
--- a/crates/salttillerctl/src/state_service.rs
+++ b/crates/salttillerctl/src/state_service.rs
@@ -53,7 +53,7 @@
 /// Reads the record of a hold. Returns `None` if there is no record.
 ///
 /// # Errors
-/// There was no usable response, or the record can't be decoded.
+/// Returns an error if there was no usable response, or if the record can't be decoded.
 pub(crate) fn read_hold(
     state_service: SocketAddr,
 ) -> Result<Option<VersionedHold>, StateServiceError> {
@@ -77,7 +77,8 @@
 /// Replaces the record of a hold unless the record has changed since it was read.
 ///
 /// # Errors
-/// There was no usable response. The change may or may not have been committed.
+/// Returns an error if there was no usable response. The change may or may not have been committed
+/// in that case.
 pub(crate) fn replace_hold(
     state_service: SocketAddr,
     hold: &VersionedHold,
--- a/crates/salttillerctl/tests/archive_measurement.rs
+++ b/crates/salttillerctl/tests/archive_measurement.rs
@@ -18,7 +18,7 @@
 const MACHINES: usize = 4_000;
 const MACHINES_PER_BATCH: usize = 50;
 const JOBS: usize = 100_000;
-/// One job per this number of jobs is open; the others are done.
+/// One in this number of jobs is open; the others are done.
 const OPEN_JOB_INTERVAL: usize = 20;
 const REQUESTS_PER_SECOND: f64 = 80.0;
 const REQUEST_SHARE: f64 = 0.05;
--- a/crates/salttillerctl/tests/cli/archive_failures.rs
+++ b/crates/salttillerctl/tests/cli/archive_failures.rs
@@ -143,6 +143,8 @@
     assert!(std::fs::read(&existing).unwrap().starts_with(b"{"));
 }
 
+/// Guards against a wrong exit code, or an error text without the HTTP status, when the state
+/// service refuses all requests.
 #[test]
 fn refusal_by_the_state_service_has_its_exit_code() {
     let deployment = Deployment::new("refusing", 1);
--- a/crates/salttillerctl/tests/cli/archive_recording.rs
+++ b/crates/salttillerctl/tests/cli/archive_recording.rs
@@ -63,7 +63,7 @@
 /// the store were being restarted.
 fn restore(deployment: &Deployment, contents: Contents, changes: u32) {
     let service = &deployment.service;
-    service.inject_fault(Some(RequestFault::NoAnswer));
+    service.inject_fault(Some(RequestFault::NoResponse));
     service.restore(contents);
     for n in 0..changes {
         service.commit(&[("st/job/req-7", Some(json!({"other": n})))]);
@@ -119,7 +119,7 @@
     for fault in [
         RequestFault::Status(503),
         RequestFault::Status(429),
-        RequestFault::NoAnswer,
+        RequestFault::NoResponse,
     ] {
         service.inject_fault(Some(fault));
         thread::sleep(Duration::from_millis(1500));
@@ -133,7 +133,7 @@
     assert_eq!(deployment.list().segments.len(), 1);
     service.inject_fault(Some(RequestFault::Status(503)));
     thread::sleep(Duration::from_millis(300));
-    service.set_kept_changes(10);
+    service.set_retained_changes(10);
     deployment.commit_jobs(30);
     service.inject_fault(None);
     wait_for("the gap", DETECTION_TIMEOUT, || {
--- a/crates/salttillerctl/tests/cli/deployment.rs
+++ b/crates/salttillerctl/tests/cli/deployment.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// Returns the records of an export in the form of the stand-in state service.
+/// Returns the records of an export in the form of the fake state service.
 pub(crate) fn records_of(export: ExportDocument) -> Records {
     let records = export.records.into_iter();
     records
--- a/crates/salttillerctl/tests/cli/main.rs
+++ b/crates/salttillerctl/tests/cli/main.rs
@@ -1,4 +1,5 @@
-//! Tests that run `salttillerctl` as a process against a stand-in state service on loopback.
+//! Tests that run `salttillerctl` as a process against a fake state service on the loopback
+//! address.
 
 // clippy.toml permits these lints in test functions only, not in their helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::indexing_slicing)]
--- a/crates/salttillerctl/tests/cli/recover.rs
+++ b/crates/salttillerctl/tests/cli/recover.rs
@@ -55,6 +55,8 @@
     fail("second decision", second.arg("--yes"), 20);
 }
 
+/// Guards against a wrong exit code when the record of the hold can't be decoded or when the state
+/// service refuses the request.
 #[test]
 fn unusable_response_of_the_state_service_has_its_exit_code() {
     let deployment = Deployment::new("recover-unusable", 0);
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,7 @@
-//! Support for tests of real processes: servers on the loopback address that replace other systems,
-//! and files in the temporary directory. The servers are implemented from the text of the protocol,
-//! except for the code that they share with the controller through the protocol crate.
+//! Support for tests of real processes: fake servers on the loopback address that stand in for
+//! other systems, and files in the temporary directory. The servers are implemented from the
+//! protocol's specification, except for the code that they share with the controller through the
+//! protocol crate.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -13,8 +13,8 @@
 
 /// Handler of a server's requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Returns the response to a request. May block. `None` closes the connection without a
-    /// response.
+    /// Returns the response to a request, or `None` to close the connection without a response. The
+    /// call may block.
     fn handle(&self, request: &Request) -> Option<Response>;
 }
 
--- a/crates/testkit/src/state_service.rs
+++ b/crates/testkit/src/state_service.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestFault {
     /// The connection is closed without a response.
-    NoAnswer,
+    NoResponse,
     /// The response has this status. A response with status 429 has a `Retry-After` header.
     Status(u16),
 }
@@ -124,9 +124,9 @@
         self.shared.changed.notify_all();
     }
 
-    /// Sets the number of changes that are kept for watches.
-    pub fn set_kept_changes(&self, changes: usize) {
-        self.shared.lock().store.set_kept_changes(changes);
+    /// Sets the number of changes that are retained for watches.
+    pub fn set_retained_changes(&self, changes: usize) {
+        self.shared.lock().store.set_retained_changes(changes);
     }
 
     /// Injects a fault into all requests. `None` ends the fault.
--- a/crates/testkit/src/state_service/requests.rs
+++ b/crates/testkit/src/state_service/requests.rs
@@ -103,7 +103,7 @@
             if let Some(fault) = state.fault {
                 return fault_response(fault);
             }
-            if !state.store.keeps_changes_after(query.from) {
+            if !state.store.retains_changes_after(query.from) {
                 return Some(Response::new(410, Vec::new()));
             }
             let changes = state.store.changes_after(query.from, query.prefix);
@@ -122,7 +122,7 @@
 /// Returns the response to a request during a fault.
 fn fault_response(fault: RequestFault) -> Option<Response> {
     match fault {
-        RequestFault::NoAnswer => None,
+        RequestFault::NoResponse => None,
         RequestFault::Status(429) => Some(Response::refusal(429, RETRY_AFTER_S)),
         RequestFault::Status(status) => Some(Response::new(status, Vec::new())),
     }
--- a/crates/testkit/src/state_service/store.rs
+++ b/crates/testkit/src/state_service/store.rs
@@ -19,8 +19,8 @@
 const PAGE_RECORDS: usize = 1000;
 /// Approximate size of a record in a page without its key and value, in bytes.
 const PAIR_OVERHEAD_BYTES: usize = 40;
-/// Default number of changes that are kept for watches.
-const KEPT_CHANGES: usize = 10_000;
+/// Default number of changes that are retained for watches.
+const RETAINED_CHANGES: usize = 10_000;
 
 /// A stored record.
 #[derive(Debug, Clone, PartialEq)]
@@ -61,8 +61,8 @@
 pub(super) struct Store {
     contents: Contents,
     leases: Leases,
-    /// Number of changes that are kept for watches.
-    kept_changes: usize,
+    /// Number of changes that are retained for watches.
+    retained_changes: usize,
     /// Copies of all records by revision, if the history is kept.
     history: Option<BTreeMap<u64, Records>>,
 }
@@ -72,7 +72,7 @@
         Store {
             contents: Contents::default(),
             leases: Leases::default(),
-            kept_changes: KEPT_CHANGES,
+            retained_changes: RETAINED_CHANGES,
             history: None,
         }
     }
@@ -81,8 +81,8 @@
         &self.contents
     }
 
-    pub(super) fn set_kept_changes(&mut self, changes: usize) {
-        self.kept_changes = changes;
+    pub(super) fn set_retained_changes(&mut self, changes: usize) {
+        self.retained_changes = changes;
     }
 
     pub(super) fn keep_history(&mut self) {
@@ -121,7 +121,7 @@
                 None => self.delete(key),
             }
         }
-        while self.contents.log.len() > self.kept_changes {
+        while self.contents.log.len() > self.retained_changes {
             self.contents.log.pop_front();
         }
         self.record_history();
@@ -215,11 +215,11 @@
         }
     }
 
-    /// Whether all changes after a revision are still kept.
-    pub(super) fn keeps_changes_after(&self, from: u64) -> bool {
+    /// Whether all changes after a revision are still retained.
+    pub(super) fn retains_changes_after(&self, from: u64) -> bool {
         let log = &self.contents.log;
         let oldest = log.front().map_or(0, |event| event.version);
-        let complete = log.len() < self.kept_changes;
+        let complete = log.len() < self.retained_changes;
         from + 1 >= oldest || complete
     }
 
