--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -36,13 +36,13 @@
 pub(super) enum Outgoing {
     /// The response to a request on a connection.
     Respond(ConnectionId, Response),
-    /// A call to an outside service.
+    /// A call to an external service.
     Call(CallId, Call),
     /// A message to a peer, by its index in the controller's settings.
     Send(usize, Vec<u8>),
     /// The reply to a peer's message on a connection.
     Reply(ConnectionId, Vec<u8>),
-    /// A request to close the idle connections to an outside service.
+    /// A request to close the idle connections to an external service.
     CloseIdleConnections(usize),
 }
 
@@ -68,14 +68,14 @@
         net
     }
 
-    /// Sets the controller's steady clock and wall clock.
+    /// Sets the controller's monotonic clock and wall clock.
     pub(super) fn set_clocks(&self, clock: Micros, wall: Micros) {
         let mut state = self.state.borrow_mut();
         (state.clock, state.wall) = (clock, wall);
     }
 
-    /// Returns the controller's steady clock.
-    pub(super) fn steady_clock(&self) -> Micros {
+    /// Returns the controller's monotonic clock.
+    pub(super) fn monotonic_clock(&self) -> Micros {
         self.state.borrow().clock
     }
 
@@ -91,7 +91,7 @@
 
 impl Net for SimNet {
     fn monotonic_now(&mut self) -> Micros {
-        self.steady_clock()
+        self.monotonic_clock()
     }
 
     fn wall_clock_now(&self) -> Micros {
@@ -138,7 +138,7 @@
     pub store_slow_until: Micros,
 }
 
-/// Outcome of the delivery of a call to an outside service.
+/// Outcome of the delivery of a call to an external service.
 enum CallDelivery {
     Arrives {
         at: Micros,
