--- a/crates/recovery/src/finding.rs
+++ b/crates/recovery/src/finding.rs
@@ -28,7 +28,7 @@
     UnrecordedToken {
         /// Name of the worker's machine.
         machine: String,
-        /// Fencing token that the worker reports.
+        /// Fencing token in the worker's heartbeat.
         reported: u64,
         /// Last recorded fencing token.
         recorded: u64,
--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Handles a report from a machine without a record. The report alone creates no record,
+    /// Handles a heartbeat from a machine without a record. The heartbeat alone creates no record,
     /// because it may be a delayed duplicate from a machine that was released long ago. The
     /// cloud's list decides, so the next list request is brought forward.
     pub fn on_unknown_machine(&mut self, context: &SchedulingContext<'_>) {
--- a/src/leader/cloud_polling.rs
+++ b/src/leader/cloud_polling.rs
@@ -7,10 +7,10 @@
 const FIRST_LIST_DELAY: Micros = 20 * SECOND;
 /// Regular interval between list requests.
 const LIST_INTERVAL: Micros = 30 * SECOND;
-/// Interval between list requests while machines without a record report.
+/// Interval between list requests while machines without a record send heartbeats.
 const UNKNOWN_MACHINE_LIST_INTERVAL: Micros = 4 * SECOND;
-/// Interval between list requests while machines report but none has a record: no task can run
-/// before the machines are listed.
+/// Interval between list requests while machines send heartbeats but none has a record: no task
+/// can run before the machines are listed.
 const FIRST_START_LIST_INTERVAL: Micros = SECOND;
 /// Interval between requests for the machine types; spot prices change slowly.
 const MACHINE_TYPES_INTERVAL: Micros = 60 * SECOND;
@@ -66,7 +66,7 @@
         self.next_list_at
     }
 
-    /// Handles a report from a machine without a record: brings the next list request forward.
+    /// Handles a heartbeat from a machine without a record: brings the next list request forward.
     pub(super) fn on_unknown_machine(&mut self, any_recorded: bool, now: Micros) {
         let interval = if any_recorded {
             UNKNOWN_MACHINE_LIST_INTERVAL
--- a/src/region.rs
+++ b/src/region.rs
@@ -101,7 +101,7 @@
 /// reported within the last heartbeat window.
 const FEW_HEARTBEATS_DIVISOR: usize = 4;
 
-/// Time in which each machine reports at least once: the heartbeat interval, a quarter of it
+/// Time in which each machine sends at least one heartbeat: the heartbeat interval, a quarter of it
 /// for jitter, and 4 seconds for delays.
 fn heartbeat_window(settings: &Settings) -> Micros {
     settings.heartbeat_interval * 5 / 4 + 4 * SECOND
@@ -213,9 +213,9 @@
         self.inventory.activated_count()
     }
 
-    /// Whether only few activated machines reported within the last heartbeat window. Returns
-    /// `false` until this controller has been reachable (`reachable_since`) and has owned the
-    /// region for two windows, so that every machine had time to report.
+    /// Whether only few activated machines sent a heartbeat within the last heartbeat window.
+    /// Returns `false` until this controller has been reachable (`reachable_since`) and has owned the
+    /// region for two windows, so that every machine had time to send a heartbeat.
     pub fn receives_few_heartbeats(
         &self,
         reachable_since: Micros,
--- a/src/region/machine_checks.rs
+++ b/src/region/machine_checks.rs
@@ -18,8 +18,8 @@
 pub(super) const MIN_BILLED_AGE: Micros = 50 * SECOND;
 /// Margin after the end of a lease before the lease counts as expired.
 const LEASE_MARGIN: Micros = SECOND;
-/// Time after the expiry of its lease during which a machine may still report before it is
-/// released.
+/// Time after the expiry of its lease during which a machine may still send a heartbeat before it
+/// is released.
 const EXPIRED_LEASE_GRACE: Micros = 5 * SECOND;
 /// Minimum time between two checks of a machine.
 const MIN_CHECK_INTERVAL: Micros = SECOND / 2;
--- a/src/region/quota_demand.rs
+++ b/src/region/quota_demand.rs
@@ -73,7 +73,7 @@
 impl Region {
     /// Determines what the jobs at the head of the queue need of their teams' limits. The demand
     /// of gangs and of the next jobs includes tasks for which there is no free capacity yet. This
-    /// guards against a machine that becomes free and then stays idle for a report interval
+    /// guards against a machine that becomes free and then stays idle for a heartbeat interval
     /// because the share for its next task must first be acquired. The demand is limited to what
     /// the region's machines can hold: a share kept for tasks that cannot run in this region is
     /// missing in the regions where they can run.
--- a/src/region/reassignment.rs
+++ b/src/region/reassignment.rs
@@ -34,7 +34,7 @@
     context.settings.heartbeat_interval / 8
 }
 
-/// Time by which a machine is expected to report again: the heartbeat interval and an eighth of
+/// Time by which a machine's next heartbeat is expected: the heartbeat interval and an eighth of
 /// it for jitter.
 fn next_heartbeat_at(machine: &Machine, context: &SchedulingContext<'_>) -> Micros {
     machine.last_heartbeat_at + context.settings.heartbeat_interval * 9 / 8
--- a/src/region/tests/ownership.rs
+++ b/src/region/tests/ownership.rs
@@ -56,8 +56,9 @@
     );
 }
 
-/// A machine that is silent while others report is released. When all machines are silent, the
-/// fault is the controller's, and only the end of their leases proves the machines empty.
+/// A machine that is silent while others send heartbeats is released. When all machines are
+/// silent, the fault is the controller's, and only the end of their leases proves the machines
+/// empty.
 #[test]
 fn a_silent_machine_is_released_unless_all_are_silent() {
     for (reporting, released) in [(&["m-1", "m-2"][..], true), (&[][..], false)] {
--- a/src/region/tests/placement.rs
+++ b/src/region/tests/placement.rs
@@ -94,8 +94,9 @@
     );
 }
 
-/// A task assigned to a machine that has yet to report is started by another machine that reports
-/// earlier, if that machine holds no more tasks or the delay was long. The task starts only once.
+/// A task assigned to a machine whose heartbeat is yet to come is started by another machine whose
+/// heartbeat comes earlier, if that machine holds no more tasks or the delay was long. The task
+/// starts only once.
 #[test]
 fn undispatched_tasks_are_reassigned() {
     for (busy, at, reassigned) in [
--- a/src/region/tests/test_cluster.rs
+++ b/src/region/tests/test_cluster.rs
@@ -151,8 +151,9 @@
         }
     }
 
-    /// Runs one second: tasks past their run time end, each machine reports and executes its
-    /// commands, and the region's commits succeed. Answers to the machine `unreachable` are lost.
+    /// Runs one second: tasks past their run time end, each machine sends a heartbeat and
+    /// executes its commands, and the region's commits succeed. Answers to the machine
+    /// `unreachable` are lost.
     pub(in crate::region) fn run_second(&mut self, now: Micros, unreachable: Option<&str>) {
         self.sequence += 1;
         let machines: Vec<String> = self.running.keys().cloned().collect();
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -62,8 +62,8 @@
     PartitionFromUsers(usize, Micros),
     /// A controller can reach its workers, but neither the state service nor its peers.
     IsolateController(usize, Micros, ConnectionFailure),
-    /// A controller is isolated as in [`Fault::IsolateController`], and the machines that report to
-    /// that controller cannot reach any other.
+    /// A controller is isolated as in [`Fault::IsolateController`], and the machines whose
+    /// heartbeats go to that controller cannot reach any other.
     PartitionZone(usize, Micros),
     /// Half of the machines cannot reach any controller.
     PartitionWorkers(Micros),
--- a/src/simulation/invariants/starts.rs
+++ b/src/simulation/invariants/starts.rs
@@ -65,7 +65,7 @@
             return DELAYED_COMMAND_LATENCY;
         }
         // A controller that is partitioned from its peers learns of the cancellation from its next
-        // read of the state store.
+        // read of the state service.
         if self.now < self.controllers[controller].partitions.peers_until {
             return MAX_READ_AGE + COMMAND_LATENCY;
         }
--- a/src/simulation/workers.rs
+++ b/src/simulation/workers.rs
@@ -31,7 +31,7 @@
 /// Delay of the heartbeat to the controller that a refusal names.
 const REDIRECT_DELAY: Micros = 100 * MILLISECOND;
 
-/// A partition that isolates one controller together with the machines that report to it.
+/// A partition that isolates one controller together with the machines whose heartbeats go to it.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ZonePartition {
     pub controller: usize,
