--- a/src/controller/region_ownership.rs
+++ b/src/controller/region_ownership.rs
@@ -174,7 +174,8 @@
         });
         for (name, region) in std::mem::take(&mut self.owned) {
             log::info!(
-                "region={name} token={}: ownership lost: the owner lease expired or its record is gone",
+                "region={name} token={}: ownership lost: \
+                 the owner lease expired or its record is gone",
                 region.token
             );
         }
--- a/src/controller/regions.rs
+++ b/src/controller/regions.rs
@@ -104,7 +104,10 @@
             return;
         };
         if record.owner != RecordedHolder::ThisIncarnation || record.token != token {
-            log::info!("region={region} token={token}: ownership lost: the region's record no longer names this owner and token");
+            log::info!(
+                "region={region} token={token}: ownership lost: \
+                 the region's record no longer names this owner and token"
+            );
             self.ownership.on_lost(region);
         }
     }
--- a/src/reactor/lifecycle.rs
+++ b/src/reactor/lifecycle.rs
@@ -50,7 +50,8 @@
         let full = self.served_connections >= self.limits.max_served_connections;
         if is_http && full && !self.close_idle_served_connection() {
             log::debug!(
-                "new connection closed, connection limit reached: {} connections of users and workers are open",
+                "new connection closed, connection limit reached: \
+                 {} connections of users and workers are open",
                 self.served_connections
             );
             return;
--- a/src/region.rs
+++ b/src/region.rs
@@ -214,8 +214,8 @@
     }
 
     /// Whether only few activated machines sent a heartbeat within the last heartbeat window.
-    /// Returns `false` until this controller has been reachable (`reachable_since`) and has owned the
-    /// region for two windows, so that every machine had time to send a heartbeat.
+    /// Returns `false` until this controller has been reachable (`reachable_since`) and has owned
+    /// the region for two windows, so that every machine had time to send a heartbeat.
     pub fn receives_few_heartbeats(
         &self,
         reachable_since: Micros,
--- a/src/region/failure_attribution/tests.rs
+++ b/src/region/failure_attribution/tests.rs
@@ -117,12 +117,7 @@
     // Once its tasks succeed, all tasks of the job are started.
     cluster.failing_jobs.clear();
     run_for(&mut cluster, now, 900);
-    let started = cluster
-        .first_starts
-        .keys()
-        .filter(|(j, _)| j == "req-1")
-        .count();
-    assert_eq!(started, 400);
+    assert_eq!(cluster.started_tasks("req-1"), 400);
 }
 
 /// Guards against failure reports of unknown jobs, of older attempts, or repeated ones that
--- a/src/region/tests/scheduling_order.rs
+++ b/src/region/tests/scheduling_order.rs
@@ -51,12 +51,7 @@
             cluster.submit("req-1", "g", "red", 4, 4_000_000, now);
         }
         cluster.run_second(now, None);
-        let started = cluster
-            .first_starts
-            .keys()
-            .filter(|(job, _)| job == "req-1")
-            .count();
-        if started == 4 {
+        if cluster.started_tasks("req-1") == 4 {
             started_at = Some(second);
             break;
         }
@@ -90,10 +85,7 @@
         let mut started_at = None;
         for second in 2..300u64 {
             let now = second * SECOND;
-            for i in 0..3 {
-                let id = format!("req-{}", second * 10 + i);
-                cluster.submit(&id, "a", "red", 1, 2_000_000, now);
-            }
+            cluster.overload(second, "red");
             if second == 10 {
                 let record = json!({"st":"o","b":[[0,tasks,"t-0"]],"j":{"c":class,"t":team,"k":"a",
                     "r":"1","n":tasks,"u":2_000_000,"m":1_000_000,"i":"img","e":4_000_000,"a":now}});
@@ -103,12 +95,7 @@
                     .on_job("req-1", &cluster.fixture.context(now));
             }
             cluster.run_second(now, None);
-            let started = cluster
-                .first_starts
-                .keys()
-                .filter(|(job, _)| job == "req-1")
-                .count();
-            if started as u64 == tasks {
+            if cluster.started_tasks("req-1") as u64 == tasks {
                 started_at = Some(second);
                 break;
             }
--- a/src/region/tests/test_cluster.rs
+++ b/src/region/tests/test_cluster.rs
@@ -117,6 +117,12 @@
         self.region.report(&self.fixture.context(now)).pending_jobs
     }
 
+    /// Returns how many of a job's tasks have been started at least once.
+    pub(in crate::region) fn started_tasks(&self, job: &str) -> usize {
+        let tasks = self.first_starts.keys();
+        tasks.filter(|(id, _)| id == job).count()
+    }
+
     /// Submits more small jobs of a team than can be started in this second.
     pub(super) fn overload(&mut self, second: u64, team: &str) {
         for i in 0..3 {
--- a/src/simulation/invariants/waiting.rs
+++ b/src/simulation/invariants/waiting.rs
@@ -126,7 +126,8 @@
             return WaitStatus::OverLimit;
         }
         WaitStatus::Startable(format!(
-            "{started} of {} tasks started or done, capacity for {capacity}, team uses {used} of {limit}, {}",
+            "{started} of {} tasks started or done, capacity for {capacity}, \
+             team uses {used} of {limit}, {}",
             job.tasks, job.submission
         ))
     }
