--- a/src/region/machine.rs
+++ b/src/region/machine.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// A machine with its record, its tasks and the state derived from its heartbeats. All times
-/// are times of the steady clock.
+/// A machine with its record, its tasks and the state derived from its heartbeats. All times are
+/// times of the monotonic clock.
 #[derive(Debug)]
 pub(super) struct Machine {
     pub(super) record: MachineRecord,
--- a/src/simulation.rs
+++ b/src/simulation.rs
@@ -11,12 +11,13 @@
 //! A [`days::Plan`] holds what is fixed before a day begins: the seed, the faults and their times,
 //! the number of jobs that users submit, and the [`workload::Workload`]. A [`days::Day`] draws a
 //! plan from a seed. The tables of days are in `days::compound_failures` and
-//! `days::partial_failures`; `days::seeded` has days without a table, and `days::record_losses` has
-//! days on which the state service loses records.
+//! `days::partial_failures`; `days::seeded` has days whose faults are all drawn from the seed, and
+//! `days::record_losses` has days on which the state service loses records.
 //!
-//! [`runner::play`] creates a [`world::World`] from a plan and runs it to its end: the world takes
-//! the [`events::Event`]s from its queue in order and dispatches each to the component that handles
-//! it. The invariants are checked every five simulated seconds. A day stops at the first violation.
+//! [`runner::run_day`] creates a [`world::World`] from a plan and runs it to its end: the world
+//! takes the [`events::Event`]s from its queue in order and dispatches each to the component that
+//! handles it. The invariants on starts and on responses are checked as these occur, all others
+//! every five simulated seconds. A day stops at the first violation.
 //!
 //! | component | module |
 //! | --- | --- |
@@ -42,7 +43,7 @@
 //! 2. Add a case to `World::inject` in `faults/injection.rs`. Most faults only set the time until
 //!    which a component behaves differently.
 //! 3. Implement the different behaviour in that component. Draw from `World::rng` only while the
-//!    fault lasts: an additional draw on other days changes all of those days.
+//!    fault lasts: any other additional draw changes all later draws of days without the fault.
 //! 4. Count the effects in [`observations::Observations`], so that a day can verify that the fault
 //!    took effect.
 //!
@@ -50,17 +51,18 @@
 //!
 //! Add a [`days::Day`] to a table: a name, a function that draws the faults, and a condition on the
 //! observations that shows that the intended situation occurred. The tests in `tests::failures` run
-//! every day of the tables on several seeds. They fail if an invariant is violated, a job does not
-//! end, or the condition holds on no seed.
+//! every day of the tables on several seeds. A test fails if an invariant is violated, a job does
+//! not end, a task starts too late after a cancellation, a transaction exceeds the size limits, or
+//! the condition holds on no seed.
 //!
 //! # Safeguards and their tests
 //!
 //! Every part of the safety argument in docs/safety.md is a [`Safeguard`] in
-//! `src/fault_injection.rs`. For each safeguard a test disables it ([`runner::play_without`]) and
-//! asserts that some day then violates an invariant; without such a test, nobody would notice if
-//! the safeguard's code were lost. A new safeguard needs a variant, an `is_disabled` check in its
-//! code, a day that violates an invariant without the safeguard, and an entry in a table of such
-//! tests (`tests::failures::SAFEGUARDS_OF_DAYS`).
+//! `src/fault_injection.rs`. For each safeguard a test disables it ([`runner::run_day_without`])
+//! and asserts that some day then violates an invariant; without such a test, nobody would notice
+//! if the safeguard's code were lost. A new safeguard needs a variant, an `is_disabled` check in
+//! its code, a day that violates an invariant without the safeguard, and an entry in a table of
+//! such tests (`tests::failures::SAFEGUARDS_OF_DAYS`).
 //!
 //! # Verifying unchanged behaviour
 //!
--- a/src/simulation/cloud.rs
+++ b/src/simulation/cloud.rs
@@ -149,7 +149,8 @@
         machine
     }
 
-    /// Lists the machines that were rented 8 to 16 seconds ago: the cloud's list lags behind.
+    /// Lists the machines that were rented at a time 8 to 15 seconds ago and have not been released
+    /// since: the cloud's list lags behind the rentals.
     fn list_machines(&mut self) -> Response {
         let at = self.now.saturating_sub(self.rng.u64(8..16) * SECOND);
         let rented = self.cloud.machines.iter();
--- a/src/simulation/controllers.rs
+++ b/src/simulation/controllers.rs
@@ -21,21 +21,21 @@
 /// Interval between the first call numbers of successive runs of a process.
 const CALLS_PER_RUN: u64 = 1_000_000;
 
-/// Inverse of the drift rate of the steady clocks: a controller's clock gains `index / CLOCK_DRIFT`
-/// of the elapsed time.
+/// Inverse of the drift rate of the monotonic clocks: a controller's clock gains
+/// `index / CLOCK_DRIFT` of the elapsed time.
 const CLOCK_DRIFT: u64 = 4000;
 
 /// How calls fail during a partition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ConnectionFailure {
-    /// The calls get no response, and some are executed after the partition.
+    /// Calls get no response, and some are executed after the partition.
     #[default]
     Hang,
-    /// The connections are reset immediately.
+    /// Connections are reset immediately.
     Reset,
 }
 
-/// Times until which a controller is partitioned from each of its kinds of counterparts.
+/// Times until which a controller is partitioned from the state service, workers, peers and users.
 #[derive(Default)]
 pub(super) struct Partitions {
     pub store_until: Micros,
@@ -174,7 +174,7 @@
             process.handle(event);
         }
         let next_step = process.step();
-        let clock = controller.net.steady_clock();
+        let clock = controller.net.monotonic_clock();
         let outgoing = controller.net.take_outgoing();
         trace_digest::record(now, index, &outgoing);
         for item in outgoing {
--- a/src/simulation/days/compound_failures.rs
+++ b/src/simulation/days/compound_failures.rs
@@ -12,8 +12,9 @@
     tables.into_iter().flatten()
 }
 
-/// Plans a state service that refuses only the leader while other controllers confirm
-/// cancellations, and then an outage of the state service that lasts longer than `cancel_s`.
+/// Plans a period in which the state service refuses only the leader, cancellations that the other
+/// controllers can confirm during this period, and then an outage of the state service that lasts
+/// longer than `cancel_s`.
 fn store_refusal_then_outage(rng: &mut fastrand::Rng, machine_pause: Micros) -> Vec<PlannedFault> {
     let start = 30.0 + rng.f64() * 20.0;
     let outage_after = 0.5 + rng.f64() * 9.5;
@@ -395,7 +396,7 @@
                     95.0 + rng.f64() * 20.0,
                     Fault::AllControllersDown(20 * SECOND),
                 ),
-                // During the takeovers.
+                // The limits are lowered during the takeovers that follow the restarts.
                 at(116.0, Fault::LowerStoreLimits),
                 at(40.0, Fault::DuplicateHeartbeats(80 * SECOND)),
             ]
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -28,7 +28,7 @@
     Probe(u32),
 }
 
-/// Origin of a call to an outside service: a controller's process and the call's number.
+/// Origin of a call to an external service: a controller's process and the call's number.
 #[derive(Clone, Copy)]
 pub(super) struct Caller {
     pub controller: usize,
@@ -65,7 +65,7 @@
     },
     /// A controller's response reaches the requester.
     Response(Requester, Response),
-    /// A controller's call reaches an outside service.
+    /// A controller's call reaches an external service.
     ServiceCall(Caller, Call),
     /// The result of a call reaches the controller that made it.
     CallResult(Caller, Result<Response, CallError>),
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -47,11 +47,11 @@
     /// A controller's process is paused while its clocks advance; events for it are held back until
     /// the pause ends.
     PauseController(usize, Micros),
-    /// The leader's process is paused in the same way.
+    /// The leader's process is paused as in [`Fault::PauseController`].
     PauseLeader(Micros),
 
-    /// A controller cannot reach the state service; half of its POST calls are executed
-    /// when the partition ends.
+    /// A controller cannot reach the state service; half of its POST calls are executed when the
+    /// partition ends.
     PartitionFromStore(usize, Micros),
     /// A controller and all workers cannot reach each other; half of their heartbeats arrive when
     /// the partition ends.
@@ -81,8 +81,7 @@
     /// A third of the commits get no response and are executed 2 to 12 s later.
     DelayCommits(Micros),
     /// From now on the state service accepts at most 4 changes per transaction and values of at
-    /// most
-    /// 2 KiB.
+    /// most 2 KiB.
     LowerStoreLimits,
     /// The state service's records are backed up, for a restore by a later [`Fault::LoseRecords`].
     BackUpStore,
@@ -91,7 +90,7 @@
 
     /// The cloud refuses all calls.
     CloudOutage(Micros),
-    /// Rented machines take about ten times as long to boot, and a third of them never boots.
+    /// Rented machines take 60 to 139 s longer to boot, and a third of them never boots.
     SlowProvisioning(Micros),
     /// A machine fails permanently.
     FailMachine,
@@ -105,7 +104,7 @@
 
     /// Users cancel running jobs within 0.2 s.
     CancelRunningJobs(CancelRunning),
-    /// Users cancel jobs when the last task is done.
+    /// Users cancel a job within 0.2 s after its last task is done.
     CancelOnCompletion(Micros),
     /// Users query the status of their jobs thirty times as often.
     QueryBurst(Micros),
@@ -127,8 +126,9 @@
     All,
     /// All changes since the backup.
     SinceBackup,
-    /// All changes since the backup, after which new changes raise the revision above the lost one.
-    SinceBackupAndGrown,
+    /// All changes since the backup, after which new changes raise the revision above the one
+    /// before the loss.
+    SinceBackupThenAdvanced,
     /// Every other job record, while the revision and all other records stay.
     SomeJobs,
 }
--- a/src/simulation/faults/injection.rs
+++ b/src/simulation/faults/injection.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of a day's plan.
+//! Injection of the faults of a day's plan into the simulated components.
 
 use salttiller_records::units::{Micros, MILLISECOND, SECOND};
 
--- a/src/simulation/invariants/waiting.rs
+++ b/src/simulation/invariants/waiting.rs
@@ -7,7 +7,7 @@
 use crate::simulation::world::World;
 use salttiller_records::units::{Micros, SECOND};
 
-use super::{Rule, ROUNDING_TOLERANCE};
+use super::{Invariant, ROUNDING_TOLERANCE};
 
 /// Maximum time that a job which could start more tasks waits for a start, once all faults are
 /// over.
@@ -74,7 +74,7 @@
         }
         let since = wait.since.max(self.faults_end);
         if self.now > since + STARVATION_LIMIT {
-            self.record_violation(Rule::Waits, format!("{id}: {details}"));
+            self.record_violation(Invariant::Waits, format!("{id}: {details}"));
         }
     }
 
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -36,14 +36,14 @@
 pub(super) enum Outgoing {
     /// The response to a request on a connection.
     Respond(ConnectionId, Response),
-    /// A call to an outside service.
+    /// A call to an external service.
     Call(CallId, Call),
     /// A message to a peer, by its index in the controller's settings.
     Send(usize, Vec<u8>),
     /// The reply to a peer's message on a connection.
     Reply(ConnectionId, Vec<u8>),
-    /// A request to close the idle connections to an outside service.
-    ResetDest(usize),
+    /// A request to close the idle connections to an external service.
+    CloseIdleConnections(usize),
 }
 
 /// Network interface of one run of a controller's process.
@@ -68,14 +68,14 @@
         net
     }
 
-    /// Sets the controller's steady clock and wall clock.
+    /// Sets the controller's monotonic clock and wall clock.
     pub(super) fn set_clocks(&self, clock: Micros, wall: Micros) {
         let mut state = self.state.borrow_mut();
         (state.clock, state.wall) = (clock, wall);
     }
 
-    /// Returns the controller's steady clock.
-    pub(super) fn steady_clock(&self) -> Micros {
+    /// Returns the controller's monotonic clock.
+    pub(super) fn monotonic_clock(&self) -> Micros {
         self.state.borrow().clock
     }
 
@@ -91,7 +91,7 @@
 
 impl Net for SimNet {
     fn clock(&mut self) -> Micros {
-        self.steady_clock()
+        self.monotonic_clock()
     }
 
     fn wall(&self) -> Micros {
@@ -121,7 +121,7 @@
     }
 
     fn close_idle_connections(&mut self, dest: usize) {
-        self.push(Outgoing::ResetDest(dest));
+        self.push(Outgoing::CloseIdleConnections(dest));
     }
 }
 
@@ -138,7 +138,7 @@
     pub store_slow_until: Micros,
 }
 
-/// Outcome of the delivery of a call to an outside service.
+/// Outcome of the delivery of a call to an external service.
 enum CallDelivery {
     Arrives {
         at: Micros,
@@ -165,7 +165,7 @@
             Outgoing::Call(id, call) => self.deliver_call(controller, id, call),
             Outgoing::Send(peer, payload) => self.deliver_to_peer(controller, peer, payload),
             // The simulation sends peer messages without connections and has no idle connections.
-            Outgoing::Reply(..) | Outgoing::ResetDest(_) => {}
+            Outgoing::Reply(..) | Outgoing::CloseIdleConnections(_) => {}
         }
     }
 
--- a/src/simulation/observations.rs
+++ b/src/simulation/observations.rs
@@ -1,5 +1,5 @@
-//! Counters of events on a simulated day, so that a test can assert that the situation it is meant
-//! for occurred.
+//! Counters of events on a simulated day, with which a test asserts that the situation that it
+//! covers has occurred.
 
 /// Counters of the events of a day.
 #[derive(Default, Debug, Clone, PartialEq)]
@@ -24,7 +24,7 @@
     pub leases_expired_with_tasks: u32,
     /// Acquisitions of a region.
     pub region_acquisitions: u32,
-    /// Changes of leader.
+    /// Elections of a leader, including the first of the day.
     pub leader_elections: u32,
     /// Responses that reached their worker after its timeout.
     pub late_responses: u32,
--- a/src/simulation/state_service/calls.rs
+++ b/src/simulation/state_service/calls.rs
@@ -1,4 +1,4 @@
-//! Dispatch of calls to the outside services, and the watches and leases of the state service.
+//! Dispatch of calls to the external services, and the watches and leases of the state service.
 
 use crate::reactor::{Call, CallError};
 use crate::simulation::events::{Caller, Event};
@@ -11,7 +11,7 @@
 use super::Watch;
 
 impl World {
-    /// Handles a call that reaches an outside service.
+    /// Handles a call that reaches an external service.
     pub(crate) fn serve_call(&mut self, caller: Caller, call: &Call) {
         let (path, query) = call.target.split_once('?').unwrap_or((&call.target, ""));
         let body = decode(&call.body);
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Makes the state service lose records. From then on the service counts as a new process, so
-    /// its connections break.
+    /// Makes the state service lose records and restart. The restart breaks the connections of all
+    /// watches.
     pub(crate) fn lose_records(&mut self, loss: RecordLoss) {
         self.store.lose_records(loss);
         for watch in std::mem::take(&mut self.store.watches).into_values() {
--- a/src/simulation/users/jobs.rs
+++ b/src/simulation/users/jobs.rs
@@ -119,7 +119,7 @@
 }
 
 impl Job {
-    /// Creates a job that was not submitted yet; each task runs for `run_time`.
+    /// Creates a job that has not been submitted yet; each task runs for `run_time`.
     pub(crate) fn new(submission: &Submission, run_time: Micros) -> Self {
         Job {
             submission: submission.body(),
--- a/src/simulation/workers.rs
+++ b/src/simulation/workers.rs
@@ -42,9 +42,9 @@
 pub(super) struct Worker {
     pub machine_type: String,
     pub spot: bool,
-    /// Incarnation number, incremented with each expired lease.
+    /// Incarnation number, incremented with each expired lease and reset by a reboot.
     pub incarnation: u64,
-    /// Number of the last heartbeat of this incarnation.
+    /// Sequence number of the last heartbeat; only a reboot resets the number.
     pub sequence: u64,
     /// Highest fencing token received.
     pub token: u64,
--- a/src/simulation/workload.rs
+++ b/src/simulation/workload.rs
@@ -29,8 +29,8 @@
 /// Time after the submission of a failing job at which its user cancels the job.
 const FAILING_JOB_CANCELLED_AFTER: Micros = 100 * SECOND;
 
-/// XORed with the seed for a separate generator, which draws the later additions to the workload
-/// (dependencies and repeated requests) so that the original draws stay unchanged.
+/// XORed with a day's seed to seed a separate generator for dependencies and repeated requests.
+/// With a separate generator these draws do not change the other draws of the workload.
 const ADDITIONS_SEED: u64 = 0x1a7e;
 
 impl World {
@@ -111,7 +111,8 @@
         (submission, run_seconds)
     }
 
-    /// Draws one or two of the jobs added so far, possibly the same job twice.
+    /// Draws one or two dependencies from the jobs added so far, except services. Both may be the
+    /// same job. Returns no dependencies if there is no such job.
     fn draw_dependencies(&self, rng: &mut fastrand::Rng) -> Vec<String> {
         let candidates = self.users.jobs.iter();
         let candidates = candidates.filter(|(_, job)| job.kind != JobKind::Service);
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -40,7 +40,7 @@
     pub workers: BTreeMap<String, Worker>,
     pub users: Users,
     pub workload: Workload,
-    /// Time from which the faults no longer excuse a lack of progress.
+    /// Time at which all faults are over; the invariants on progress apply from then on.
     pub faults_end: Micros,
     /// Number of starts of tasks.
     pub starts: u32,
